--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -4,7 +4,7 @@
 use crate::cells::requests;
 use crate::jobs::{Final, JobRecord, JobSpec, SpecError, Stage, Stored, Submission, is_job_id};
 use crate::membership;
-use crate::metrics::{Duty, memory};
+use crate::metrics::{CpuAccount, memory};
 use crate::node::{Core, Node, wall_ms};
 use crate::pipelines::service::{CANCELLED, look_up_needs};
 use crate::placement::views::{kinds_for, room_of};
@@ -129,7 +129,7 @@
         return error(StatusCode::NOT_FOUND, "no such job");
     }
     let node = &server.node;
-    node.core().metrics.polls += 1;
+    node.core().metrics.status_polls += 1;
     if let Some(last) = ended_in_memory(node, id) {
         return json(StatusCode::OK, &told(id, last.into()));
     }
@@ -150,7 +150,7 @@
 pub async fn submit(server: &Server, body: &[u8]) -> Answer {
     let node = &server.node;
     let read = {
-        let _charge = node.processor_time.charge(Duty::Users);
+        let _charge = node.processor_time.charge(CpuAccount::UserRequests);
         Submission::read(body)
     };
     let Submission { spec, awaits } = match read {
@@ -158,7 +158,7 @@
         Err(problem) => return refuse(server, body, &problem).await,
     };
     let id = spec.id.clone();
-    node.core().metrics.submitted += 1;
+    node.core().metrics.submissions += 1;
     if let Some(last) = ended_in_memory(node, &id) {
         return json(StatusCode::OK, &told(&id, last.into()));
     }
@@ -381,7 +381,7 @@
         awaits: awaits.to_vec(),
     };
     let bytes = serde_json::to_vec(&blocked).map_or(usize::MAX, |text| text.len());
-    bytes + MORE_BYTES <= node.settings.value_bytes()
+    bytes + MORE_BYTES <= node.settings.max_value_bytes()
 }
 
 /// What comes to a job's record later: who places it, when it was released, that it was cancelled.
@@ -398,7 +398,7 @@
 }
 
 pub fn check_acceptance(node: &Node, spec: &JobSpec, awaits: &[String]) -> Verdict {
-    let _charge = node.processor_time.charge(Duty::Users);
+    let _charge = node.processor_time.charge(CpuAccount::UserRequests);
     if awaits.contains(&spec.id) {
         return Verdict::Never("`awaits` names the job itself");
     }
--- a/src/cells/mod.rs
+++ b/src/cells/mod.rs
@@ -37,7 +37,7 @@
 /// What the cells' file is checked against.
 pub fn worker_times(settings: &crate::settings::Settings) -> WorkerTimes {
     WorkerTimes {
-        lease: settings.lease(),
+        lease: settings.worker_lease(),
         disconnected_lease_limit: settings.disconnected_lease_limit(),
         state: settings.endpoints.state,
     }
--- a/src/cells/protection.rs
+++ b/src/cells/protection.rs
@@ -1,17 +1,17 @@
 //! Protected room: where a job of another cell would only fit machines that the operators protect, it is
 //! declined, with the reason and the time, before it is taken.
 
-use crate::cloud::Kind;
+use crate::cloud::MachineType;
 use crate::jobs::JobSpec;
 use crate::node::{Core, Node};
 use crate::placement::Sort;
 use crate::placement::views::kinds_for;
-use crate::policy::SortFacts;
+use crate::policy::MachinePoolFacts;
 use std::collections::BTreeSet;
 
-fn facts<'a>(kind: &'a Kind, zone: &'a str, spot: bool) -> SortFacts<'a> {
-    SortFacts {
-        kind: &kind.name,
+fn facts<'a>(kind: &'a MachineType, zone: &'a str, spot: bool) -> MachinePoolFacts<'a> {
+    MachinePoolFacts {
+        machine_type: &kind.name,
         cpus: kind.cpus,
         gpus: kind.gpus,
         price: kind.price,
@@ -23,7 +23,7 @@
 /// The sorts of machine that are protected now, as the mapping numbers them.
 pub fn protected_sorts(node: &Node, core: &mut Core, now_ms: u64) -> BTreeSet<Sort> {
     let mut protected = BTreeSet::new();
-    if !node.policy.protects() {
+    if !node.policy.has_protection() {
         return protected;
     }
     let names = &mut core.views.names;
@@ -48,7 +48,7 @@
 
 /// Whether all machines that a job may use are protected.
 pub fn barred(node: &Node, core: &Core, spec: &JobSpec, now_ms: u64) -> Option<Barred> {
-    if !node.policy.protects() {
+    if !node.policy.has_protection() {
         return None;
     }
     let kinds = kinds_for(core, spec);
@@ -62,7 +62,7 @@
                 if !node.policy.is_protected(&sort, now_ms) {
                     return None;
                 }
-                let ends = node.policy.protected_until(&sort, now_ms);
+                let ends = node.policy.protection_end_ms(&sort, now_ms);
                 until_ms = [until_ms, ends].into_iter().flatten().min();
             }
         }
@@ -71,6 +71,6 @@
 }
 
 /// Whether a machine is protected: it is not drained by choice.
-pub fn is_protected(node: &Node, kind: &Kind, zone: &str, spot: bool, now_ms: u64) -> bool {
+pub fn is_protected(node: &Node, kind: &MachineType, zone: &str, spot: bool, now_ms: u64) -> bool {
     node.policy.is_protected(&facts(kind, zone, spot), now_ms)
 }
--- a/src/client/limits.rs
+++ b/src/client/limits.rs
@@ -57,7 +57,7 @@
     async fn records(&self) -> Result<Core, ClientError> {
         let listing = self.state.list_all(LIVE).await;
         let (pairs, revision) = listing.map_err(|_| ClientError::NoState)?;
-        let mut core = Core::new(self.settings.layout(), Instant::now());
+        let mut core = Core::new(self.settings.page_layout(), Instant::now());
         core.replica.reset(pairs, revision);
         if core.replica.assignment.is_none() {
             return Err(ClientError::NoAssignment);
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Kind {
+pub struct MachineType {
     #[serde(rename = "sku")]
     pub name: String,
     pub cpus: f64,
@@ -32,15 +32,15 @@
 
 #[derive(Deserialize)]
 struct Catalog {
-    stones: Vec<Kind>,
+    stones: Vec<MachineType>,
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Listed {
+pub struct ListedMachine {
     #[serde(rename = "nameId")]
     pub name: String,
     #[serde(rename = "stone")]
-    pub kind: String,
+    pub machine_type: String,
     #[serde(rename = "yard")]
     pub zone: String,
     #[serde(rename = "borrowed", default)]
@@ -51,18 +51,18 @@
 }
 
 #[derive(Deserialize)]
-struct Page {
-    millstones: Vec<Listed>,
+struct MachinePage {
+    millstones: Vec<ListedMachine>,
     #[serde(default)]
     more: bool,
 }
 
 #[derive(Debug, Clone, Serialize)]
-pub struct Rental<'a> {
+pub struct RentalRequest<'a> {
     #[serde(rename = "hire")]
     pub name: &'a str,
     #[serde(rename = "stone")]
-    pub kind: &'a str,
+    pub machine_type: &'a str,
     #[serde(rename = "yard")]
     pub zone: &'a str,
     #[serde(rename = "borrowed")]
@@ -72,7 +72,7 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct Names {
+struct MachineNames {
     millstones: Vec<String>,
 }
 
@@ -100,8 +100,8 @@
     }
 }
 
-const CALL_LIMIT: Duration = Duration::from_secs(3);
-pub const MOST_RELEASED: usize = 100;
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+pub const MAX_RELEASE_BATCH: usize = 100;
 
 pub struct CloudClient {
     http: Client,
@@ -120,10 +120,10 @@
         path: &str,
         body: Bytes,
     ) -> Result<(StatusCode, Bytes), CloudError> {
-        Ok(self.http.call(method, path, body, CALL_LIMIT).await?)
+        Ok(self.http.call(method, path, body, CALL_TIMEOUT).await?)
     }
 
-    pub async fn catalog(&self) -> Result<Vec<Kind>, CloudError> {
+    pub async fn catalog(&self) -> Result<Vec<MachineType>, CloudError> {
         match self.call(Method::GET, "/catalog", Bytes::new()).await? {
             (StatusCode::OK, body) => serde_json::from_slice::<Catalog>(&body)
                 .map(|c| c.stones)
@@ -132,10 +132,10 @@
         }
     }
 
-    pub async fn rent(&self, rental: &Rental<'_>) -> Result<Vec<String>, CloudError> {
+    pub async fn rent(&self, rental: &RentalRequest<'_>) -> Result<Vec<String>, CloudError> {
         let body = serde_json::to_vec(rental).expect("plain data");
         match self.call(Method::POST, "/rentals", body.into()).await? {
-            (StatusCode::OK, body) => serde_json::from_slice::<Names>(&body)
+            (StatusCode::OK, body) => serde_json::from_slice::<MachineNames>(&body)
                 .map(|n| n.millstones)
                 .map_err(|_| CloudError::Unknown),
             (StatusCode::SERVICE_UNAVAILABLE, body)
@@ -150,7 +150,7 @@
 
     /// By the time this returns `Ok`, the machines and all on them are gone.
     pub async fn release(&self, names: Vec<String>) -> Result<(), CloudError> {
-        let body = serde_json::to_vec(&Names { millstones: names }).expect("plain data");
+        let body = serde_json::to_vec(&MachineNames { millstones: names }).expect("plain data");
         match self
             .call(Method::POST, "/rentals/release", body.into())
             .await?
@@ -160,8 +160,8 @@
         }
     }
 
-    pub async fn list(&self) -> Result<Vec<Listed>, CloudError> {
-        let mut all: Vec<Listed> = Vec::new();
+    pub async fn list(&self) -> Result<Vec<ListedMachine>, CloudError> {
+        let mut all: Vec<ListedMachine> = Vec::new();
         loop {
             let from = all
                 .last()
@@ -170,7 +170,7 @@
             let path = format!("/rentals?{from}limit=500");
             match self.call(Method::GET, &path, Bytes::new()).await? {
                 (StatusCode::OK, body) => {
-                    let page: Page =
+                    let page: MachinePage =
                         serde_json::from_slice(&body).map_err(|_| CloudError::Malformed)?;
                     let ended = !page.more || page.millstones.is_empty();
                     all.extend(page.millstones);
--- a/src/jobs/ends.rs
+++ b/src/jobs/ends.rs
@@ -1,7 +1,7 @@
 //! The ends of jobs: moved to their final keys with their pages, or given up to another cell.
 
 use super::{Entry, Final, GivenUp, PageId, Stored};
-use crate::metrics::Duty;
+use crate::metrics::CpuAccount;
 use crate::node::{Core, Node};
 use crate::state::replica::Job;
 use crate::state::{Guard, Op, Replica, final_key, given_up_key, job_key, page_key};
@@ -30,12 +30,12 @@
 /// Moves jobs that are over to their final key, with their pages; as many in a transaction as
 /// fit.
 pub async fn end_jobs(node: &Arc<Node>) -> bool {
-    let most = node.settings.txn_ops();
+    let most = node.settings.max_transaction_operations();
     // Moving a job to its final key takes a change for each of its keys. Where these are short, its
     // end alone is recorded, and the moving waits for a quieter time.
     let short = is_short(node) && node.core().replica.has_begun();
     let mut over: Vec<Ended> = {
-        let _charge = node.processor_time.charge(Duty::Records);
+        let _charge = node.processor_time.charge(CpuAccount::RecordWrites);
         let core = node.core();
         let jobs = core.replica.jobs.iter();
         jobs.filter_map(|(id, job)| {
@@ -61,7 +61,7 @@
             return false;
         };
         let mut core = node.core();
-        core.metrics.ended += batch.len() as u64;
+        core.metrics.ended_jobs += batch.len() as u64;
         core.apply(ops, ledger);
         for ended in batch {
             if let Last::Final(last) = ended.last {
@@ -153,7 +153,8 @@
 /// Moves jobs that ended to their final keys and drops the pages that they left, when there are
 /// changes to spare.
 pub async fn tidy(node: &Arc<Node>) {
-    let spare = (node.state.writes_left(Need::Own) / 2).min(node.settings.txn_ops());
+    let spare =
+        (node.state.writes_left(Need::Own) / 2).min(node.settings.max_transaction_operations());
     let (guards, ops) = {
         let core = node.core();
         let replica = &core.replica;
--- a/src/jobs/writer.rs
+++ b/src/jobs/writer.rs
@@ -10,7 +10,7 @@
 use crate::fleet::Use;
 use crate::limits::{self, Charge};
 use crate::membership::assignment::Member;
-use crate::metrics::Duty;
+use crate::metrics::CpuAccount;
 use crate::node::{Core, Node};
 use crate::pipelines;
 use crate::state::replica::Job;
@@ -77,10 +77,10 @@
 }
 
 pub async fn write(node: &Arc<Node>, leads: bool) {
-    let ended = node.core().metrics.ended;
+    let ended = node.core().metrics.ended_jobs;
     let fine = end_jobs(node).await
         && {
-            let ended_here = node.core().metrics.ended != ended;
+            let ended_here = node.core().metrics.ended_jobs != ended;
             pipelines::service::turn(node, ended_here).await
         }
         && write_pages(node).await;
@@ -95,7 +95,7 @@
 }
 
 async fn write_pages(node: &Arc<Node>) -> bool {
-    let ops = node.settings.txn_ops();
+    let ops = node.settings.max_transaction_operations();
     let mut dirty = dirty_pages(&mut node.core(), node, Instant::now());
     let mut singly = false;
     let mut fine = true;
@@ -103,7 +103,7 @@
         let room = node.state.writes_left(Need::Own).min(ops);
         if room == 0 {
             let mut core = node.core();
-            core.metrics.unwritten += dirty.len() as u64;
+            core.metrics.deferred_pages += dirty.len() as u64;
             core.plans.note_unwritten(dirty.len());
             return fine;
         }
@@ -140,7 +140,7 @@
             Ok(ledger) => {
                 for d in batch {
                     let others = !core.owns_job(&node.me, &d.job);
-                    core.metrics.others_pages += u64::from(others);
+                    core.metrics.foreign_pages += u64::from(others);
                     match d.starts {
                         true => core.metrics.start_pages += 1,
                         false => core.metrics.exit_pages += 1,
@@ -156,7 +156,7 @@
                 }
             }
             Err(TxnError::Conflict(failed)) => {
-                core.metrics.lost_races += 1;
+                core.metrics.write_conflicts += 1;
                 tracing::debug!(?failed, "a record lost a race");
                 withdraw(&mut core, &batch, Some(&failed));
                 fine = false;
@@ -190,14 +190,14 @@
 }
 
 fn dirty_pages(core: &mut Core, node: &Node, now: Instant) -> Vec<Dirty> {
-    let _charge = node.processor_time.charge(Duty::Records);
+    let _charge = node.processor_time.charge(CpuAccount::RecordWrites);
     // The log may have told of new owners since the turn began: what was seen under an ownership
     // that is over must be forgotten before it is written under the next one's mark.
     core.note_ownership(&node.me, now);
     withdraw_unstartable(core, &node.me);
     limits::withdraw_uncovered(core);
     withdraw_broken_gangs(core);
-    let most_guards = node.settings.txn_ops() * 4;
+    let most_guards = node.settings.max_transaction_operations() * 4;
     let at_ease = node.state.writes_at_ease() >= 0.98;
     make_up(core, &node.me, most_guards, at_ease, now)
 }
--- a/src/limits/service.rs
+++ b/src/limits/service.rs
@@ -24,7 +24,7 @@
     if is_behind && !node.sync().await {
         return;
     }
-    let most = node.settings.txn_ops();
+    let most = node.settings.max_transaction_operations();
     let (guards, ops) = {
         let mut core = node.core();
         refresh(&mut core);
@@ -165,8 +165,8 @@
     match outcome {
         Ok(ledger) => {
             let transfer = change.kind == ChangeKind::Transfer;
-            core.metrics.transfers += u64::from(transfer);
-            core.metrics.fences += u64::from(!transfer);
+            core.metrics.quota_transfers += u64::from(transfer);
+            core.metrics.fence_writes += u64::from(!transfer);
             tracing::debug!(team, kind = ?change.kind, record = ?change.record, "changed allotments");
             core.apply(vec![put], ledger);
         }
--- a/src/membership/schema_versions.rs
+++ b/src/membership/schema_versions.rs
@@ -64,8 +64,8 @@
     }
     let (forms, guards) = {
         let core = node.core();
-        let members = node.settings.members();
-        let Some(forms) = wanted(&members, &node.settings.layout(), &core.replica) else {
+        let members = node.settings.member_names();
+        let Some(forms) = wanted(&members, &node.settings.page_layout(), &core.replica) else {
             return;
         };
         // Under the presences that it follows from: one may be back with the version before.
@@ -77,7 +77,7 @@
                 mark: presence(name),
             })
             .collect();
-        guards.truncate(node.settings.txn_ops() * 4 - 1);
+        guards.truncate(node.settings.max_transaction_operations() * 4 - 1);
         let mark = core.replica.forms.as_ref().map_or(0, |f| f.mark);
         guards.push(Guard {
             k: FORMS_KEY.into(),
--- a/src/membership/sharing.rs
+++ b/src/membership/sharing.rs
@@ -6,7 +6,7 @@
 use super::schema_versions::CAN_DIVIDE_LIMITS;
 use crate::fleet::{Rental, in_parts};
 use crate::jobs::JobRecord;
-use crate::metrics::Duty;
+use crate::metrics::CpuAccount;
 use crate::node::{Core, Node, age_s, wall_ms};
 use crate::placement::views::{due_after, kinds_for, room_of, urgency_of};
 use crate::placement::{By, Need};
@@ -221,7 +221,7 @@
 /// sends fails on its guards, and the worker drops the old owner's answers.
 pub async fn assign_work(node: &Arc<Node>, mark: u64) {
     let change = {
-        let _charge = node.processor_time.charge(Duty::Renting);
+        let _charge = node.processor_time.charge(CpuAccount::Scaling);
         let mut core = node.core();
         let present = core.replica.present();
         let fleet = &core.replica.fleet.machines;
@@ -258,7 +258,7 @@
         });
         ops.push(Op::set(ASSIGNMENT_KEY.into(), shares));
     }
-    let most = node.settings.txn_ops() - 1;
+    let most = node.settings.max_transaction_operations() - 1;
     let owners: BTreeMap<&str, &Member> = change
         .machines
         .iter()
@@ -285,7 +285,7 @@
         let mut bytes = 0;
         let before = ops.len();
         for (name, kept) in changed {
-            let parts = in_parts(&name, kept, node.settings.value_bytes());
+            let parts = in_parts(&name, kept, node.settings.max_value_bytes());
             let set = |(name, kept): &(String, Versioned<Rental>)| {
                 Op::set(rental_key(name), &kept.record)
             };
--- a/src/membership/sharing/tests.rs
+++ b/src/membership/sharing/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::cloud::Kind;
+use crate::cloud::MachineType;
 use crate::membership::schema_versions;
 use crate::policy::Policy;
 use crate::settings::Settings;
@@ -22,7 +22,7 @@
     let node = Node::new(schema_versions::CAN, settings, Policy::default());
     let mut core = node.core();
     let kind = json!({"sku":"m","cpus":4.0,"memGb":16.0,"hourly":1.0,"yards":["a"]});
-    core.kinds = vec![serde_json::from_value::<Kind>(kind).unwrap()];
+    core.kinds = vec![serde_json::from_value::<MachineType>(kind).unwrap()];
     let members = json!([{"name":"n-0","incarnation":1},{"name":"n-1","incarnation":1}]);
     let shares = json!({"members":members,"teams":{},"gangs":[0],"had_gangs":false,"slots":[0]});
     core.replica.put("r/shares", &shares.to_string(), 5);
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -1,4 +1,5 @@
-//! Counters of what a period cost this controller, logged at the end of each period.
+//! Counters of what this controller did in a period, logged at the end of each period. They change no
+//! decision.
 
 pub mod memory;
 pub mod processor_time;
@@ -6,77 +7,89 @@
 use crate::jobs::Entry;
 use crate::limits;
 use crate::node::{Core, Node};
-pub use processor_time::{Duty, ProcessorTime};
+pub use processor_time::{CpuAccount, ProcessorTime};
 use rowanmill_state::Used;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
+/// What this controller did since the last log of its counters.
 #[derive(Debug)]
 pub struct Metrics {
-    since: Instant,
-    pub reports: u64,
-    pub polls: u64,
-    pub submitted: u64,
-    pub ticks: u64,
-    pub starts: u64,
-    /// Pages recorded for starts and for exits alone, and jobs moved to their end.
+    period_start: Instant,
+    /// Totals that only ever grow, as they were when the period began.
+    at_period_start: Totals,
+    /// Heartbeats of workers.
+    pub heartbeats: u64,
+    /// Requests of users for a job's status.
+    pub status_polls: u64,
+    /// Jobs that users submitted, whatever became of them.
+    pub submissions: u64,
+    /// Scheduling cycles.
+    pub scheduling_cycles: u64,
+    /// Tasks that were placed.
+    pub task_starts: u64,
+    /// Progress pages that were written for starts.
     pub start_pages: u64,
+    /// Progress pages that were written for exits alone.
     pub exit_pages: u64,
-    /// Of these, pages of jobs that another controller places.
-    pub others_pages: u64,
-    pub ended: u64,
-    /// Pages that a turn left for the next because no more could be written.
-    pub unwritten: u64,
-    /// Pages' transactions whose guards did not hold: their changes count against the limit, too.
-    pub lost_races: u64,
-    /// Allotments given to others, and records put again for starts without an answer.
-    pub transfers: u64,
-    pub fences: u64,
-    /// Machines looked at by the mapping, and views made anew because something changed.
-    pub steps: u64,
-    pub views: u64,
-    /// Time spent placing, of which the longest turn.
-    pub placing: Duration,
-    pub longest: Duration,
-    /// Totals of the state client and of processor time when the period began.
-    before: Totals,
+    /// Of both, pages of jobs that another controller places.
+    pub foreign_pages: u64,
+    /// Jobs whose records were moved to their end.
+    pub ended_jobs: u64,
+    /// Pages that a cycle left to the next because no more could be written.
+    pub deferred_pages: u64,
+    /// Transactions of pages that failed by a precondition; their changes count against the limit, too.
+    pub write_conflicts: u64,
+    /// Quota allocations handed to other controllers.
+    pub quota_transfers: u64,
+    /// Quota records that were written again because of starts without an answer.
+    pub fence_writes: u64,
+    /// Machines that the forecast and the placement examined.
+    pub machines_examined: u64,
+    /// Snapshots of jobs and machines that were rebuilt because something changed.
+    pub rebuilt_snapshots: u64,
+    /// Time spent in scheduling cycles.
+    pub scheduling_time: Duration,
+    /// The longest scheduling cycle.
+    pub longest_cycle: Duration,
 }
 
 impl Metrics {
+    /// Counters of a period that begins `now`, all zero.
     pub fn new(now: Instant) -> Self {
         Self {
-            since: now,
-            reports: 0,
-            polls: 0,
-            submitted: 0,
-            ticks: 0,
-            starts: 0,
+            period_start: now,
+            at_period_start: Totals::default(),
+            heartbeats: 0,
+            status_polls: 0,
+            submissions: 0,
+            scheduling_cycles: 0,
+            task_starts: 0,
             start_pages: 0,
             exit_pages: 0,
-            others_pages: 0,
-            ended: 0,
-            unwritten: 0,
-            lost_races: 0,
-            transfers: 0,
-            fences: 0,
-            steps: 0,
-            views: 0,
-            placing: Duration::ZERO,
-            longest: Duration::ZERO,
-            before: Totals::default(),
+            foreign_pages: 0,
+            ended_jobs: 0,
+            deferred_pages: 0,
+            write_conflicts: 0,
+            quota_transfers: 0,
+            fence_writes: 0,
+            machines_examined: 0,
+            rebuilt_snapshots: 0,
+            scheduling_time: Duration::ZERO,
+            longest_cycle: Duration::ZERO,
         }
     }
 }
 
-/// Counters that only ever grow; a period's part is the difference.
+/// Counters that only ever grow; the part of a period is the difference of two readings.
 #[derive(Debug, Clone, Copy, Default)]
 struct Totals {
     requests: u64,
     puts: u64,
     guards: u64,
     refused: u64,
-    followed_bytes: u64,
-    duties: [Duration; Duty::ALL.len()],
+    watched_bytes: u64,
+    by_account: [Duration; CpuAccount::ALL.len()],
     process: Duration,
 }
 
@@ -89,53 +102,57 @@
             puts: load(&used.puts),
             guards: load(&used.guards),
             refused: load(&used.refused),
-            followed_bytes: load(&used.followed_bytes),
-            duties: node.processor_time.spent(),
+            watched_bytes: load(&used.followed_bytes),
+            by_account: node.processor_time.totals(),
             process: processor_time::process_time(),
         }
     }
 }
 
-/// Logs what the period that ends now took, and begins the next.
+/// Logs the counters of the period that ends `now`, and begins the next one.
 pub fn log_period(node: &Node, now: Instant) {
     let totals = Totals::read(node);
     let mut core = node.core();
     log_counters(&core, &totals, now);
-    log_processor_time(&core.metrics.before, &totals);
-    log_oldest(node, &core);
+    log_processor_time(&core.metrics.at_period_start, &totals);
+    log_oldest_jobs(node, &core);
     limits::service::log_teams(&core);
     core.metrics = Metrics {
-        before: totals,
+        at_period_start: totals,
         ..Metrics::new(now)
     };
 }
 
+/// Logs what was counted. The names of the fields are what operators' tools read: they stay.
 fn log_counters(core: &Core, totals: &Totals, now: Instant) {
-    let c = &core.metrics;
+    let period = &core.metrics;
+    let before = &period.at_period_start;
     tracing::info!(
-        seconds = now.saturating_duration_since(c.since).as_secs_f64(),
-        c.reports,
-        c.polls,
-        c.submitted,
-        c.ticks,
-        c.starts,
-        c.start_pages,
-        c.exit_pages,
-        c.others_pages,
-        c.ended,
-        c.unwritten,
-        c.lost_races,
-        c.transfers,
-        c.fences,
-        c.steps,
-        c.views,
-        placing_ms = c.placing.as_millis() as u64,
-        longest_ms = c.longest.as_millis() as u64,
-        requests = totals.requests - c.before.requests,
-        puts = totals.puts - c.before.puts,
-        guards = totals.guards - c.before.guards,
-        refused = totals.refused - c.before.refused,
-        bytes = totals.followed_bytes - c.before.followed_bytes,
+        seconds = now
+            .saturating_duration_since(period.period_start)
+            .as_secs_f64(),
+        c.reports = period.heartbeats,
+        c.polls = period.status_polls,
+        c.submitted = period.submissions,
+        c.ticks = period.scheduling_cycles,
+        c.starts = period.task_starts,
+        c.start_pages = period.start_pages,
+        c.exit_pages = period.exit_pages,
+        c.others_pages = period.foreign_pages,
+        c.ended = period.ended_jobs,
+        c.unwritten = period.deferred_pages,
+        c.lost_races = period.write_conflicts,
+        c.transfers = period.quota_transfers,
+        c.fences = period.fence_writes,
+        c.steps = period.machines_examined,
+        c.views = period.rebuilt_snapshots,
+        placing_ms = period.scheduling_time.as_millis() as u64,
+        longest_ms = period.longest_cycle.as_millis() as u64,
+        requests = totals.requests - before.requests,
+        puts = totals.puts - before.puts,
+        guards = totals.guards - before.guards,
+        refused = totals.refused - before.refused,
+        bytes = totals.watched_bytes - before.watched_bytes,
         owned = core.workers.owned.len(),
         machines = core.replica.fleet.machines.len(),
         jobs = core.replica.jobs.len(),
@@ -144,39 +161,43 @@
     );
 }
 
-/// Microseconds of processor time by duty. What the process spent beyond these is the HTTP server and
-/// client, the runtime and the kernel's part of them.
+/// Logs the microseconds of processor time by account, under names that stay. What the process spent
+/// beyond these is the HTTP server and client, the runtime and the kernel's part of them.
 fn log_processor_time(before: &Totals, totals: &Totals) {
-    let spent = |duty: Duty| {
-        let (now, then) = (totals.duties[duty as usize], before.duties[duty as usize]);
-        now.saturating_sub(then).as_micros() as u64
+    let spent_us = |account: CpuAccount| {
+        let account = account as usize;
+        let spent = totals.by_account[account].saturating_sub(before.by_account[account]);
+        spent.as_micros() as u64
     };
     tracing::info!(
-        reports = spent(Duty::Reports),
-        users = spent(Duty::Users),
-        decode = spent(Duty::Decode),
-        replicate = spent(Duty::Replicate),
-        views = spent(Duty::Views),
-        forecast = spent(Duty::Forecast),
-        placement = spent(Duty::Placement),
-        planning = spent(Duty::Planning),
-        records = spent(Duty::Records),
-        renting = spent(Duty::Renting),
+        reports = spent_us(CpuAccount::Heartbeats),
+        users = spent_us(CpuAccount::UserRequests),
+        decode = spent_us(CpuAccount::WatchDecoding),
+        replicate = spent_us(CpuAccount::Replication),
+        views = spent_us(CpuAccount::Snapshots),
+        forecast = spent_us(CpuAccount::Forecast),
+        placement = spent_us(CpuAccount::Placement),
+        planning = spent_us(CpuAccount::Planning),
+        records = spent_us(CpuAccount::RecordWrites),
+        renting = spent_us(CpuAccount::Scaling),
         process = totals.process.saturating_sub(before.process).as_micros() as u64,
         "processor time, us"
     );
 }
 
-/// The jobs that have been unfinished for longest, as far as this node places them: what holds them up
-/// shows in what is recorded, planned and left.
-fn log_oldest(node: &Node, core: &Core) {
+/// How many of the oldest unfinished jobs are logged.
+const OLDEST_JOBS_LOGGED: usize = 3;
+
+/// Logs, at level debug, the unfinished jobs of this controller that were released first: what holds them
+/// up shows in what is recorded, planned and left.
+fn log_oldest_jobs(node: &Node, core: &Core) {
     if !tracing::enabled!(tracing::Level::DEBUG) {
         return;
     }
     let jobs = core.replica.jobs.iter();
-    let mut ours: Vec<_> = jobs.filter(|(id, _)| core.owns_job(&node.me, id)).collect();
-    ours.sort_by_key(|(_, job)| job.record.since_ms());
-    for (id, job) in ours.into_iter().take(3) {
+    let mut own_jobs: Vec<_> = jobs.filter(|(id, _)| core.owns_job(&node.me, id)).collect();
+    own_jobs.sort_by_key(|(_, job)| job.record.since_ms());
+    for (id, job) in own_jobs.into_iter().take(OLDEST_JOBS_LOGGED) {
         let planned = core.plans.of(id);
         let first = planned.and_then(|p| p.iter().next());
         let placed = (0..job.record.spec.tasks).find_map(|task| match core.entry(id, task) {
--- a/src/metrics/processor_time.rs
+++ b/src/metrics/processor_time.rs
@@ -1,92 +1,96 @@
-//! Processor time of this process, divided among the duties that spend it.
+//! Processor time of this process, charged to the kinds of work that spend it. Elapsed time is no concern of
+//! this module.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Work that a controller does between two points where it waits.
+/// Work of one kind that a controller does without waiting, and whose processor time is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Duty {
-    /// Workers' reports: decoding, reading, and the orders they get.
-    Reports,
-    /// Submissions, polls and cancellations.
-    Users,
-    /// Decoding what the state service's log tells.
-    Decode,
-    /// Taking decoded changes into the replica.
-    Replicate,
-    /// Bringing cached views of machines and jobs up to date.
-    Views,
-    /// Mapping all waiting tasks to predict misses.
+pub enum CpuAccount {
+    /// Workers' heartbeats: decoding them, reconciling them with the records, and the commands sent back.
+    Heartbeats,
+    /// Users' submissions, status polls and cancellations.
+    UserRequests,
+    /// Decoding the responses of the watch on the state service.
+    WatchDecoding,
+    /// Applying decoded changes to the replica.
+    Replication,
+    /// Bringing cached snapshots of machines and jobs up to date.
+    Snapshots,
+    /// Mapping all waiting tasks to predict deadline misses.
     Forecast,
-    /// Placing what can start now.
+    /// Placing the tasks that can start now.
     Placement,
-    /// Turning placements and preemption into planned changes.
+    /// Turning placements and preemptions into pending changes.
     Planning,
-    /// Making up the records that are to be written.
-    Records,
-    /// Renting, releasing and distributing machines.
-    Renting,
+    /// Encoding the records that are to be written.
+    RecordWrites,
+    /// Renting, releasing and assigning machines.
+    Scaling,
 }
 
-impl Duty {
-    pub const ALL: [Duty; 10] = [
-        Duty::Reports,
-        Duty::Users,
-        Duty::Decode,
-        Duty::Replicate,
-        Duty::Views,
-        Duty::Forecast,
-        Duty::Placement,
-        Duty::Planning,
-        Duty::Records,
-        Duty::Renting,
+impl CpuAccount {
+    /// All accounts, each at the index that is its discriminant.
+    pub const ALL: [CpuAccount; 10] = [
+        CpuAccount::Heartbeats,
+        CpuAccount::UserRequests,
+        CpuAccount::WatchDecoding,
+        CpuAccount::Replication,
+        CpuAccount::Snapshots,
+        CpuAccount::Forecast,
+        CpuAccount::Placement,
+        CpuAccount::Planning,
+        CpuAccount::RecordWrites,
+        CpuAccount::Scaling,
     ];
 }
 
-/// Nanoseconds of processor time spent on each duty since the process began.
+/// Nanoseconds of processor time charged to each account since the process began.
 #[derive(Debug, Default)]
 pub struct ProcessorTime {
-    spent: [AtomicU64; Duty::ALL.len()],
+    charged_ns: [AtomicU64; CpuAccount::ALL.len()],
 }
 
-/// Charges its lifetime to a duty. It must not be held across an await: what other tasks of the
-/// thread do meanwhile would be charged to it.
+/// Charges the time until it is dropped to an account. It must not be held across an await: what other
+/// tasks of the thread do meanwhile would be charged to it.
 #[must_use]
 pub struct Charge<'a> {
-    account: &'a AtomicU64,
-    began: Duration,
+    account_ns: &'a AtomicU64,
+    started: Duration,
 }
 
 impl ProcessorTime {
-    /// Begins charging a duty; the charge ends when the returned value is dropped.
-    pub fn charge(&self, duty: Duty) -> Charge<'_> {
+    /// Starts charging an account; the charge ends when the returned value is dropped.
+    pub fn charge(&self, account: CpuAccount) -> Charge<'_> {
         Charge {
-            account: &self.spent[duty as usize],
-            began: thread_time(),
+            account_ns: &self.charged_ns[account as usize],
+            started: thread_time(),
         }
     }
 
-    /// What each duty has been charged so far, in the order of `Duty::ALL`.
-    pub fn spent(&self) -> [Duration; Duty::ALL.len()] {
-        std::array::from_fn(|duty| Duration::from_nanos(self.spent[duty].load(Ordering::Relaxed)))
+    /// What each account has been charged so far, in the order of [`CpuAccount::ALL`].
+    pub fn totals(&self) -> [Duration; CpuAccount::ALL.len()] {
+        std::array::from_fn(|account| {
+            Duration::from_nanos(self.charged_ns[account].load(Ordering::Relaxed))
+        })
     }
 }
 
 impl Drop for Charge<'_> {
     fn drop(&mut self) {
-        let spent = thread_time().saturating_sub(self.began);
-        self.account
+        let spent = thread_time().saturating_sub(self.started);
+        self.account_ns
             .fetch_add(spent.as_nanos() as u64, Ordering::Relaxed);
     }
 }
 
-/// Processor time of the calling thread: waiting and other processes do not count.
+/// Processor time of the calling thread: neither waiting nor other processes count.
 fn thread_time() -> Duration {
     read_clock(ClockId::ThreadCPUTime)
 }
 
-/// Processor time of the whole process, with what no duty is charged for.
+/// Processor time of the whole process, including what is charged to no account.
 pub fn process_time() -> Duration {
     read_clock(ClockId::ProcessCPUTime)
 }
--- a/src/metrics/processor_time/tests.rs
+++ b/src/metrics/processor_time/tests.rs
@@ -1,31 +1,31 @@
 use super::*;
 use std::hint::black_box;
 
-/// Elapsed time would charge a duty for what other processes of the machine did meanwhile.
+/// Elapsed time would charge an account for what other processes of the machine did meanwhile.
 #[test]
-fn a_charge_counts_work_of_the_thread_and_no_waiting() {
+fn a_charge_counts_the_threads_processor_time_and_no_waiting() {
     let time = ProcessorTime::default();
     {
-        let _charge = time.charge(Duty::Placement);
+        let _charge = time.charge(CpuAccount::Placement);
         std::thread::sleep(Duration::from_millis(200));
     }
-    let waited = time.spent()[Duty::Placement as usize];
+    let waited = time.totals()[CpuAccount::Placement as usize];
     assert!(waited < Duration::from_millis(100), "{waited:?}");
     {
-        let _charge = time.charge(Duty::Records);
+        let _charge = time.charge(CpuAccount::RecordWrites);
         let began = thread_time();
         let mut sum = 0_u64;
         while thread_time() - began < Duration::from_millis(20) {
             sum = black_box(sum.wrapping_add(1));
         }
     }
-    let worked = time.spent()[Duty::Records as usize];
+    let worked = time.totals()[CpuAccount::RecordWrites as usize];
     assert!(worked >= Duration::from_millis(20), "{worked:?}");
 }
 
 #[test]
-fn each_duty_has_an_account_of_its_own() {
-    for (place, duty) in Duty::ALL.into_iter().enumerate() {
-        assert_eq!(duty as usize, place);
+fn each_account_has_its_discriminant_as_index() {
+    for (index, account) in CpuAccount::ALL.into_iter().enumerate() {
+        assert_eq!(account as usize, index);
     }
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,6 +1,6 @@
 //! One controller node: what its slices share, behind one short lock, and how they are started.
 
-use crate::cloud::{CloudClient, Kind};
+use crate::cloud::{CloudClient, MachineType};
 use crate::jobs::plans::Plans;
 use crate::jobs::runtime_estimate::{Failures, RuntimeEstimate};
 use crate::jobs::{Entry, JobSpec, Layout};
@@ -39,7 +39,7 @@
     pub workers: Workers,
     pub runtime_estimates: HashMap<String, RuntimeEstimate>,
     pub failures: HashMap<String, Failures>,
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<MachineType>,
     pub rent: RentState,
     pub views: Cache,
     pub metrics: Metrics,
@@ -82,10 +82,10 @@
             state: StateClient::new(
                 settings.endpoints.state,
                 settings.state_share(),
-                settings.next_share(),
+                settings.announced_state_share(),
             ),
             cloud: CloudClient::new(settings.endpoints.cloud),
-            core: Mutex::new(Core::new(settings.layout(), now)),
+            core: Mutex::new(Core::new(settings.page_layout(), now)),
             sync_waiters: Mutex::default(),
             sync_wanted: Notify::new(),
             wake_up: Notify::new(),
@@ -250,7 +250,7 @@
         self.plans.remove(id, held);
     }
 
-    pub fn kind(&self, name: &str) -> Option<&Kind> {
+    pub fn kind(&self, name: &str) -> Option<&MachineType> {
         self.kinds.iter().find(|k| k.name == name)
     }
 
--- a/src/pipelines/service.rs
+++ b/src/pipelines/service.rs
@@ -64,7 +64,7 @@
 /// One turn, as part of recording. False if something failed or went unanswered: then what stands
 /// must be read.
 pub async fn turn(node: &Arc<Node>, ended_here: bool) -> bool {
-    let most = node.settings.txn_ops();
+    let most = node.settings.max_transaction_operations();
     loop {
         // Users wait for each stage.
         let room = node.state.writes_left(Need::User).min(most);
--- a/src/placement/cache.rs
+++ b/src/placement/cache.rs
@@ -3,7 +3,7 @@
 
 use super::views::{STOP_TAKES_S, kinds_for, room_of};
 use super::{Chunk, JobView, MachineView, Names, Need, Zones};
-use crate::cloud::Kind;
+use crate::cloud::MachineType;
 use crate::fleet::Use;
 use crate::jobs::{Entry, JobRecord, JobSpec, split_task};
 use crate::membership::assignment::Member;
@@ -104,7 +104,7 @@
     /// Opens the GPU machines that GPU work does not need to work without GPUs: they are paid for
     /// in any case until they go back, and where the other kinds are used up they were rented for
     /// it. Those that are open already come first, then spot machines.
-    fn open_spare(&mut self, kinds: &[Kind]) {
+    fn open_spare(&mut self, kinds: &[MachineType]) {
         let mut opened = HashSet::new();
         for kind in kinds.iter().filter(|k| k.gpus > 0.0) {
             let number = self.names.number(&kind.name);
@@ -404,7 +404,7 @@
     spec: &JobSpec,
     id: &TaskId,
     live: Option<&Live>,
-    kind: &Kind,
+    kind: &MachineType,
     now: Instant,
 ) -> f64 {
     if let Entry::Placed { attempt, .. } = core.entry(&id.0, id.1)
--- a/src/placement/service.rs
+++ b/src/placement/service.rs
@@ -4,7 +4,7 @@
 use crate::jobs::{Entry, JobSpec, Urgency, writer};
 use crate::limits;
 use crate::membership;
-use crate::metrics::{self, Duty, Metrics};
+use crate::metrics::{self, CpuAccount, Metrics};
 use crate::node::{Core, Node, wall_ms};
 use crate::renting;
 use std::collections::{HashMap, HashSet};
@@ -62,9 +62,9 @@
 }
 
 fn note_cycle(metrics: &mut Metrics, worked: Duration) {
-    metrics.ticks += 1;
-    metrics.placing += worked;
-    metrics.longest = metrics.longest.max(worked);
+    metrics.scheduling_cycles += 1;
+    metrics.scheduling_time += worked;
+    metrics.longest_cycle = metrics.longest_cycle.max(worked);
 }
 
 /// Plans what is to be recorded next: starts, stops, and what became of tasks on machines that are gone.
@@ -77,13 +77,13 @@
     };
     // The first event waits for the first job, and is then at once.
     if !core.replica.jobs.is_empty() || !core.replica.fleet.machines.is_empty() {
-        let _charge = node.processor_time.charge(Duty::Forecast);
+        let _charge = node.processor_time.charge(CpuAccount::Forecast);
         renting::decide::look_ahead(node, &mut core, &views, now, now_ms);
     }
     if !views.jobs.is_empty() {
         plan_starts(node, &mut core, &mut views, now);
     }
-    let _charge = node.processor_time.charge(Duty::Planning);
+    let _charge = node.processor_time.charge(CpuAccount::Planning);
     stop_broken_gangs(&mut core);
     save_from_notices(node, &mut core, now);
     true
@@ -91,14 +91,14 @@
 
 /// Brings the views of machines and jobs up to date.
 fn look_at_all(node: &Node, core: &mut Core, now: Instant, now_ms: u64) -> Option<views::Views> {
-    let _charge = node.processor_time.charge(Duty::Views);
+    let _charge = node.processor_time.charge(CpuAccount::Snapshots);
     core.note_ownership(&node.me, now);
     if core.kinds.is_empty() {
         return None;
     }
     clear_gone(node, core);
     cache::refresh_pulls(node, core, now);
-    core.metrics.views += cache::refresh(core, &node.me, now, now_ms);
+    core.metrics.rebuilt_snapshots += cache::refresh(core, &node.me, now, now_ms);
     limits::refresh(core);
     Some(views::build(node, core, now, now_ms))
 }
@@ -106,7 +106,7 @@
 /// Plans starts of what can start now, and makes room for what cannot.
 fn plan_starts(node: &Node, core: &mut Core, views: &mut views::Views, now: Instant) {
     let placing = {
-        let _charge = node.processor_time.charge(Duty::Placement);
+        let _charge = node.processor_time.charge(CpuAccount::Placement);
         let startup = node.policy.startup_count;
         let limits = now::Limits {
             rooms: &views.rooms,
@@ -120,9 +120,9 @@
             MOST_STARTS,
         )
     };
-    let _charge = node.processor_time.charge(Duty::Planning);
-    core.metrics.steps += placing.steps;
-    core.metrics.starts += placing.starts.len() as u64;
+    let _charge = node.processor_time.charge(CpuAccount::Planning);
+    core.metrics.machines_examined += placing.steps;
+    core.metrics.task_starts += placing.starts.len() as u64;
     let blocked = placing.blocked.iter().map(|at| views.jobs[*at].id.clone());
     limits::note_blocked(core, blocked.collect());
     plan(core, views, &placing.starts);
@@ -193,7 +193,7 @@
 /// whatever the interval of reports, were too few at 4 s: the machines filled again just before the
 /// last of them was free, and were cleared anew, up to nine times for one gang.
 fn cleared_within(node: &Node) -> Duration {
-    node.settings.report_every() * 3 + Duration::from_secs(5)
+    node.settings.heartbeat_interval() * 3 + Duration::from_secs(5)
 }
 
 fn stop(core: &mut Core, id: crate::workers::TaskId, attempt: u64, grace: f64) {
--- a/src/placement/views.rs
+++ b/src/placement/views.rs
@@ -59,7 +59,7 @@
     }
 }
 
-pub fn room_of(kind: &crate::cloud::Kind) -> Need {
+pub fn room_of(kind: &crate::cloud::MachineType) -> Need {
     Need {
         cpus: kind.cpus,
         gpus: kind.gpus,
@@ -81,7 +81,7 @@
 }
 
 fn start_by(node: &Node, spec: &JobSpec) -> f64 {
-    node.policy.start_by(&JobFacts {
+    node.policy.start_within_factor(&JobFacts {
         class: &spec.class,
         urgency: spec.urgency.name(),
         tasks: f64::from(spec.tasks),
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -130,8 +130,8 @@
 
 /// What is known of a kind of machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct KindFacts<'a> {
-    pub kind: &'a str,
+pub struct MachineTypeFacts<'a> {
+    pub machine_type: &'a str,
     pub cpus: f64,
     pub gpus: f64,
     pub price: f64,
@@ -151,7 +151,7 @@
 
 /// The bands and factors for a kind of machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Bands {
+pub struct ScalingParameters {
     pub alpha: f64,
     pub beta: f64,
     pub theta: f64,
@@ -168,8 +168,8 @@
 
 /// What is known of machines of one sort.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct SortFacts<'a> {
-    pub kind: &'a str,
+pub struct MachinePoolFacts<'a> {
+    pub machine_type: &'a str,
     pub cpus: f64,
     pub gpus: f64,
     pub price: f64,
@@ -216,9 +216,9 @@
         }
     }
 
-    pub fn bands(&self, kind: &KindFacts<'_>) -> Bands {
+    pub fn scaling_parameters(&self, kind: &MachineTypeFacts<'_>) -> ScalingParameters {
         let facts = kind.values();
-        Bands {
+        ScalingParameters {
             alpha: self.number("alpha", &facts),
             beta: self.number("beta", &facts),
             theta: self.number("theta", &facts),
@@ -227,20 +227,20 @@
     }
 
     /// How many times its own price may be paid for another kind, when there is no more of it.
-    pub fn dearer(&self, kind: &KindFacts<'_>) -> f64 {
+    pub fn max_price_ratio(&self, kind: &MachineTypeFacts<'_>) -> f64 {
         self.number("dearer", &kind.values())
     }
 
-    pub fn hold_s(&self, kind: &KindFacts<'_>, zone: &str, spot: bool) -> f64 {
+    pub fn idle_hold_s(&self, kind: &MachineTypeFacts<'_>, zone: &str, spot: bool) -> f64 {
         self.number("hold", &kind.values_of_machine(zone, spot))
     }
 
     /// Whether a machine may be returned or drained by choice.
-    pub fn may_return(&self, kind: &KindFacts<'_>, zone: &str, spot: bool) -> bool {
+    pub fn allows_release(&self, kind: &MachineTypeFacts<'_>, zone: &str, spot: bool) -> bool {
         self.settings["may_return"].truth(&kind.values_of_machine(zone, spot))
     }
 
-    pub fn start_by(&self, job: &JobFacts<'_>) -> f64 {
+    pub fn start_within_factor(&self, job: &JobFacts<'_>) -> f64 {
         let facts = [
             Value::Text(job.class),
             Value::Text(job.urgency),
@@ -257,10 +257,10 @@
     }
 }
 
-impl<'a> KindFacts<'a> {
+impl<'a> MachineTypeFacts<'a> {
     fn values(&self) -> [Value<'a>; KIND_FACTS] {
         [
-            Value::Text(self.kind),
+            Value::Text(self.machine_type),
             Value::Number(self.cpus),
             Value::Number(self.gpus),
             Value::Number(self.price),
--- a/src/policy/protection.rs
+++ b/src/policy/protection.rs
@@ -2,7 +2,7 @@
 //! expression sees the hour and the weekday of the policy's time zone, daylight saving included.
 
 use super::check::Value;
-use super::{Policy, SortFacts};
+use super::{MachinePoolFacts, Policy};
 use jiff::Timestamp;
 use jiff::tz::TimeZone;
 use std::time::Duration;
@@ -36,18 +36,18 @@
 
 impl Policy {
     /// Whether anything may ever be protected: if not, the time is not asked for.
-    pub fn protects(&self) -> bool {
+    pub fn has_protection(&self) -> bool {
         self.settings["protected"] != super::Checked::Truth(false)
     }
 
     /// Whether a sort of machine is protected at that time.
-    pub fn is_protected(&self, sort: &SortFacts<'_>, at_ms: u64) -> bool {
-        self.protects() && self.is_protected_at(sort, local_time(&self.time_zone, at_ms))
+    pub fn is_protected(&self, sort: &MachinePoolFacts<'_>, at_ms: u64) -> bool {
+        self.has_protection() && self.is_protected_at(sort, local_time(&self.time_zone, at_ms))
     }
 
-    fn is_protected_at(&self, sort: &SortFacts<'_>, time: LocalTime) -> bool {
+    fn is_protected_at(&self, sort: &MachinePoolFacts<'_>, time: LocalTime) -> bool {
         let facts = [
-            Value::Text(sort.kind),
+            Value::Text(sort.machine_type),
             Value::Number(sort.cpus),
             Value::Number(sort.gpus),
             Value::Number(sort.price),
@@ -60,7 +60,7 @@
     }
 
     /// When the protection of a sort ends that is protected now; none if it does not within days.
-    pub fn protected_until(&self, sort: &SortFacts<'_>, now_ms: u64) -> Option<u64> {
+    pub fn protection_end_ms(&self, sort: &MachinePoolFacts<'_>, now_ms: u64) -> Option<u64> {
         let step_ms = LOOK_EVERY.as_millis() as u64;
         let steps = LOOK_AHEAD.as_millis() as u64 / step_ms;
         let begin = now_ms - now_ms % step_ms;
--- a/src/policy/protection/tests.rs
+++ b/src/policy/protection/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-fn sort<'a>(zone: &'a str, gpus: f64) -> SortFacts<'a> {
-    SortFacts {
-        kind: "m",
+fn sort<'a>(zone: &'a str, gpus: f64) -> MachinePoolFacts<'a> {
+    MachinePoolFacts {
+        machine_type: "m",
         cpus: 16.0,
         gpus,
         price: 1.0,
@@ -78,7 +78,7 @@
     );
     let gpus = sort("a", 2.0);
     let until = |policy: &Policy, now: &str| {
-        let until = policy.protected_until(&gpus, at(now))?;
+        let until = policy.protection_end_ms(&gpus, at(now))?;
         let until = Timestamp::from_millisecond(until as i64).unwrap();
         Some(until.to_string())
     };
@@ -97,7 +97,7 @@
 /// Nothing is protected, and no clock read, unless a policy says so; and a zone that is none is refused.
 #[test]
 fn zones_and_windows_are_checked() {
-    assert!(!Policy::default().protects());
+    assert!(!Policy::default().has_protection());
     let wrong = [
         "time_zone = \"Asia/Danang\"",
         "time_zone = 7",
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-fn facts(kind: &str, gpus: f64, arrived: f64, usual: f64, waiting: f64) -> KindFacts<'_> {
-    KindFacts {
-        kind,
+fn facts(kind: &str, gpus: f64, arrived: f64, usual: f64, waiting: f64) -> MachineTypeFacts<'_> {
+    MachineTypeFacts {
+        machine_type: kind,
         cpus: 16.0,
         gpus,
         price: 1.0,
@@ -22,7 +22,7 @@
         ("backlog", 0.0, 400.0),
     ] {
         for zone in ["kamloops", "victoria"] {
-            let may = policy.may_return(&facts("m", 0.0, arrived, 10.0, waiting), zone, false);
+            let may = policy.allows_release(&facts("m", 0.0, arrived, 10.0, waiting), zone, false);
             trace.push_str(&format!("{what}, {zone}: may return {may}\n"));
         }
     }
@@ -112,8 +112,8 @@
         (2.0, 0.0, 0.0),
     ] {
         let kind = facts("m", gpus, 0.0, usual, waiting);
-        let beta = policy.bands(&kind).beta;
-        let holds = [false, true].map(|spot| policy.hold_s(&kind, "a", spot));
+        let beta = policy.scaling_parameters(&kind).beta;
+        let holds = [false, true].map(|spot| policy.idle_hold_s(&kind, "a", spot));
         trace.push_str(&format!(
             "gpus {gpus} {waiting}/{usual}: beta {beta}, hold {holds:?}\n"
         ));
@@ -127,7 +127,7 @@
         };
         trace.push_str(&format!(
             "{class} x{tasks}: start by {}\n",
-            policy.start_by(&job)
+            policy.start_within_factor(&job)
         ));
     }
     insta::assert_snapshot!(trace);
--- a/src/renting/decide.rs
+++ b/src/renting/decide.rs
@@ -12,7 +12,7 @@
 use crate::placement::batch_order;
 use crate::placement::forecast::{Forecast, forecast};
 use crate::placement::views::{Views, kinds_for, room_of};
-use crate::policy::KindFacts;
+use crate::policy::MachineTypeFacts;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -70,7 +70,7 @@
         return;
     }
     let mapping = forecast(&views.jobs, &views.machines, &views.rooms, startup_count);
-    core.metrics.steps += mapping.steps;
+    core.metrics.machines_examined += mapping.steps;
     let mut record = ForecastSummaryRecord {
         at_ms: now_ms,
         puts_per_s: 0.0,
@@ -261,11 +261,11 @@
         let Some(facts) = facts(core, &kind, &outlook) else {
             continue;
         };
-        let bands = node.policy.bands(&facts);
+        let parameters = node.policy.scaling_parameters(&facts);
         let flow = core.rent.flow.get(&kind).copied().unwrap_or_default();
         let flow = (flow.arrivals / flow.finishes.max(1.0)).clamp(1.0, MOST_K);
-        let k = flow.max(k_of_size(&outlook, &bands));
-        let verdict = periodic(&outlook, &bands, k);
+        let k = flow.max(k_of_size(&outlook, &parameters));
+        let verdict = periodic(&outlook, &parameters, k);
         tracing::info!(
             kind,
             now = outlook.rate_now(),
@@ -293,7 +293,7 @@
                 let may = |held: &&Held| {
                     let machine = fleet.get(&held.name);
                     machine.is_some_and(|m| {
-                        node.policy.may_return(&facts, &m.zone, m.spot)
+                        node.policy.allows_release(&facts, &m.zone, m.spot)
                             && !is_protected(node, core, m, now_ms)
                     })
                 };
@@ -343,11 +343,11 @@
 }
 
 /// What the operators' expressions may name of a kind of machine.
-fn facts<'a>(core: &Core, kind: &'a str, outlook: &Outlook) -> Option<KindFacts<'a>> {
+fn facts<'a>(core: &Core, kind: &'a str, outlook: &Outlook) -> Option<MachineTypeFacts<'a>> {
     let known = core.kind(kind)?;
     let flow = core.rent.flow.get(kind).copied().unwrap_or_default();
-    Some(KindFacts {
-        kind,
+    Some(MachineTypeFacts {
+        machine_type: kind,
         cpus: known.cpus,
         gpus: known.gpus,
         price: known.price,
@@ -382,8 +382,8 @@
         let Some(facts) = facts(core, &kind, &outlook) else {
             continue;
         };
-        let bands = node.policy.bands(&facts);
-        let count = remedial(outlook.startup, coming, &bands);
+        let parameters = node.policy.scaling_parameters(&facts);
+        let count = remedial(outlook.startup, coming, &parameters);
         if count == 0 {
             continue;
         }
@@ -415,7 +415,8 @@
         true => outlook.wanted_spot / outlook.wanted,
         false => 0.0,
     };
-    let dearest = facts(core, kind, outlook).map_or(0.0, |f| node.policy.dearer(&f) * f.price);
+    let dearest =
+        facts(core, kind, outlook).map_or(0.0, |f| node.policy.max_price_ratio(&f) * f.price);
     let instead = outlook.wanted_else.iter().filter_map(|(other, wanted)| {
         let other = core.kind(other)?;
         let least = match other.spot_price > 0.0 {
@@ -460,7 +461,8 @@
             let age = age_s(m.hired_ms, now_ms);
             Some(Held {
                 name: name.clone(),
-                remaining_hold_s: node.policy.hold_s(&facts, &m.zone, m.spot) - unused.min(age),
+                remaining_hold_s: node.policy.idle_hold_s(&facts, &m.zone, m.spot)
+                    - unused.min(age),
             })
         })
         .filter(|h| h.remaining_hold_s <= 0.0)
@@ -472,7 +474,7 @@
         true => PUBLISHED_BYTES,
         false => 0,
     };
-    let value_bytes = node.settings.value_bytes().saturating_sub(published);
+    let value_bytes = node.settings.max_value_bytes().saturating_sub(published);
     let room = match core.replica.has_begun() {
         true => {
             let longest = held.iter().map(|h| h.name.len() + 3).max().unwrap_or(1);
--- a/src/renting/mod.rs
+++ b/src/renting/mod.rs
@@ -5,7 +5,7 @@
 mod release;
 pub mod service;
 
-use crate::policy::Bands;
+use crate::policy::ScalingParameters;
 use rowanmill_limits::WaitingUnit;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -121,13 +121,13 @@
 }
 
 /// The periodic rule (the paper's algorithm 1).
-pub fn periodic(outlook: &Outlook, bands: &Bands, k: f64) -> Verdict {
+pub fn periodic(outlook: &Outlook, parameters: &ScalingParameters, k: f64) -> Verdict {
     let (now, next) = (outlook.rate_now(), outlook.rate_next());
     let change = next - now;
-    if change >= 0.0 && next >= bands.beta {
-        let n = (k.max(bands.k) * next / bands.beta).floor() as u32;
+    if change >= 0.0 && next >= parameters.beta {
+        let n = (k.max(parameters.k) * next / parameters.beta).floor() as u32;
         Verdict::Rent(n.max(1))
-    } else if change <= 0.0 && outlook.rate_of_all() <= bands.alpha {
+    } else if change <= 0.0 && outlook.rate_of_all() <= parameters.alpha {
         Verdict::Return
     } else {
         Verdict::Keep
@@ -138,14 +138,14 @@
 /// same rate of a thousand machines' work rented one machine a period there, while hundreds were
 /// wanted: so k grows with the work that the rate is a part of, until the formula gives what the
 /// late work fills. What it would not start sooner is still not rented.
-pub fn k_of_size(outlook: &Outlook, bands: &Bands) -> f64 {
-    outlook.counted_next * bands.beta
+pub fn k_of_size(outlook: &Outlook, parameters: &ScalingParameters) -> f64 {
+    outlook.counted_next * parameters.beta
 }
 
 /// The remedial rule (equation 2), less what is booting.
-pub fn remedial(startup: u32, booting: u32, bands: &Bands) -> u32 {
+pub fn remedial(startup: u32, booting: u32, parameters: &ScalingParameters) -> u32 {
     let ns = f64::from(startup) - 1.0;
-    let n = (ns / (bands.theta * bands.beta)).floor().max(0.0) as u32;
+    let n = (ns / (parameters.theta * parameters.beta)).floor().max(0.0) as u32;
     n.saturating_sub(booting)
 }
 
--- a/src/renting/provision.rs
+++ b/src/renting/provision.rs
@@ -25,7 +25,7 @@
     for wish in wishes {
         let mut left = wish.count;
         let mut spot_left = wish.spot;
-        let most = most_hired(node.settings.value_bytes()) as u32;
+        let most = most_hired(node.settings.max_value_bytes()) as u32;
         let offers = offers(node, &wish);
         let mut zones_left = 0;
         for (at, (zone, spot)) in offers.iter().cloned().enumerate() {
@@ -148,9 +148,9 @@
 /// Sends a recorded rental, for the first time or again: a repeat of one that was carried out
 /// rents nothing and names the same machines.
 async fn send_hire(node: &Arc<Node>, mark: u64, name: &str, record: &Rental) -> u32 {
-    let rental = cloud::Rental {
+    let rental = cloud::RentalRequest {
         name,
-        kind: &record.kind,
+        machine_type: &record.kind,
         zone: &record.zone,
         spot: record.spot,
         count: record.count,
--- a/src/renting/release.rs
+++ b/src/renting/release.rs
@@ -2,7 +2,7 @@
 //! tells of either.
 
 use super::service::guard;
-use crate::cloud::{self, MOST_RELEASED};
+use crate::cloud::{self, MAX_RELEASE_BATCH};
 use crate::fleet::{Machine, Rental, Rented, Use, in_parts, most_hired};
 use crate::membership;
 use crate::node::{Core, Node, age_s, wall_ms};
@@ -55,7 +55,7 @@
 ) -> Vec<String> {
     // Beyond what this node may write it would only be refused, and take others' puts along.
     let left = node.state.writes_left(Need::User);
-    let most = node.settings.txn_ops().min(left);
+    let most = node.settings.max_transaction_operations().min(left);
     let (mut guards, mut ops, mut rentals) = (Vec::new(), Vec::new(), Vec::new());
     let written: Vec<String> = {
         let core = node.core();
@@ -63,7 +63,7 @@
         let changed = fleet.changed_by(names.iter().map(String::as_str), change);
         let mut bytes = 0;
         for (name, kept) in changed {
-            let parts = in_parts(&name, kept, node.settings.value_bytes());
+            let parts = in_parts(&name, kept, node.settings.max_value_bytes());
             let op = |(name, kept): &(String, Versioned<Rental>)| match kept
                 .record
                 .machines
@@ -180,7 +180,7 @@
 /// Rentals of one kind, zone and sort whose machines fit one record, the largest first.
 fn to_merge(node: &Node, core: &Core) -> Vec<(String, Versioned<Rental>)> {
     let now_ms = wall_ms();
-    let most = most_hired(node.settings.value_bytes());
+    let most = most_hired(node.settings.max_value_bytes());
     let settled = |rental: &Rental| {
         let boot = core.kind(&rental.kind).map_or(60.0, |k| k.boot_s);
         !rental.open && age_s(rental.hired_ms, now_ms) > boot * 3.0 + 20.0
@@ -258,12 +258,12 @@
         return Vec::new();
     }
     let core = &mut *core;
-    let report = node.settings.report_every();
-    let silence = node.settings.lease().mul_f64(1.02) + Duration::from_millis(500);
+    let report = node.settings.heartbeat_interval();
+    let silence = node.settings.worker_lease().mul_f64(1.02) + Duration::from_millis(500);
     let mut close: Vec<(String, &'static str)> = Vec::new();
     // Silence for so long on most machines is noticed early, while another controller can still
     // take them over before their workers' leases are out.
-    let unheard_for = node.settings.lease().mul_f64(0.4).max(report * 2);
+    let unheard_for = node.settings.worker_lease().mul_f64(0.4).max(report * 2);
     let (mut silent, mut heard) = (0, 0);
     for (name, (since, _)) in &core.workers.owned {
         let Some(record) = core.replica.fleet.machines.get(name) else {
@@ -329,7 +329,7 @@
         core.standing.stand_back_until = Some(now + STAND_BACK);
         return Vec::new();
     }
-    close.truncate(MOST_RELEASED);
+    close.truncate(MAX_RELEASE_BATCH);
     for (name, why) in &close {
         if core.rent.closing.insert(name.clone(), why).is_none() {
             core.plans.touch_machine(name);
@@ -378,10 +378,10 @@
 
 /// Records a machine that exists and is in no record: a rental of one, under its own name, so
 /// that it cannot be recorded twice.
-async fn adopt(node: &Arc<Node>, mark: u64, listed: cloud::Listed) {
+async fn adopt(node: &Arc<Node>, mark: u64, listed: cloud::ListedMachine) {
     let key = rental_key(&format!("a-{}", listed.name));
     let record = Rental {
-        kind: listed.kind,
+        kind: listed.machine_type,
         zone: listed.zone,
         spot: listed.spot,
         count: 1,
--- a/src/renting/service.rs
+++ b/src/renting/service.rs
@@ -6,7 +6,7 @@
 use super::provision::{fulfil, resend_hires};
 use super::release::{close_machines, mark_returning, merge_rentals, take_list};
 use crate::membership;
-use crate::metrics::Duty;
+use crate::metrics::CpuAccount;
 use crate::node::{Node, wall_ms};
 use crate::state::{Guard, LEADER_KEY, Op, outlook_key};
 use std::collections::{BTreeMap, HashMap};
@@ -106,7 +106,7 @@
 }
 
 fn lead_event(node: &Node) {
-    let _charge = node.processor_time.charge(Duty::Renting);
+    let _charge = node.processor_time.charge(CpuAccount::Scaling);
     let (now, now_ms) = (Instant::now(), wall_ms());
     let mut core = node.core();
     if core.rent.leader_event.is_none_or(|at| at <= now) {
--- a/src/renting/tests.rs
+++ b/src/renting/tests.rs
@@ -12,7 +12,7 @@
 
 #[test]
 fn bands_and_formulas() {
-    let bands = Bands {
+    let parameters = ScalingParameters {
         alpha: 0.02,
         beta: 0.2,
         theta: 10.0,
@@ -29,19 +29,19 @@
         ((3, 10), (0, 10), 1.0),
         ((0, 0), (0, 0), 1.0),
     ] {
-        let verdict = periodic(&outlook(now, next), &bands, k);
+        let verdict = periodic(&outlook(now, next), &parameters, k);
         trace.push_str(&format!("now {now:?} next {next:?} k {k} -> {verdict:?}\n"));
     }
     for counted in [10, 100, 1000] {
         let work = outlook((0, counted), (counted / 4, counted));
-        let k = k_of_size(&work, &bands).max(1.0);
-        let verdict = periodic(&work, &bands, k);
+        let k = k_of_size(&work, &parameters).max(1.0);
+        let verdict = periodic(&work, &parameters, k);
         trace.push_str(&format!(
             "a quarter late of {counted}, k {k} -> {verdict:?}\n"
         ));
     }
     for (startup, booting) in [(0, 0), (1, 0), (2, 0), (3, 0), (16, 0), (16, 5), (16, 9)] {
-        let n = remedial(startup, booting, &bands);
+        let n = remedial(startup, booting, &parameters);
         trace.push_str(&format!(
             "startup {startup} booting {booting} -> rent {n}\n"
         ));
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -126,7 +126,7 @@
     }
 
     /// Changes that every transaction must do with, now and later.
-    pub fn least_ops(&self) -> usize {
+    pub fn min_transaction_operations(&self) -> usize {
         let next = self.next().txn_ops.unwrap_or(self.txn_ops);
         self.txn_ops.min(next)
     }
@@ -166,7 +166,7 @@
     }
 
     /// This node's part once the lower limits hold.
-    pub fn next_share(&self) -> StateShare {
+    pub fn announced_state_share(&self) -> StateShare {
         let nodes = f64::from(self.params.size);
         let (now, next) = (self.state_share(), self.params.state.next());
         let least = |now: f64, next: Option<f64>| next.map_or(now, |n| now.min(n / nodes));
@@ -177,19 +177,19 @@
     }
 
     /// Bytes that every new value must do with: the limit may fall at any moment.
-    pub fn value_bytes(&self) -> usize {
+    pub fn max_value_bytes(&self) -> usize {
         let state = &self.params.state;
         let next = state.next().value_kb.unwrap_or(state.value_kb);
         (state.value_kb.min(next) * 1024.0) as usize
     }
 
     /// Changes of a transaction, likewise.
-    pub fn txn_ops(&self) -> usize {
-        self.params.state.least_ops()
+    pub fn max_transaction_operations(&self) -> usize {
+        self.params.state.min_transaction_operations()
     }
 
     /// The names of all controllers that there are to be.
-    pub fn members(&self) -> Vec<&str> {
+    pub fn member_names(&self) -> Vec<&str> {
         let peers = self.peers.iter().map(|p| p.member.as_str());
         peers.chain([self.member.as_str()]).collect()
     }
@@ -294,11 +294,11 @@
         Ok(())
     }
 
-    pub fn lease(&self) -> Duration {
+    pub fn worker_lease(&self) -> Duration {
         Duration::from_secs_f64(self.params.workers.lease_s)
     }
 
-    pub fn report_every(&self) -> Duration {
+    pub fn heartbeat_interval(&self) -> Duration {
         Duration::from_secs_f64(self.params.workers.report_s)
     }
 
@@ -320,26 +320,26 @@
 
     /// How long a reading of the log may wait for changes: so that the proof that it gives is
     /// never much older than workers may be answered by it.
-    pub fn follow_hold(&self) -> Duration {
+    pub fn watch_timeout(&self) -> Duration {
         (self.disconnected_lease_limit() / 3)
             .clamp(Duration::from_millis(100), Duration::from_secs(1))
     }
 
     /// How jobs are divided into pages of progress.
-    pub fn layout(&self) -> Layout {
+    pub fn page_layout(&self) -> Layout {
         let state = &self.params.state;
         // A placed task is written as [attempt,"machine",session]: 48 bytes cover long names. The
         // version before reckoned with the limit of now alone, and pages of both must agree.
         let wide = ((state.value_kb * 1024.0) as usize / 48).clamp(8, 512);
         // Of dense pages the names of machines are the most, and what does not fit waits.
-        let dense = (self.value_bytes() / 16).clamp(8, 512);
+        let dense = (self.max_value_bytes() / 16).clamp(8, 512);
         Layout {
             wide,
-            dense: match self.value_bytes() < (state.value_kb * 1024.0) as usize {
+            dense: match self.max_value_bytes() < (state.value_kb * 1024.0) as usize {
                 true => dense.min(wide),
                 false => wide,
             },
-            value_bytes: self.value_bytes(),
+            value_bytes: self.max_value_bytes(),
         }
     }
 }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -25,16 +25,18 @@
         (1580, 5, 3332, 32.0, 22.0, 47.0),
     ] {
         let s = Settings::parse(&settings(size, sockets, kb, lease_s, cancel_s), "t").unwrap();
-        let records = machines.div_ceil(most_hired(s.value_bytes()));
+        let records = machines.div_ceil(most_hired(s.max_value_bytes()));
         // The leader writes ten records at a time and waits for each answer.
         let takeover = s.presence_ttl() + Duration::from_millis(700) * records.div_ceil(10) as u32;
         assert!(machines + 200 < sockets - crate::api::OWN_SOCKETS);
-        assert!(takeover < s.lease());
-        assert!(s.disconnected_lease_limit() + s.lease() < Duration::from_secs_f64(cancel_s));
+        assert!(takeover < s.worker_lease());
+        assert!(
+            s.disconnected_lease_limit() + s.worker_lease() < Duration::from_secs_f64(cancel_s)
+        );
         trace.push_str(&format!(
             "{machines} machines: {records} records, {} tasks a page, taken over within {:.1} s \
              of {lease_s}, answers workers for {:.1} s without state\n",
-            s.layout().wide,
+            s.page_layout().wide,
             takeover.as_secs_f64(),
             s.disconnected_lease_limit().as_secs_f64()
         ));
--- a/src/state/follow.rs
+++ b/src/state/follow.rs
@@ -1,7 +1,7 @@
 //! Keeps the replica up to date, and proves contact with the state service.
 
 use super::LIVE;
-use crate::metrics::Duty;
+use crate::metrics::CpuAccount;
 use crate::node::Node;
 use rowanmill_state::{Followed, ReadError};
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 
 /// Loads the records once, then follows the log for as long as the process lives.
 pub async fn run(node: Arc<Node>) {
-    let hold = node.settings.follow_hold();
+    let hold = node.settings.watch_timeout();
     loop {
         if load(&node).await.is_err() {
             tokio::time::sleep(PAUSE).await;
@@ -51,7 +51,7 @@
     let sent = Instant::now();
     match follow(node, from, hold).await {
         Ok(followed) => {
-            let _charge = node.processor_time.charge(Duty::Replicate);
+            let _charge = node.processor_time.charge(CpuAccount::Replication);
             let mut core = node.core();
             let wake_up = !followed.log.is_empty();
             if core.proof.is_none_or(|p| p.elapsed() > LOST) {
@@ -76,7 +76,7 @@
 
 async fn follow(node: &Node, from: u64, hold: Duration) -> Result<Followed, ReadError> {
     let body = node.state.follow(LIVE, from, hold).await?;
-    let _charge = node.processor_time.charge(Duty::Decode);
+    let _charge = node.processor_time.charge(CpuAccount::WatchDecoding);
     Followed::decode(&body)
 }
 
--- a/src/testing/load_profile.rs
+++ b/src/testing/load_profile.rs
@@ -5,7 +5,7 @@
 use crate::api::Server;
 use crate::api::limit::Limit;
 use crate::api::users;
-use crate::metrics::Duty;
+use crate::metrics::CpuAccount;
 use crate::node::Node;
 use crate::policy::Policy;
 use crate::settings::Settings;
@@ -381,11 +381,14 @@
     });
     let metrics = &node.core().metrics;
     println!("{}: {} machines", load.name, fleet.lock().unwrap().len());
-    println!("  longest cycle of the last period: {:?}", metrics.longest);
-    let spent = node.processor_time.spent();
-    for duty in Duty::ALL {
-        let ms = spent[duty as usize].as_secs_f64() * 1000.0;
-        println!("  {duty:?}: {ms:.0} ms");
+    println!(
+        "  longest cycle of the last period: {:?}",
+        metrics.longest_cycle
+    );
+    let spent = node.processor_time.totals();
+    for account in CpuAccount::ALL {
+        let ms = spent[account as usize].as_secs_f64() * 1000.0;
+        println!("  {account:?}: {ms:.0} ms");
     }
 }
 
--- a/src/workers/service.rs
+++ b/src/workers/service.rs
@@ -7,7 +7,7 @@
 use crate::jobs::Entry;
 use crate::membership;
 use crate::membership::assignment::Member;
-use crate::metrics::Duty;
+use crate::metrics::CpuAccount;
 use crate::node::{Core, Node, wall_ms};
 use crate::workers::wire;
 use hyper::StatusCode;
@@ -26,7 +26,7 @@
 }
 
 fn decode(node: &Node, body: &[u8]) -> Result<Report, serde_json::Error> {
-    let _charge = node.processor_time.charge(Duty::Reports);
+    let _charge = node.processor_time.charge(CpuAccount::Heartbeats);
     serde_json::from_slice(body)
 }
 
@@ -37,7 +37,7 @@
     };
     let owner = {
         let mut core = node.core();
-        core.metrics.reports += 1;
+        core.metrics.heartbeats += 1;
         let machine = core.replica.fleet.machines.get(&report.machine);
         let owner = machine.map(|m| m.owner.clone());
         let there = |m: &Member| {
@@ -144,7 +144,7 @@
     }
     let (call, called) = oneshot::channel();
     core.workers.idle.insert(report.machine.clone(), call);
-    let within = node.settings.report_every().mul_f64(IDLE_PART);
+    let within = node.settings.heartbeat_interval().mul_f64(IDLE_PART);
     Some((called, within.min(IDLE_WAIT)))
 }
 
@@ -186,7 +186,7 @@
 
 /// What the machine is told, by the records as they now stand.
 fn orders(node: &Node, core: &mut Core, report: &Report, now: Instant) -> Option<wire::Answer> {
-    let _charge = node.processor_time.charge(Duty::Reports);
+    let _charge = node.processor_time.charge(CpuAccount::Heartbeats);
     let token = core.replica.fleet.machines.get(&report.machine)?.token;
     let owned = core.workers.owned.get(&report.machine);
     if owned.is_none_or(|(_, known)| *known != token) {
@@ -223,7 +223,7 @@
 
 /// Reads an owned machine's report into what is known and planned, and answers it.
 fn take(node: &Node, core: &mut Core, report: &Arc<Report>, now: Instant) -> Taken {
-    let _charge = node.processor_time.charge(Duty::Reports);
+    let _charge = node.processor_time.charge(CpuAccount::Heartbeats);
     let name = report.machine.clone();
     core.note_owner(&node.me, &name, now);
     let machine = core.replica.fleet.machines.get(&name);
@@ -245,8 +245,8 @@
         return Taken::Late;
     }
     if !first {
-        let lease = node.settings.lease();
-        let patience = node.settings.report_every().mul_f64(2.5) + Duration::from_secs(4);
+        let lease = node.settings.worker_lease();
+        let patience = node.settings.heartbeat_interval().mul_f64(2.5) + Duration::from_secs(4);
         live.watch(report, lease, patience, now);
     }
     if report.token == token {
