--- a/crates/rowanmill-cells/src/config/tests.rs
+++ b/crates/rowanmill-cells/src/config/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::{Value, json};
 
-pub fn file() -> Value {
+pub fn valid_file() -> Value {
     json!({
         "cells": [
             {"name": "hanoi", "controllers": ["10.0.0.1:8081", "10.0.0.2:8081"]},
@@ -14,24 +14,24 @@
     })
 }
 
-fn times() -> WorkerTimes {
-    WorkerTimes {
+fn worker_timing() -> WorkerTiming {
+    WorkerTiming {
         lease: Duration::from_secs(24),
         disconnected_lease_limit: Duration::from_secs(22),
-        state: "10.2.0.1:2379".parse().unwrap(),
+        state_service: "10.2.0.1:2379".parse().unwrap(),
     }
 }
 
-fn read(file: &Value) -> Result<(), ConfigError> {
+fn check(file: &Value) -> Result<(), ConfigError> {
     let config = CellsConfig::parse(&file.to_string(), "cells.json")?;
-    config.check_cell("hanoi", &times(), "cells.json")
+    config.check_cell("hanoi", &worker_timing(), "cells.json")
 }
 
-/// Whatever would let two cells run a job, or makes no sense, is refused by the name of its field.
+/// A value that would let two cells run a job, or that makes no sense, is refused by the name of its field.
 #[test]
-fn each_wrong_file_is_refused_by_the_field_at_fault() {
-    assert!(read(&file()).is_ok());
-    let wrong: [(&str, Value); 17] = [
+fn invalid_files_are_refused_by_field_name() {
+    assert!(check(&valid_file()).is_ok());
+    let invalid: [(&str, Value); 17] = [
         (
             "/cells",
             json!([{"name": "hanoi", "controllers": ["10.0.0.1:8081"]}]),
@@ -54,15 +54,15 @@
         ("/spill/at_once", json!(0)),
     ];
     let mut trace = String::new();
-    for (at, value) in wrong {
-        let mut file = file();
+    for (at, value) in invalid {
+        let mut file = valid_file();
         let shown = value.to_string();
         match file.pointer_mut(at) {
             Some(field) => *field = value,
             None => file["spill"]["at_once"] = value,
         }
-        let problem = read(&file).expect_err(at);
-        trace.push_str(&format!("{at} = {shown}\n  {problem}\n"));
+        let error = check(&file).expect_err(at);
+        trace.push_str(&format!("{at} = {shown}\n  {error}\n"));
     }
     insta::assert_snapshot!(trace);
 }
--- a/crates/rowanmill-cells/src/contact.rs
+++ b/crates/rowanmill-cells/src/contact.rs
@@ -1,56 +1,58 @@
-//! What may be done by what was last read of the ledger.
+//! Time limits on what a controller may do by its last read of the ledger.
 //!
-//! A cancellation that another cell confirmed, or a takeover, stands in the ledger and nowhere else. So a
-//! controller starts tasks and renews workers only for a bounded time after a reading. When the ledger is
-//! out for all, nothing new can stand in it: then what every other controller says in its place counts as
-//! a reading, namely that it has no contact either and which changes it knows of.
+//! A cancellation that another cell confirmed, or a takeover, is recorded in the ledger only. A controller
+//! therefore starts tasks and renews workers' leases for a bounded time after a read. While the ledger is
+//! unreachable for all controllers nothing new can be written to it. Then attestations of all other
+//! controllers count as a read: each says that it has lost contact too, and which changes it has read.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Tasks start by readings no older than this. A controller that reads undisturbed has read within half.
-const STARTS_WITHIN: Duration = Duration::from_secs(3);
-/// A cancellation is told to users once so much time has passed since it was read: no controller may start
-/// by an older reading then. Clocks may run apart a little.
-pub const CANCELLATION_SETTLES: Duration = Duration::from_millis(3200);
+/// Largest age of the read by which a task is started. An undisturbed controller reads at least twice in
+/// this time.
+const MAX_READ_AGE_FOR_STARTS: Duration = Duration::from_secs(3);
+/// Time from the read of a cancellation until it is confirmed to users: [`MAX_READ_AGE_FOR_STARTS`], after
+/// which no controller can start the job by an earlier read, and 200 ms for clocks that drift apart.
+pub const CANCELLATION_EFFECT_DELAY: Duration = Duration::from_millis(3200);
 
-/// When the ledger was last read, and what that forbids.
+/// A controller's last contact with the ledger, and what it permits.
 #[derive(Debug, Clone, Default)]
-pub struct Contact {
-    /// When the request was sent whose answer last brought all changes up to then, this cell's own
-    /// presence among what was there.
-    pub read_at: Option<Instant>,
-    /// When the request was sent whose answer last came, whether this cell was there or not.
-    pub answered_at: Option<Instant>,
-    /// When the others were asked that last all said that they have no contact either.
-    pub attested_at: Option<Instant>,
+pub struct LedgerContact {
+    /// When the last request was sent whose answer brought all changes up to then and showed that this
+    /// cell was present.
+    pub last_read_at: Option<Instant>,
+    /// When the last request was sent that was answered, whether this cell was present or not.
+    pub last_response_at: Option<Instant>,
+    /// When the other controllers were last asked and all attested that they have lost contact.
+    pub last_attestation_at: Option<Instant>,
     /// Jobs of this cell's records that it must not run.
     pub halted: Arc<BTreeSet<String>>,
 }
 
-impl Contact {
+impl LedgerContact {
     fn is_within(&self, limit: Duration, now: Instant) -> bool {
-        let newest = self.read_at.max(self.attested_at);
-        // A cell that was never seen to be there has nothing to renew.
-        self.read_at.is_some()
+        let newest = self.last_read_at.max(self.last_attestation_at);
+        // A cell that never read that it is present has nothing to renew.
+        self.last_read_at.is_some()
             && newest.is_some_and(|at| now.saturating_duration_since(at) <= limit)
     }
 
     /// Whether tasks of the ledger's jobs may be started.
     pub fn permits_starts(&self, now: Instant) -> bool {
-        self.is_within(STARTS_WITHIN, now)
+        self.is_within(MAX_READ_AGE_FOR_STARTS, now)
     }
 
-    /// Whether workers with tasks of the ledger's jobs may be renewed, `limit` after a reading.
+    /// Whether the leases of workers with tasks of the ledger's jobs may be renewed, where that is allowed
+    /// for `limit` after a read.
     pub fn permits_renewals(&self, limit: Duration, now: Instant) -> bool {
         self.is_within(limit, now)
     }
 
-    /// Whether the ledger answered lately.
-    pub fn has_ledger(&self, within: Duration, now: Instant) -> bool {
-        let answered = self.answered_at;
-        answered.is_some_and(|at| now.saturating_duration_since(at) <= within)
+    /// Whether the ledger answered a request that was sent at most `limit` ago.
+    pub fn responded_within(&self, limit: Duration, now: Instant) -> bool {
+        let answered = self.last_response_at;
+        answered.is_some_and(|at| now.saturating_duration_since(at) <= limit)
     }
 }
 
--- a/crates/rowanmill-cells/src/contact/tests.rs
+++ b/crates/rowanmill-cells/src/contact/tests.rs
@@ -2,29 +2,29 @@
 
 const LIMIT: Duration = Duration::from_secs(10);
 
-/// A controller starts and renews for a bounded time after a reading, and the others' word counts as one.
+/// A controller starts and renews for a bounded time after a read, and attestations count as one.
 #[test]
-fn a_reading_permits_for_a_bounded_time() {
+fn read_permits_starts_and_renewals_for_a_bounded_time() {
     let start = Instant::now();
     let at = |s: u64| start + Duration::from_secs(s);
-    let mut contact = Contact::default();
+    let mut contact = LedgerContact::default();
     assert!(!contact.permits_starts(start) && !contact.permits_renewals(LIMIT, start));
-    contact.read_at = Some(start);
+    contact.last_read_at = Some(start);
     assert!(contact.permits_starts(at(3)) && !contact.permits_starts(at(4)));
     assert!(contact.permits_renewals(LIMIT, at(10)));
     assert!(!contact.permits_renewals(LIMIT, at(11)));
-    contact.attested_at = Some(at(9));
+    contact.last_attestation_at = Some(at(9));
     assert!(contact.permits_starts(at(12)) && contact.permits_renewals(LIMIT, at(19)));
     assert!(!contact.permits_renewals(LIMIT, at(20)));
 }
 
-/// One that never read that its cell is there has nothing to renew, whatever the others say.
+/// A controller that never read that its cell is present has nothing to renew, whatever others attest.
 #[test]
-fn the_others_word_alone_permits_nothing() {
+fn attestations_without_a_read_permit_nothing() {
     let now = Instant::now();
-    let contact = Contact {
-        attested_at: Some(now),
-        ..Contact::default()
+    let contact = LedgerContact {
+        last_attestation_at: Some(now),
+        ..LedgerContact::default()
     };
     assert!(!contact.permits_starts(now) && !contact.permits_renewals(LIMIT, now));
 }
--- a/crates/rowanmill-cells/src/lib.rs
+++ b/crates/rowanmill-cells/src/lib.rs
@@ -1,13 +1,20 @@
 //! Cells that share work. Each cell is a whole scheduler with its own controllers, machines, cloud and
 //! state service. A *ledger*, one more state service, holds for each job the cell that owns it, an
-//! ownership epoch and at last its final state. `docs/cells.md` weighs the options and gives the orders
-//! of events.
+//! ownership epoch and at last its final state. `docs/cells.md` weighs the alternatives and describes the
+//! sequences of events.
 //!
-//! The parts: [`config`] reads the operators' file; [`record`] is what the ledger holds; [`replica`]
-//! follows it; [`contact`] tells what may be done without it; [`plan`] decides, as a state machine over
-//! the replica, the cell's own jobs and the time; [`ranking`] which cell a
-//! job goes to; [`transaction`] makes the ledger's changes; [`service`]
-//! is the I/O around these. The scheduler is reached through [`scheduler::Scheduler`].
+//! | module | its job |
+//! | --- | --- |
+//! | [`config`] | reads and checks the operators' file |
+//! | [`record`] | keys and records of the ledger |
+//! | [`replica`] | a copy of the live records |
+//! | [`contact`] | limits what may be done by the last read of the ledger |
+//! | [`plan`] | decides: a state machine over the replica, the cell's own records and the time |
+//! | [`ranking`] | which cell a job goes to |
+//! | [`transaction`] | builds the ledger's transactions, with their preconditions |
+//! | [`service`] | the I/O around these |
+//! | [`scheduler`] | the interface to the cell's own scheduler |
+//! | [`report`] | what the client shows of cells and jobs |
 #![deny(missing_docs)]
 
 pub mod config;
@@ -21,7 +28,9 @@
 pub mod service;
 pub mod transaction;
 
-pub use config::{CellsConfig, ConfigError, WorkerTimes};
-pub use record::{FinalState, LedgerJob, Stamp};
-pub use scheduler::{Adoption, LocalJob, Scheduler, StampedJob, Unavailable};
-pub use service::{Cancelled, Cells, KnownJob, Published};
+pub use config::{CellsConfig, ConfigError, WorkerTiming};
+pub use record::{FinalState, LedgerJob, OwnershipVersion};
+pub use scheduler::{
+    AdoptionOutcome, LocalJobState, Scheduler, TrackedJob, Unavailable, WithdrawalCondition,
+};
+pub use service::{CancelOutcome, CellCoordinator, LedgerJobState, PublishOutcome};
--- a/crates/rowanmill-cells/src/plan.rs
+++ b/crates/rowanmill-cells/src/plan.rs
@@ -1,521 +1,352 @@
-//! What a cell's leader does next: a state machine over the ledger's replica, the cell's own records and
-//! the time. It looks at what is, never at what was asked for, so that a controller that takes the lead
-//! goes on where another stopped.
+//! Decides what a cell's leader does next: a state machine over the ledger's replica, the cell's own
+//! records and the time.
+//!
+//! It does no I/O and decides by the present state alone, never by what was requested before, so that a
+//! controller that becomes the leader continues where another stopped. [`crate::service`] carries out the
+//! actions.
+
+mod action;
+mod dependencies;
+mod handover;
+mod takeover;
+
+pub use action::{Action, HandoverReason, LocalJobs};
 
 use crate::config::CellsConfig;
-use crate::ranking::{Candidate, Ranking};
-use crate::record::{FinalState, LedgerJob, Stamp};
+use crate::ranking::Ranking;
+use crate::record::{FIRST_EPOCH, FinalState, LedgerJob, OwnershipVersion};
 use crate::replica::{LedgerReplica, Versioned};
-use crate::scheduler::{LocalJob, StampedJob};
+use crate::scheduler::{LocalJobState, TrackedJob, WithdrawalCondition};
+use dependencies::DependencyState;
 use std::collections::{BTreeMap, BTreeSet};
-use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::{Duration, Instant};
 
-/// One thing to do.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Action {
-    /// Put an owned job into the cell's records.
-    Adopt {
-        /// The job.
-        id: String,
-    },
-    /// Record that an owned job is cancelled.
-    Cancel {
-        /// The job.
-        id: String,
-    },
-    /// Record that a job is to be another cell's.
-    Withdraw {
-        /// The job.
-        id: String,
-        /// What the ledger says of it.
-        stamp: Stamp,
-        /// Unless something of it was started.
-        only_unbegun: bool,
-    },
-    /// Tell the ledger how an owned job ended.
-    Finish {
-        /// The job.
-        id: String,
-        /// How.
-        last: FinalState,
-    },
-    /// Tell the ledger that an owned job is cancelled, because one that it waited for is.
-    CancelInLedger {
-        /// The job.
-        id: String,
-    },
-    /// Change the owner of a job that the cell has given up.
-    HandOver {
-        /// The job.
-        id: String,
-        /// The next owner.
-        to: String,
-        /// Because it waited: such moves are counted.
-        waited: bool,
-    },
-    /// Raise the epoch of a job that was given up and found no taker.
-    Claim {
-        /// The job.
-        id: String,
-    },
-    /// Record that the cell gives up a job that it never had in its records.
-    GiveUp {
-        /// The job.
-        id: String,
-        /// The epoch of the ledger's record.
-        epoch: u64,
-    },
-    /// Take over jobs of a cell that is gone.
-    TakeOver {
-        /// The cell.
-        from: String,
-        /// The jobs.
-        ids: Vec<String>,
-    },
-    /// Read how a job ended.
-    LookUp {
-        /// The job.
-        id: String,
-    },
+/// A job that was found ineligible is reconsidered after this time if it is still here: settings change,
+/// and protections end.
+const INELIGIBILITY_TTL: Duration = Duration::from_secs(60);
+/// Time that the controller that accepted a job has to put it into the cell's records. After it the leader
+/// does so.
+const ACCEPTANCE_WRITE_GRACE: Duration = Duration::from_secs(1);
+/// Most jobs that are put into the cell's records in one round.
+const MAX_ADOPTIONS_PER_ROUND: usize = 64;
+/// Most final states that are read from the ledger in one round.
+const MAX_FINAL_STATE_READS_PER_ROUND: usize = 8;
+
+/// The state that one round decides by.
+#[derive(Debug, Clone, Copy)]
+struct Round<'a> {
+    replica: &'a LedgerReplica,
+    now: Instant,
 }
 
-/// What the cell's records say.
-#[derive(Debug, Clone, Default)]
-pub struct Picture {
-    /// Of each job that the ledger says is this cell's.
-    pub owned: Vec<(String, LocalJob)>,
-    /// Of all jobs of its records that the ledger should know.
-    pub stamped: Vec<StampedJob>,
+/// An owned job that was found ineligible for the cell.
+#[derive(Debug, Clone, Copy)]
+struct Ineligibility {
+    epoch: u64,
+    since: Instant,
 }
 
-/// A cell's summary counts for so long.
-const SUMMARY_COUNTS: Duration = Duration::from_secs(15);
-/// Of several cells that may take over a job, each next one waits so much longer.
-const NEXT_TAKES_AFTER: Duration = Duration::from_secs(2);
-/// Then a job that nobody else took is looked at again: settings change, and protections end.
-const UNFIT_COUNTS: Duration = Duration::from_secs(60);
-/// A controller that accepts a job puts it into the records within this; after it the leader does.
-const PUT_WITHIN: Duration = Duration::from_secs(1);
-/// Most jobs that are put into the records in one round.
-const MOST_ADOPTED: usize = 64;
-/// Most final states that are looked up in one round.
-const MOST_LOOKED_UP: usize = 8;
+/// Actions of one round so far that are bounded in number.
+struct RoundCounts {
+    adoptions: usize,
+    final_state_reads: usize,
+    /// Jobs that are leaving the cell, those of earlier rounds included.
+    leaving: usize,
+}
 
-/// Whether what a job waits for is over.
-enum Awaited {
-    Done,
-    Open,
-    Cancelled,
-    Unknown(String),
+impl RoundCounts {
+    /// Whether the round has room for one more such action, which is then counted.
+    fn admit(&mut self, action: &Action) -> bool {
+        match action {
+            Action::Adopt { .. } => count_up_to(&mut self.adoptions, MAX_ADOPTIONS_PER_ROUND),
+            Action::ReadFinalState { .. } => {
+                count_up_to(&mut self.final_state_reads, MAX_FINAL_STATE_READS_PER_ROUND)
+            }
+            Action::Withdraw { .. } => {
+                self.leaving += 1;
+                true
+            }
+            _ => true,
+        }
+    }
 }
 
-/// When a job was found to be unfit for the cell.
-#[derive(Debug, Clone, Copy)]
-struct Unfit {
-    epoch: u64,
-    since: Instant,
+fn count_up_to(count: &mut usize, limit: usize) -> bool {
+    if *count == limit {
+        return false;
+    }
+    *count += 1;
+    true
 }
 
-/// The state machine.
+/// The state machine of one controller.
 #[derive(Debug)]
 pub struct Planner {
     cell: String,
     takeover_after: Duration,
     spill_after: Option<Duration>,
-    spill_at_once: usize,
-    spill_moves: u32,
+    max_concurrent_spills: usize,
+    max_spills_per_job: u32,
     ranking: Ranking,
-    /// Since when owned jobs are not in the cell's records.
-    missing: BTreeMap<String, Instant>,
-    /// Jobs that the records say were given up, with the epoch of that.
-    given_up: BTreeMap<String, u64>,
-    /// Jobs that this cell cannot run, or may not now.
-    unfit: BTreeMap<String, Unfit>,
+    /// Since when owned jobs have been missing from the cell's records.
+    missing_since: BTreeMap<String, Instant>,
+    /// Jobs that the cell's records say were relinquished, with the epoch of that.
+    relinquished: BTreeMap<String, u64>,
+    /// Jobs that this cell cannot run at present.
+    ineligible: BTreeMap<String, Ineligibility>,
 }
 
 impl Planner {
-    /// A planner for one of the cells.
+    /// A planner for the cell of this name.
     pub fn new(cell: &str, config: &CellsConfig) -> Self {
         Self {
             cell: cell.to_owned(),
             takeover_after: config.takeover_after(),
             spill_after: config.spill.after_s.map(Duration::from_secs_f64),
-            spill_at_once: config.spill.at_once,
-            spill_moves: config.spill.moves,
+            max_concurrent_spills: config.spill.at_once,
+            max_spills_per_job: config.spill.moves,
             ranking: config.ranking.clone(),
-            missing: BTreeMap::new(),
-            given_up: BTreeMap::new(),
-            unfit: BTreeMap::new(),
+            missing_since: BTreeMap::new(),
+            relinquished: BTreeMap::new(),
+            ineligible: BTreeMap::new(),
         }
     }
 
-    /// The records say that the cell gave up the job under this epoch.
-    pub fn note_given_up(&mut self, id: &str, epoch: u64) {
-        self.given_up.insert(id.to_owned(), epoch);
+    /// Notes that the cell's records say that it relinquished the job under this epoch.
+    pub fn record_relinquished(&mut self, id: &str, epoch: u64) {
+        self.relinquished.insert(id.to_owned(), epoch);
     }
 
-    /// The cell cannot run the job, or may not now.
-    pub fn note_unfit(&mut self, id: &str, epoch: u64, now: Instant) {
-        let unfit = Unfit { epoch, since: now };
-        self.unfit.insert(id.to_owned(), unfit);
+    /// Notes that the cell cannot run the job at present.
+    pub fn record_ineligible(&mut self, id: &str, epoch: u64, now: Instant) {
+        let ineligibility = Ineligibility { epoch, since: now };
+        self.ineligible.insert(id.to_owned(), ineligibility);
     }
 
-    /// The jobs that the ledger says are this cell's.
-    pub fn owned(&self, replica: &LedgerReplica) -> Vec<String> {
+    /// The jobs that the ledger says this cell owns.
+    pub fn owned_jobs(&self, replica: &LedgerReplica) -> Vec<String> {
         let jobs = replica.jobs.iter();
         let owned = jobs.filter(|(_, job)| job.record.owner == self.cell);
         owned.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Which of these jobs of the records this cell must not run. It holds for each controller, whether
-    /// it leads or not.
-    pub fn halted(&self, replica: &LedgerReplica, stamped: &[StampedJob]) -> BTreeSet<String> {
-        let halted = stamped.iter().filter(|job| self.is_halted(replica, job));
+    /// Which of these jobs this cell must not run. This binds each controller, leader or not.
+    pub fn halted_jobs(&self, replica: &LedgerReplica, tracked: &[TrackedJob]) -> BTreeSet<String> {
+        let halted = tracked.iter().filter(|job| self.is_halted(replica, job));
         halted.map(|job| job.id.clone()).collect()
     }
 
-    fn is_halted(&self, replica: &LedgerReplica, job: &StampedJob) -> bool {
+    fn is_halted(&self, replica: &LedgerReplica, job: &TrackedJob) -> bool {
         match replica.jobs.get(&job.id) {
             Some(held) => held.record.cancelled || held.record.owner != self.cell,
-            // It ended, unless this replica has yet to read of its acceptance.
-            None => replica.revision >= job.stamp.mark,
+            // It ended, unless this replica has yet to read its acceptance.
+            None => replica.revision >= job.ownership.revision,
         }
     }
 
-    /// What is to be done now. `runnable` are those of `lost` that this cell could run.
+    /// The actions of this round. `runnable` are those of [`Planner::takeover_candidates`] that this cell
+    /// could run.
     pub fn plan(
         &mut self,
         replica: &LedgerReplica,
-        picture: &Picture,
+        local_jobs: &LocalJobs,
         now: Instant,
         runnable: &BTreeSet<String>,
     ) -> Vec<Action> {
-        self.forget_settled(replica, now);
-        self.note_missing(picture, now);
+        let round = Round { replica, now };
+        self.discard_outdated(round);
+        self.update_missing(local_jobs, now);
+        let mut actions = self.plan_owned(round, local_jobs);
+        actions.extend(self.plan_withdrawals(replica, &local_jobs.tracked));
+        actions.extend(self.plan_takeovers(round, runnable));
+        actions
+    }
+
+    fn plan_owned(&mut self, round: Round<'_>, local_jobs: &LocalJobs) -> Vec<Action> {
         let mut actions = Vec::new();
-        let mut adopted = 0;
-        let mut looked_up = 0;
-        let mut leaving = self.given_up.len() + count_withdrawn(picture);
-        for (id, local) in &picture.owned {
-            let Some(job) = replica.jobs.get(id) else {
+        let mut counts = RoundCounts {
+            adoptions: 0,
+            final_state_reads: 0,
+            leaving: self.relinquished.len() + local_jobs.count_withdrawn(),
+        };
+        for (id, state) in &local_jobs.owned {
+            let Some(job) = round.replica.jobs.get(id) else {
                 continue;
             };
-            let Some(action) = self.step(replica, id, job, *local, leaving, now) else {
+            let Some(action) = self.next_action(round, id, job, *state, counts.leaving) else {
                 continue;
             };
-            match &action {
-                Action::Adopt { .. } if adopted == MOST_ADOPTED => continue,
-                Action::Adopt { .. } => adopted += 1,
-                Action::LookUp { .. } if looked_up == MOST_LOOKED_UP => continue,
-                Action::LookUp { .. } => looked_up += 1,
-                Action::Withdraw { .. } => {
-                    leaving += 1;
-                    // Protection that began after it was taken: it goes back to its home.
-                    if let LocalJob::Open {
-                        is_barred: true, ..
-                    } = local
-                    {
-                        self.note_unfit(id, job.record.epoch, now);
-                    }
-                }
-                _ => {}
+            if !counts.admit(&action) {
+                continue;
+            }
+            if matches!(action, Action::Withdraw { .. }) && is_excluded(*state) {
+                // Protection that began after the job was adopted: it returns to its home.
+                self.record_ineligible(id, job.record.epoch, round.now);
             }
             actions.push(action);
         }
-        actions.extend(self.withdrawals(replica, &picture.stamped));
-        actions.extend(self.takeovers(replica, now, runnable));
         actions
     }
 
-    fn forget_settled(&mut self, replica: &LedgerReplica, now: Instant) {
-        let holds = |id: &String, epoch: u64| {
-            let job = replica.jobs.get(id);
+    /// Drops notes about jobs whose epoch has changed, or that are too old.
+    fn discard_outdated(&mut self, round: Round<'_>) {
+        let is_current = |id: &String, epoch: u64| {
+            let job = round.replica.jobs.get(id);
             job.is_some_and(|job| job.record.epoch == epoch)
         };
-        self.given_up.retain(|id, epoch| holds(id, *epoch));
-        self.unfit.retain(|id, unfit| {
-            let age = now.saturating_duration_since(unfit.since);
-            holds(id, unfit.epoch) && age < UNFIT_COUNTS
+        self.relinquished.retain(|id, epoch| is_current(id, *epoch));
+        self.ineligible.retain(|id, ineligibility| {
+            let age = round.now.saturating_duration_since(ineligibility.since);
+            is_current(id, ineligibility.epoch) && age < INELIGIBILITY_TTL
         });
     }
 
-    fn note_missing(&mut self, picture: &Picture, now: Instant) {
-        let missing = picture.owned.iter();
-        let missing = missing.filter(|(_, local)| *local == LocalJob::Absent);
-        let since = |id: &String| self.missing.get(id).copied().unwrap_or(now);
-        self.missing = missing.map(|(id, _)| (id.clone(), since(id))).collect();
+    fn update_missing(&mut self, local_jobs: &LocalJobs, now: Instant) {
+        let owned = local_jobs.owned.iter();
+        let missing = owned.filter(|(_, state)| *state == LocalJobState::Absent);
+        let since = |id: &String| self.missing_since.get(id).copied().unwrap_or(now);
+        self.missing_since = missing.map(|(id, _)| (id.clone(), since(id))).collect();
     }
 
-    /// Whether the controller that accepted the job may still be about to put it into the records.
-    fn is_being_put(&self, id: &str, job: &LedgerJob, now: Instant) -> bool {
-        let since = self.missing.get(id).copied().unwrap_or(now);
-        job.epoch == 1 && job.awaits.is_empty() && now.saturating_duration_since(since) < PUT_WITHIN
+    /// Whether the controller that accepted the job may still be about to put it into the cell's records.
+    fn awaits_acceptance_write(&self, id: &str, job: &LedgerJob, now: Instant) -> bool {
+        let since = self.missing_since.get(id).copied().unwrap_or(now);
+        job.epoch == FIRST_EPOCH
+            && job.depends_on.is_empty()
+            && now.saturating_duration_since(since) < ACCEPTANCE_WRITE_GRACE
     }
 
-    /// The next step of one owned job.
-    fn step(
+    /// The next action for one owned job, when `leaving` jobs are leaving the cell.
+    fn next_action(
         &self,
-        replica: &LedgerReplica,
+        round: Round<'_>,
         id: &str,
         job: &Versioned<LedgerJob>,
-        local: LocalJob,
+        state: LocalJobState,
         leaving: usize,
-        now: Instant,
     ) -> Option<Action> {
         let id = id.to_owned();
         let cancelled = job.record.cancelled;
-        match local {
-            LocalJob::Open { .. } if cancelled => Some(Action::Cancel { id }),
-            LocalJob::Open {
-                begun: false,
-                is_barred: true,
-                ..
-            } => Some(Action::Withdraw {
-                id,
-                stamp: stamp_of(job),
-                only_unbegun: true,
-            }),
-            LocalJob::Open { begun, age_ms, .. } => {
-                let waits = !begun && self.may_spill(replica, job, age_ms, leaving, now);
-                waits.then(|| Action::Withdraw {
+        match state {
+            LocalJobState::Open { .. } if cancelled => Some(Action::Cancel { id }),
+            LocalJobState::Open {
+                has_started: true, ..
+            } => None,
+            LocalJobState::Open { age_ms, .. } => {
+                let leaves =
+                    is_excluded(state) || self.should_spill(round, &job.record, age_ms, leaving);
+                leaves.then(|| Action::Withdraw {
                     id,
-                    stamp: stamp_of(job),
-                    only_unbegun: true,
+                    ownership: ownership_of(job),
+                    condition: WithdrawalCondition::NotStarted,
                 })
             }
-            LocalJob::Cancelled | LocalJob::Withdrawn => None,
-            LocalJob::Done if !cancelled => Some(Action::Finish {
+            LocalJobState::Cancelling | LocalJobState::Withdrawn => None,
+            LocalJobState::Completed if !cancelled => Some(Action::Finish {
                 id,
-                last: FinalState::Done,
+                final_state: FinalState::Done,
             }),
-            // Nothing of it runs here, and nobody else runs it.
-            LocalJob::Done | LocalJob::EndedCancelled => Some(Action::Finish {
+            // None of its tasks runs here, and no other cell runs it.
+            LocalJobState::Completed | LocalJobState::Cancelled => Some(Action::Finish {
                 id,
-                last: FinalState::Cancelled,
+                final_state: FinalState::Cancelled,
             }),
-            LocalJob::Absent if cancelled => Some(Action::Finish {
+            LocalJobState::Absent if cancelled => Some(Action::Finish {
                 id,
-                last: FinalState::Cancelled,
+                final_state: FinalState::Cancelled,
             }),
-            LocalJob::Absent => self.place(replica, id, job, now),
+            LocalJobState::Absent => self.next_action_for_absent(round, id, &job.record),
         }
     }
 
-    /// An owned job that is not in the cell's records.
-    fn place(
+    /// The next action for an owned job that is not in the cell's records.
+    fn next_action_for_absent(
         &self,
-        replica: &LedgerReplica,
+        round: Round<'_>,
         id: String,
-        job: &Versioned<LedgerJob>,
-        now: Instant,
+        job: &LedgerJob,
     ) -> Option<Action> {
-        let unfit = self.unfit.contains_key(&id);
-        if self.given_up.contains_key(&id) {
-            let to = self.choose_taker(replica, &job.record, unfit, now);
-            return match to {
-                Some(to) => Some(Action::HandOver {
-                    id,
-                    to,
-                    waited: !unfit,
-                }),
-                // Nobody could take it: it stays until another cell is there.
-                None if unfit => None,
-                None => Some(Action::Claim { id }),
-            };
+        if self.relinquished.contains_key(&id) {
+            return self.next_action_for_relinquished(round, id, job);
         }
-        if unfit {
-            let epoch = job.record.epoch;
-            return Some(Action::GiveUp { id, epoch });
+        if self.ineligible.contains_key(&id) {
+            let epoch = job.epoch;
+            return Some(Action::Relinquish { id, epoch });
         }
-        if self.is_being_put(&id, &job.record, now) {
+        if self.awaits_acceptance_write(&id, job, round.now) {
             return None;
         }
-        match awaited(replica, &job.record) {
-            Awaited::Done => Some(Action::Adopt { id }),
-            Awaited::Open => None,
-            Awaited::Cancelled => Some(Action::CancelInLedger { id }),
-            Awaited::Unknown(id) => Some(Action::LookUp { id }),
+        match DependencyState::of(round.replica, job) {
+            DependencyState::Completed => Some(Action::Adopt { id }),
+            DependencyState::Pending => None,
+            DependencyState::Cancelled => Some(Action::CancelInLedger { id }),
+            DependencyState::Unread(id) => Some(Action::ReadFinalState { id }),
         }
     }
 
-    /// Whether a job that waits should go elsewhere: it has waited for long and has not been moved too
-    /// often, or the cell is being drained; few are on their way, and another cell has room and nothing that waits for it.
-    fn may_spill(
-        &self,
-        replica: &LedgerReplica,
-        job: &Versioned<LedgerJob>,
-        age_ms: u64,
-        leaving: usize,
-        now: Instant,
-    ) -> bool {
-        let waited = self
-            .spill_after
-            .is_some_and(|after| Duration::from_millis(age_ms) >= after);
-        let may_move = waited && job.record.moves < self.spill_moves;
-        (may_move || replica.is_draining(&self.cell))
-            && leaving < self.spill_at_once
-            && self
-                .choose_taker(replica, &job.record, false, now)
-                .is_some()
-    }
-
-    /// The cell that should have a job: of those that are there and have not declined it, the one with
-    /// most room. One that cannot run it goes to its home rather than to nobody.
-    fn choose_taker(
+    /// The next action for an owned job that the cell has relinquished.
+    fn next_action_for_relinquished(
         &self,
-        replica: &LedgerReplica,
+        round: Round<'_>,
+        id: String,
         job: &LedgerJob,
-        unfit: bool,
-        now: Instant,
-    ) -> Option<String> {
-        let home = &job.home;
-        if unfit && *home != self.cell && replica.is_present(home) {
-            return Some(home.clone());
+    ) -> Option<Action> {
+        if self.ineligible.contains_key(&id) {
+            // Without another cell that could take it, it stays until one is present.
+            let to = self.choose_cell_for_declined(round, job)?;
+            return Some(Action::HandOver {
+                id,
+                to,
+                reason: HandoverReason::Declined,
+            });
+        }
+        match self.choose_roomiest_cell(round, job) {
+            Some(to) => Some(Action::HandOver {
+                id,
+                to,
+                reason: HandoverReason::Waited,
+            }),
+            None => Some(Action::Reclaim { id }),
         }
-        let cells = replica.cells.keys().filter(|name| {
-            **name != self.cell
-                && !job.declined.contains(name)
-                && replica.is_present(name)
-                && !replica.is_draining(name)
-        });
-        let candidates = cells.filter_map(|name| candidate(replica, name, now));
-        let candidates: Vec<Candidate> = candidates.collect();
-        self.ranking.choose(&job.description, &candidates)
     }
 
-    /// Jobs of the records that are another cell's by now, or over.
-    fn withdrawals(&self, replica: &LedgerReplica, stamped: &[StampedJob]) -> Vec<Action> {
+    /// Withdrawals of jobs of the cell's records that another cell owns by now, or that have ended.
+    fn plan_withdrawals(&self, replica: &LedgerReplica, tracked: &[TrackedJob]) -> Vec<Action> {
         let mut actions = Vec::new();
-        for job in stamped {
+        for job in tracked {
             let held = replica.jobs.get(&job.id);
-            let is_ours = held.is_some_and(|held| held.record.owner == self.cell);
-            if job.stopped || is_ours || replica.is_unreadable(&job.id) {
+            let is_owned = held.is_some_and(|held| held.record.owner == self.cell);
+            if job.is_stopped || is_owned || replica.is_unreadable(&job.id) {
                 continue;
             }
             if self.is_halted(replica, job) {
                 actions.push(Action::Withdraw {
                     id: job.id.clone(),
-                    stamp: held.map_or(job.stamp, stamp_of),
-                    only_unbegun: false,
+                    ownership: held.map_or(job.ownership, ownership_of),
+                    condition: WithdrawalCondition::Always,
                 });
             }
         }
         actions
     }
-
-    /// Jobs of cells that are provably gone and that are for this cell to take. Cells take them in an
-    /// order that differs from job to job.
-    pub fn lost<'a>(
-        &self,
-        replica: &'a LedgerReplica,
-        now: Instant,
-    ) -> Vec<(&'a String, &'a LedgerJob)> {
-        let jobs = replica.jobs.iter();
-        let lost = jobs.filter(|(id, job)| self.is_lost(replica, id, &job.record, now));
-        lost.map(|(id, job)| (id, &job.record)).collect()
-    }
-
-    fn is_lost(&self, replica: &LedgerReplica, id: &str, job: &LedgerJob, now: Instant) -> bool {
-        let is_ours = job.owner == self.cell || job.declined.contains(&self.cell);
-        if is_ours || replica.is_draining(&self.cell) {
-            return false;
-        }
-        let absent = absent_for(replica, &job.owner, now);
-        absent.is_some_and(|absent| {
-            absent >= self.takeover_after
-                && absent >= self.takeover_after + NEXT_TAKES_AFTER * self.turn(replica, id)
-        })
-    }
-
-    fn takeovers(
-        &self,
-        replica: &LedgerReplica,
-        now: Instant,
-        runnable: &BTreeSet<String>,
-    ) -> Vec<Action> {
-        let mut lost: BTreeMap<&str, Vec<String>> = BTreeMap::new();
-        for (id, job) in self.lost(replica, now) {
-            if runnable.contains(id) {
-                lost.entry(&job.owner).or_default().push(id.clone());
-            }
-        }
-        let take_over = |(from, ids): (&str, Vec<String>)| Action::TakeOver {
-            from: from.to_owned(),
-            ids,
-        };
-        lost.into_iter().map(take_over).collect()
-    }
-
-    /// How many of the cells that are there come before this one for a job.
-    fn turn(&self, replica: &LedgerReplica, id: &str) -> u32 {
-        let weight = |cell: &str| {
-            let mut hasher = DefaultHasher::new();
-            (cell, id).hash(&mut hasher);
-            hasher.finish()
-        };
-        let own = weight(&self.cell);
-        let others = replica.cells.keys();
-        let before = others.filter(|name| {
-            replica.is_present(name) && !replica.is_draining(name) && weight(name) > own
-        });
-        before.count() as u32
-    }
 }
 
-/// What a cell said to have to spare; nothing if that is old, or if work waits there.
-fn candidate(replica: &LedgerReplica, cell: &str, now: Instant) -> Option<Candidate> {
-    let state = replica.cells.get(cell)?;
-    let summary = &state.presence.as_ref()?.record.summary;
-    let age = now.saturating_duration_since(state.heard_at?);
-    let candidate = Candidate {
-        name: cell.to_owned(),
-        free_cpus: summary.free_cpus,
-        can_rent: summary.can_rent,
-    };
-    let counts = age <= SUMMARY_COUNTS && summary.waiting == 0 && candidate.room() > 0.0;
-    counts.then_some(candidate)
+/// Whether a job that has not started is kept from starting by protection.
+fn is_excluded(state: LocalJobState) -> bool {
+    matches!(
+        state,
+        LocalJobState::Open {
+            excluded_by_protection: true,
+            ..
+        }
+    )
 }
 
-fn stamp_of(job: &Versioned<LedgerJob>) -> Stamp {
-    Stamp {
+fn ownership_of(job: &Versioned<LedgerJob>) -> OwnershipVersion {
+    OwnershipVersion {
         epoch: job.record.epoch,
-        mark: job.mark,
-    }
-}
-
-fn count_withdrawn(picture: &Picture) -> usize {
-    let withdrawn = |(_, local): &&(String, LocalJob)| *local == LocalJob::Withdrawn;
-    picture.owned.iter().filter(withdrawn).count()
-}
-
-fn absent_for(replica: &LedgerReplica, cell: &str, now: Instant) -> Option<Duration> {
-    let state = replica.cells.get(cell)?;
-    if state.presence.is_some() {
-        return None;
-    }
-    state
-        .absent_since
-        .map(|since| now.saturating_duration_since(since))
-}
-
-fn awaited(replica: &LedgerReplica, job: &LedgerJob) -> Awaited {
-    let mut all = Awaited::Done;
-    for id in &job.awaits {
-        if let Some(held) = replica.jobs.get(id) {
-            if held.record.cancelled {
-                return Awaited::Cancelled;
-            }
-            all = Awaited::Open;
-            continue;
-        }
-        match replica.final_state(id) {
-            Some(FinalState::Done) => {}
-            Some(FinalState::Cancelled) => return Awaited::Cancelled,
-            None => return Awaited::Unknown(id.clone()),
-        }
+        revision: job.revision,
     }
-    all
 }
 
 #[cfg(test)]
--- a/crates/rowanmill-cells/src/plan/tests.rs
+++ b/crates/rowanmill-cells/src/plan/tests.rs
@@ -1,10 +1,20 @@
+mod trace;
+
 use super::*;
-use crate::config::tests::file;
-use crate::record::{CellPresence, Drain, Summary};
+use crate::config::tests::valid_file;
+use crate::record::{CapacitySummary, CellPresence, DrainRequest};
+use handover::MAX_SUMMARY_AGE;
 use serde_json::json;
+use trace::{trace_action, trace_state, trace_withdrawals};
+
+const JOB: &str = "job-1";
+/// Epoch of the job in these tests.
+const EPOCH: u64 = 2;
+/// The ledger's revision of all records in these tests.
+const REVISION: u64 = 9;
 
 fn config() -> CellsConfig {
-    let mut file = file();
+    let mut file = valid_file();
     file["cells"] = json!([
         {"name": "a", "controllers": ["10.0.0.1:1"]},
         {"name": "b", "controllers": ["10.0.0.2:1"]},
@@ -13,21 +23,22 @@
     CellsConfig::parse(&file.to_string(), "test").unwrap()
 }
 
-fn job(owner: &str) -> LedgerJob {
+/// A job that cell `a` accepted.
+fn job_of(owner: &str) -> LedgerJob {
     LedgerJob {
         owner: owner.to_owned(),
-        epoch: 2,
-        home: "a".to_owned(),
-        cancelled: false,
-        moves: 0,
-        declined: Vec::new(),
-        awaits: Vec::new(),
-        accepted_ms: 0,
-        description: json!({}),
+        epoch: EPOCH,
+        ..LedgerJob::accepted_by("a", 0, Vec::new(), json!({}))
     }
 }
 
-fn present(replica: &mut LedgerReplica, cell: &str, summary: Summary, now: Instant) {
+fn insert_job(replica: &mut LedgerReplica, id: &str, record: LedgerJob) {
+    let revision = REVISION;
+    let held = Versioned { record, revision };
+    replica.jobs.insert(id.to_owned(), held);
+}
+
+fn set_present(replica: &mut LedgerReplica, cell: &str, summary: CapacitySummary, now: Instant) {
     let state = replica.cells.get_mut(cell).unwrap();
     state.presence = Some(Versioned {
         record: CellPresence {
@@ -35,271 +46,285 @@
             incarnation: 1,
             summary,
         },
-        mark: 1,
+        revision: 1,
     });
     state.absent_since = None;
-    state.heard_at = Some(now);
+    state.presence_updated_at = Some(now);
+}
+
+fn set_absent(replica: &mut LedgerReplica, cell: &str, since: Instant) {
+    let state = replica.cells.get_mut(cell).unwrap();
+    state.presence = None;
+    state.absent_since = Some(since);
+}
+
+fn set_draining(replica: &mut LedgerReplica, cell: &str) {
+    let state = replica.cells.get_mut(cell).unwrap();
+    state.drain = Some(DrainRequest { requested_ms: 1 });
 }
 
-fn with_room(free_cpus: f64) -> Summary {
-    Summary {
+fn with_free_cpus(free_cpus: f64) -> CapacitySummary {
+    CapacitySummary {
         free_cpus,
-        ..Summary::default()
+        ..CapacitySummary::default()
     }
 }
 
-/// Three cells that are there, `b` and `c` with room, and one job of cell `a`.
-fn scene(record: LedgerJob, now: Instant) -> LedgerReplica {
+/// Three cells that are present, `b` and `c` with free CPUs, and one job.
+fn replica_with(record: LedgerJob, now: Instant) -> LedgerReplica {
     let mut replica = LedgerReplica::new(["a", "b", "c"]);
-    replica.reset(Vec::new(), 9, now);
-    for (cell, room) in [("a", 0.0), ("b", 4.0), ("c", 8.0)] {
-        present(&mut replica, cell, with_room(room), now);
+    replica.reload_from_snapshot(Vec::new(), REVISION, now);
+    for (cell, free_cpus) in [("a", 0.0), ("b", 4.0), ("c", 8.0)] {
+        set_present(&mut replica, cell, with_free_cpus(free_cpus), now);
     }
-    let mark = 9;
-    replica
-        .jobs
-        .insert("job-1".to_owned(), Versioned { record, mark });
+    insert_job(&mut replica, JOB, record);
     replica
 }
 
-fn picture(local: LocalJob) -> Picture {
-    Picture {
-        owned: vec![("job-1".to_owned(), local)],
-        stamped: Vec::new(),
+fn owned_in_state(state: LocalJobState) -> LocalJobs {
+    LocalJobs {
+        owned: vec![(JOB.to_owned(), state)],
+        tracked: Vec::new(),
     }
 }
 
-fn open(begun: bool, waited_s: u64) -> LocalJob {
-    let age_ms = waited_s * 1000;
-    LocalJob::Open {
-        begun,
-        age_ms,
-        is_barred: false,
+fn open(has_started: bool, waited_s: u64) -> LocalJobState {
+    LocalJobState::Open {
+        has_started,
+        age_ms: waited_s * 1000,
+        excluded_by_protection: false,
     }
 }
 
-/// What is done about an owned job, for each place where the records may say that it stands.
+/// The actions of one round in which no job can be taken over.
+fn plan_once(
+    planner: &mut Planner,
+    replica: &LedgerReplica,
+    local_jobs: &LocalJobs,
+    now: Instant,
+) -> Vec<Action> {
+    planner.plan(replica, local_jobs, now, &BTreeSet::new())
+}
+
+/// The action for an owned job, by the state that the cell's own records give it.
 #[test]
-fn the_next_step_of_an_owned_job() {
+fn next_action_of_an_owned_job_by_its_local_state() {
     let now = Instant::now();
     let mut trace = String::new();
     let states = [
         open(false, 1),
         open(true, 100),
         open(false, 100),
-        LocalJob::Open {
-            begun: false,
+        LocalJobState::Open {
+            has_started: false,
             age_ms: 1,
-            is_barred: true,
+            excluded_by_protection: true,
         },
-        LocalJob::Cancelled,
-        LocalJob::Withdrawn,
-        LocalJob::Done,
-        LocalJob::EndedCancelled,
-        LocalJob::Absent,
+        LocalJobState::Cancelling,
+        LocalJobState::Withdrawn,
+        LocalJobState::Completed,
+        LocalJobState::Cancelled,
+        LocalJobState::Absent,
     ];
     for cancelled in [false, true] {
-        for local in states {
-            let mut record = job("a");
+        for state in states {
+            let mut record = job_of("a");
             record.cancelled = cancelled;
-            let replica = scene(record, now);
+            let replica = replica_with(record, now);
             let mut planner = Planner::new("a", &config());
-            let actions = planner.plan(&replica, &picture(local), now, &BTreeSet::new());
-            trace.push_str(&format!("cancelled {cancelled}, {local:?}: {actions:?}\n"));
+            let actions = plan_once(&mut planner, &replica, &owned_in_state(state), now);
+            let actions: Vec<String> = actions.iter().map(trace_action).collect();
+            let (state, actions) = (trace_state(state), actions.join(", "));
+            trace.push_str(&format!("cancelled {cancelled}, {state}: [{actions}]\n"));
         }
     }
     insta::assert_snapshot!(trace);
 }
 
-/// A job that was given up goes to the cell with most room, and back into the records if nobody has any;
-/// old summaries count for nothing, nor does room where work waits.
+/// A relinquished job goes to the cell with most capacity, and is reclaimed if none has any. Old summaries
+/// are not relied on, nor is capacity that work waits for.
 #[test]
-fn a_job_that_was_given_up_goes_where_there_is_room() {
+fn relinquished_job_is_handed_to_the_cell_with_most_capacity() {
     let now = Instant::now();
-    let plan = |replica: &LedgerReplica, now| {
+    let plan_at = |replica: &LedgerReplica, now| {
         let mut planner = Planner::new("a", &config());
-        planner.note_given_up("job-1", 2);
-        planner.plan(replica, &picture(LocalJob::Absent), now, &BTreeSet::new())
+        planner.record_relinquished(JOB, EPOCH);
+        let local_jobs = owned_in_state(LocalJobState::Absent);
+        plan_once(&mut planner, replica, &local_jobs, now)
     };
-    let id = || "job-1".to_owned();
-    let to = |cell: &str| Action::HandOver {
+    let id = || JOB.to_owned();
+    let hand_over_to = |cell: &str| Action::HandOver {
         id: id(),
         to: cell.to_owned(),
-        waited: true,
+        reason: HandoverReason::Waited,
     };
-    let mut replica = scene(job("a"), now);
-    assert_eq!(plan(&replica, now), [to("c")]);
-    let waiting = Summary {
-        waiting: 1,
-        ..with_room(8.0)
+    let mut replica = replica_with(job_of("a"), now);
+    assert_eq!(plan_at(&replica, now), [hand_over_to("c")]);
+    let busy = CapacitySummary {
+        waiting_tasks: 1,
+        ..with_free_cpus(8.0)
     };
-    present(&mut replica, "c", waiting, now);
-    assert_eq!(plan(&replica, now), [to("b")]);
-    let later = now + SUMMARY_COUNTS + Duration::from_secs(1);
-    assert_eq!(plan(&replica, later), [Action::Claim { id: id() }]);
-    // Under another epoch it is to be taken again.
-    replica.jobs.get_mut("job-1").unwrap().record.epoch = 3;
-    assert_eq!(plan(&replica, now), [Action::Adopt { id: id() }]);
+    set_present(&mut replica, "c", busy, now);
+    assert_eq!(plan_at(&replica, now), [hand_over_to("b")]);
+    let later = now + MAX_SUMMARY_AGE + Duration::from_secs(1);
+    assert_eq!(plan_at(&replica, later), [Action::Reclaim { id: id() }]);
+    // Under another epoch it is to be adopted again.
+    replica.jobs.get_mut(JOB).unwrap().record.epoch = EPOCH + 1;
+    assert_eq!(plan_at(&replica, now), [Action::Adopt { id: id() }]);
 }
 
-/// A job moves a bounded number of times, and a bounded number at a time.
+/// The number of times that a job changes cells is bounded, and so is the number of jobs that are leaving.
 #[test]
 fn spilling_is_bounded() {
     let now = Instant::now();
-    let waits = |moves: u32, given_up: usize| {
-        let mut record = job("a");
-        record.moves = moves;
-        let mut replica = scene(record, now);
+    let leaves = |spill_count: u32, relinquished: usize| {
+        let mut record = job_of("a");
+        record.spill_count = spill_count;
+        let mut replica = replica_with(record, now);
         let mut planner = Planner::new("a", &config());
-        for number in 0..given_up {
+        for number in 0..relinquished {
             let id = format!("job-9{number}");
-            let mark = 9;
-            let record = job("a");
-            replica.jobs.insert(id.clone(), Versioned { record, mark });
-            planner.note_given_up(&id, 2);
+            insert_job(&mut replica, &id, job_of("a"));
+            planner.record_relinquished(&id, EPOCH);
         }
-        let local = picture(open(false, 100));
-        let actions = planner.plan(&replica, &local, now, &BTreeSet::new());
-        actions.iter().any(|a| matches!(a, Action::Withdraw { .. }))
+        let local_jobs = owned_in_state(open(false, 100));
+        let actions = plan_once(&mut planner, &replica, &local_jobs, now);
+        actions
+            .iter()
+            .any(|action| matches!(action, Action::Withdraw { .. }))
     };
-    assert!(waits(0, 0) && waits(2, 7));
-    assert!(!waits(3, 0), "moved too often");
-    assert!(!waits(0, 8), "too many on their way");
+    assert!(leaves(0, 0) && leaves(2, 7));
+    assert!(!leaves(3, 0), "moved too often");
+    assert!(!leaves(0, 8), "too many are leaving");
 }
 
-/// One that cannot run it hands a job to its home, or keeps it until another cell is there.
+/// A cell that cannot run a job hands it to its home, or keeps it until another cell is present.
 #[test]
-fn what_a_cell_cannot_run_goes_home() {
+fn declined_job_is_handed_to_its_home() {
     let now = Instant::now();
-    let mut replica = scene(job("b"), now);
+    let mut replica = replica_with(job_of("b"), now);
     let mut planner = Planner::new("b", &config());
-    planner.note_unfit("job-1", 2, now);
-    let local = || picture(LocalJob::Absent);
-    let actions = planner.plan(&replica, &local(), now, &BTreeSet::new());
-    let id = || "job-1".to_owned();
-    assert_eq!(actions, [Action::GiveUp { id: id(), epoch: 2 }]);
-    planner.note_given_up("job-1", 2);
-    let actions = planner.plan(&replica, &local(), now, &BTreeSet::new());
-    let home = Action::HandOver {
+    planner.record_ineligible(JOB, EPOCH, now);
+    let absent = || owned_in_state(LocalJobState::Absent);
+    let actions = plan_once(&mut planner, &replica, &absent(), now);
+    let id = || JOB.to_owned();
+    let relinquish = Action::Relinquish {
+        id: id(),
+        epoch: EPOCH,
+    };
+    assert_eq!(actions, [relinquish]);
+    planner.record_relinquished(JOB, EPOCH);
+    let actions = plan_once(&mut planner, &replica, &absent(), now);
+    let hand_over = Action::HandOver {
         id: id(),
         to: "a".to_owned(),
-        waited: false,
+        reason: HandoverReason::Declined,
     };
-    assert_eq!(actions, [home]);
+    assert_eq!(actions, [hand_over]);
     for cell in ["a", "c"] {
         replica.cells.get_mut(cell).unwrap().presence = None;
     }
-    assert_eq!(
-        planner.plan(&replica, &local(), now, &BTreeSet::new()),
-        Vec::new()
-    );
+    let actions = plan_once(&mut planner, &replica, &absent(), now);
+    assert_eq!(actions, Vec::new());
 }
 
-/// A cell's jobs are taken over once it has been missing for long enough, by one cell before the next, and
+/// A cell's jobs are taken over once it has been absent for long enough, by one cell before the next, and
 /// only by one that could run them.
 #[test]
-fn jobs_of_a_missing_cell_are_taken_over_in_turn() {
+fn absent_cells_jobs_are_taken_over_by_one_cell_after_another() {
     let now = Instant::now();
-    let mut replica = scene(job("a"), now);
-    let state = replica.cells.get_mut("a").unwrap();
-    state.presence = None;
-    state.absent_since = Some(now);
-    let runnable = BTreeSet::from(["job-1".to_owned()]);
+    let mut replica = replica_with(job_of("a"), now);
+    set_absent(&mut replica, "a", now);
+    let runnable = BTreeSet::from([JOB.to_owned()]);
     let config = config();
-    let takes = |cell: &str, after_s: f64, runnable: &BTreeSet<String>| {
+    let takes_over = |cell: &str, after_s: f64, runnable: &BTreeSet<String>| {
         let mut planner = Planner::new(cell, &config);
         let at = now + Duration::from_secs_f64(after_s);
-        let actions = planner.plan(&replica, &Picture::default(), at, runnable);
-        actions.iter().any(|a| matches!(a, Action::TakeOver { .. }))
+        let actions = planner.plan(&replica, &LocalJobs::default(), at, runnable);
+        actions
+            .iter()
+            .any(|action| matches!(action, Action::TakeOver { .. }))
     };
-    let both = |after_s| ["b", "c"].map(|cell| takes(cell, after_s, &runnable));
+    let both = |after_s| ["b", "c"].map(|cell| takes_over(cell, after_s, &runnable));
     assert_eq!(both(44.9), [false, false]);
     assert_eq!(both(45.1).iter().filter(|takes| **takes).count(), 1);
     assert_eq!(both(47.1), [true, true]);
-    assert!(!takes("b", 100.0, &BTreeSet::new()));
+    assert!(!takes_over("b", 100.0, &BTreeSet::new()));
 }
 
-/// What a controller must not run, and what it records about that.
+/// Which jobs of its records a controller must not run, and that they are withdrawn.
 #[test]
-fn records_that_the_ledger_contradicts_are_withdrawn() {
+fn jobs_that_the_ledger_contradicts_are_halted_and_withdrawn() {
     let now = Instant::now();
-    let replica = scene(job("b"), now);
-    let planner = Planner::new("a", &config());
-    let stamped = |id: &str, mark: u64| StampedJob {
+    let replica = replica_with(job_of("b"), now);
+    let mut planner = Planner::new("a", &config());
+    let tracked_job = |id: &str, revision: u64| TrackedJob {
         id: id.to_owned(),
-        stamp: Stamp { epoch: 1, mark },
-        stopped: false,
+        ownership: OwnershipVersion { epoch: 1, revision },
+        is_stopped: false,
     };
-    let all = [
-        stamped("job-1", 3),
-        stamped("job-over", 5),
-        stamped("job-just-accepted", 12),
+    let tracked = [
+        tracked_job(JOB, 3),
+        tracked_job("job-over", 5),
+        tracked_job("job-just-accepted", 12),
     ];
-    let halted = planner.halted(&replica, &all);
-    assert_eq!(halted, ["job-1", "job-over"].map(str::to_owned).into());
-    let mut planner = planner;
-    let picture = Picture {
+    let halted = planner.halted_jobs(&replica, &tracked);
+    assert_eq!(halted, [JOB, "job-over"].map(str::to_owned).into());
+    let local_jobs = LocalJobs {
         owned: Vec::new(),
-        stamped: all.to_vec(),
+        tracked: tracked.to_vec(),
     };
-    let actions = planner.plan(&replica, &picture, now, &BTreeSet::new());
-    insta::assert_debug_snapshot!(actions);
+    let actions = plan_once(&mut planner, &replica, &local_jobs, now);
+    insta::assert_snapshot!(trace_withdrawals(&actions));
 }
 
-/// A job that waits for others is put into the records once they are done, and cancelled with them.
+/// A job that depends on others is adopted once they are done, and cancelled if one of them was.
 #[test]
-fn what_a_job_waits_for_decides() {
+fn dependent_job_is_adopted_or_cancelled_by_its_dependencies() {
     let now = Instant::now();
-    let mut record = job("a");
-    record.awaits = vec!["job-7".to_owned()];
-    let mut replica = scene(record, now);
+    let mut record = job_of("a");
+    record.depends_on = vec!["job-7".to_owned()];
+    let mut replica = replica_with(record, now);
     let id = |id: &str| id.to_owned();
     let plan = |replica: &LedgerReplica| {
         let mut planner = Planner::new("a", &config());
-        planner.plan(replica, &picture(LocalJob::Absent), now, &BTreeSet::new())
-    };
-    assert_eq!(plan(&replica), [Action::LookUp { id: id("job-7") }]);
-    let held = Versioned {
-        record: job("b"),
-        mark: 8,
+        let local_jobs = owned_in_state(LocalJobState::Absent);
+        plan_once(&mut planner, replica, &local_jobs, now)
     };
-    replica.jobs.insert(id("job-7"), held);
+    let read = Action::ReadFinalState { id: id("job-7") };
+    assert_eq!(plan(&replica), [read]);
+    insert_job(&mut replica, "job-7", job_of("b"));
     assert_eq!(plan(&replica), Vec::new());
-    replica.remember_final("job-7", FinalState::Done);
-    assert_eq!(plan(&replica), [Action::Adopt { id: id("job-1") }]);
-    let mut other = scene(replica.jobs["job-1"].record.clone(), now);
-    other.remember_final("job-7", FinalState::Cancelled);
-    assert_eq!(plan(&other), [Action::CancelInLedger { id: id("job-1") }]);
+    replica.record_final_state("job-7", FinalState::Done);
+    assert_eq!(plan(&replica), [Action::Adopt { id: id(JOB) }]);
+    let mut other = replica_with(replica.jobs[JOB].record.clone(), now);
+    other.record_final_state("job-7", FinalState::Cancelled);
+    assert_eq!(plan(&other), [Action::CancelInLedger { id: id(JOB) }]);
 }
 
-/// What has not begun leaves a cell that is being drained, however short it waited and however often it was
-/// moved; nothing goes there, and it takes nothing over.
+/// Jobs that have not started leave a cell that is being drained, however short they waited and however
+/// often they were moved. No job goes to such a cell, and it takes none over.
 #[test]
-fn a_drained_cell_is_left() {
+fn drained_cell_is_left_and_takes_nothing() {
     let now = Instant::now();
-    let drain = |replica: &mut LedgerReplica, cell: &str| {
-        let state = replica.cells.get_mut(cell).unwrap();
-        state.drain = Some(Drain { since_ms: 1 });
-    };
     let leaves = |replica: &LedgerReplica| {
         let mut planner = Planner::new("a", &config());
-        let local = picture(open(false, 0));
-        let actions = planner.plan(replica, &local, now, &BTreeSet::new());
+        let local_jobs = owned_in_state(open(false, 0));
+        let actions = plan_once(&mut planner, replica, &local_jobs, now);
         matches!(actions[..], [Action::Withdraw { .. }])
     };
-    let mut record = job("a");
-    record.moves = 99;
-    let mut replica = scene(record, now);
+    let mut record = job_of("a");
+    record.spill_count = 99;
+    let mut replica = replica_with(record, now);
     assert!(!leaves(&replica));
-    drain(&mut replica, "a");
+    set_draining(&mut replica, "a");
     assert!(leaves(&replica));
     for cell in ["b", "c"] {
-        drain(&mut replica, cell);
+        set_draining(&mut replica, cell);
     }
     assert!(!leaves(&replica), "there is nowhere to go");
-    let state = replica.cells.get_mut("a").unwrap();
-    state.presence = None;
-    state.absent_since = Some(now);
+    set_absent(&mut replica, "a", now);
     let late = now + Duration::from_secs(1_000);
-    assert!(Planner::new("b", &config()).lost(&replica, late).is_empty());
+    let planner = Planner::new("b", &config());
+    assert!(planner.takeover_candidates(&replica, late).is_empty());
 }
--- a/crates/rowanmill-cells/src/ranking/tests.rs
+++ b/crates/rowanmill-cells/src/ranking/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_built_in_order_prefers_a_cell_that_may_rent() {
+fn built_in_order_prefers_a_cell_that_may_rent() {
     let ranking = Ranking::default();
     let all = cells();
     assert_eq!(ranking.choose(&json!({}), &all).as_deref(), Some("hue"));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_script_chooses_by_the_job_and_the_cells() {
+fn script_chooses_by_job_and_cells() {
     let by_class =
         "fn choose(job, cells) { if job.grist == \"render\" { \"danang\" } else { \"hue\" } }";
     assert_eq!(choose(by_class).as_deref(), Some("danang"));
@@ -43,10 +43,10 @@
     assert_eq!(choose(least).as_deref(), Some("hanoi"));
 }
 
-/// Whatever a script does wrong, a cell is chosen all the same, and soon.
+/// However a script fails, a cell is chosen within a bounded time.
 #[test]
-fn a_script_that_fails_leaves_the_built_in_order() {
-    let wrong = [
+fn failing_script_falls_back_to_the_built_in_order() {
+    let failing = [
         "fn choose(job, cells) { loop { } }",
         "fn choose(job, cells) { choose(job, cells) }",
         "fn choose(job, cells) { let t = \"x\"; loop { t += t; } }",
@@ -56,15 +56,15 @@
         "fn choose(job, cells) { 7 }",
         "fn choose(job, cells) { }",
     ];
-    for script in wrong {
-        let began = Instant::now();
+    for script in failing {
+        let started = Instant::now();
         assert_eq!(choose(script).as_deref(), Some("hue"), "{script}");
-        assert!(began.elapsed() < Duration::from_secs(2), "{script}");
+        assert!(started.elapsed() < Duration::from_secs(2), "{script}");
     }
 }
 
 #[test]
-fn what_is_no_such_script_is_refused() {
+fn script_without_the_function_is_refused() {
     assert_eq!(
         Script::parse("let x = 1;").unwrap_err(),
         ScriptError::NoFunction
@@ -75,9 +75,9 @@
     assert!(matches!(broken, Err(ScriptError::Malformed(_))));
 }
 
-/// The examples of the operators' page, as they stand there.
+/// The examples of the operators' page, as printed there.
 #[test]
-fn the_documented_scripts_hold() {
+fn documented_scripts_run() {
     let page = include_str!("../../../../docs/operations.md");
     let blocks: Vec<&str> = page
         .split("```rhai\n")
--- a/crates/rowanmill-cells/src/record.rs
+++ b/crates/rowanmill-cells/src/record.rs
@@ -1,74 +1,129 @@
-//! What the ledger holds.
+//! Keys and records of the ledger.
 //!
-//! | key | what it holds | who writes it |
+//! | key | record | written by |
 //! | --- | --- | --- |
-//! | `c/l/j/JOB` | an open job: its owner, epoch and description | any cell, guarded by its revision |
-//! | `c/l/n/CELL` | a cell's presence, on its lease | the cell's leader |
-//! | `c/l/g/CELL` | how often the cell registered; changes with each registration | the cell's leader |
-//! | `c/l/d/CELL` | that an operator drains the cell | the client |
-//! | `c/e/JOB` | a job's final state, for ever | the job's owner |
+//! | `c/l/j/JOB` | an open job: its owner, epoch and description | any cell, with its revision as the precondition |
+//! | `c/l/n/CELL` | a cell's presence, attached to its lease | the cell's leader |
+//! | `c/l/g/CELL` | how often the cell registered; rises with each registration | the cell's leader |
+//! | `c/l/d/CELL` | an operator's request to drain the cell | the client |
+//! | `c/e/JOB` | a job's final state, kept for good | the job's owner |
+//!
+//! The JSON names are stored data and must not change: renamed fields keep them by `serde(rename)`.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// What every cell follows. Final states lie outside it, so that memory stays bounded.
+/// Prefix of the keys that every cell watches. Final states have another one, so that the memory of a
+/// replica stays bounded.
 pub const LIVE_PREFIX: &str = "c/l/";
 
-/// The key of an open job.
+/// Key of an open job.
 pub fn job_key(id: &str) -> String {
     format!("{LIVE_PREFIX}j/{id}")
 }
 
-/// The key of a cell's presence.
+/// Key of a cell's presence.
 pub fn presence_key(cell: &str) -> String {
     format!("{LIVE_PREFIX}n/{cell}")
 }
 
-/// The key of a cell's registrations.
+/// Key of a cell's count of registrations.
 pub fn generation_key(cell: &str) -> String {
     format!("{LIVE_PREFIX}g/{cell}")
 }
 
-/// The key that says that a cell is to be left by what has not begun.
+/// Key of the request to drain a cell.
 pub fn drain_key(cell: &str) -> String {
     format!("{LIVE_PREFIX}d/{cell}")
 }
 
-/// The key of a job's final state.
+/// Key of a job's final state.
 pub fn final_key(id: &str) -> String {
     format!("c/e/{id}")
 }
 
+/// Epoch of a job that has been with the cell that accepted it from the start.
+pub const FIRST_EPOCH: u64 = 1;
+
+/// What a live key, one under [`LIVE_PREFIX`], is the key of.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum LiveKey<'a> {
+    /// An open job.
+    Job(&'a str),
+    /// A cell's presence.
+    Presence(&'a str),
+    /// A cell's count of registrations.
+    Generation(&'a str),
+    /// A request to drain a cell.
+    Drain(&'a str),
+    /// Nothing that this version knows.
+    Unknown,
+}
+
+impl<'a> LiveKey<'a> {
+    /// `None` for a key that is not under the prefix.
+    pub fn parse(key: &'a str) -> Option<Self> {
+        let rest = key.strip_prefix(LIVE_PREFIX)?;
+        Some(match rest.split_once('/') {
+            Some(("j", id)) => Self::Job(id),
+            Some(("n", cell)) => Self::Presence(cell),
+            Some(("g", cell)) => Self::Generation(cell),
+            Some(("d", cell)) => Self::Drain(cell),
+            _ => Self::Unknown,
+        })
+    }
+}
+
 /// An open job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LedgerJob {
     /// The cell that runs it.
     pub owner: String,
-    /// Rises with each change of owner, and with each renewed claim.
+    /// Ownership epoch. Rises with each change of owner, and when the owner reclaims the job.
     pub epoch: u64,
     /// The cell that accepted it, and so can run it.
     pub home: String,
-    /// Its user asked for its cancellation and was told so.
+    /// Its user requested its cancellation, and the request was confirmed.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub cancelled: bool,
-    /// How often it was moved because it waited.
-    #[serde(default)]
-    pub moves: u32,
-    /// Cells that cannot run it.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub declined: Vec<String>,
-    /// Jobs that must be done before it starts.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub awaits: Vec<String>,
-    /// Milliseconds since the epoch at acceptance.
+    /// How often it changed cells because it waited.
+    #[serde(rename = "moves", default)]
+    pub spill_count: u32,
+    /// Cells that declined it because they cannot run it.
+    #[serde(rename = "declined", default, skip_serializing_if = "Vec::is_empty")]
+    pub declined_by: Vec<String>,
+    /// Jobs that must complete before it starts.
+    #[serde(rename = "awaits", default, skip_serializing_if = "Vec::is_empty")]
+    pub depends_on: Vec<String>,
+    /// Time of acceptance, in milliseconds since the Unix epoch.
     pub accepted_ms: u64,
     /// Its description, as its user submitted it.
     pub description: Value,
 }
 
 impl LedgerJob {
-    /// The record after its owner changed.
-    pub fn owned_by(&self, cell: &str) -> Self {
+    /// A new job that `cell` accepts, under the first epoch.
+    pub fn accepted_by(
+        cell: &str,
+        accepted_ms: u64,
+        depends_on: Vec<String>,
+        description: Value,
+    ) -> Self {
+        Self {
+            owner: cell.to_owned(),
+            epoch: FIRST_EPOCH,
+            home: cell.to_owned(),
+            cancelled: false,
+            spill_count: 0,
+            declined_by: Vec::new(),
+            depends_on,
+            accepted_ms,
+            description,
+        }
+    }
+
+    /// The record after `cell` became the owner.
+    pub fn with_owner(&self, cell: &str) -> Self {
         Self {
             owner: cell.to_owned(),
             epoch: self.epoch + 1,
@@ -76,10 +131,10 @@
         }
     }
 
-    /// The record under a new epoch of the same owner. A handover that was sent before and is carried
-    /// out late then fails on its guard.
-    pub fn claimed_anew(&self) -> Self {
-        self.owned_by(&self.owner)
+    /// The record under a new epoch of the same owner. A handover that was sent before, and is carried
+    /// out late, then fails on its precondition.
+    pub fn reclaimed(&self) -> Self {
+        self.with_owner(&self.owner)
     }
 
     /// The record of a job that its user cancelled.
@@ -95,54 +150,58 @@
 pub enum FinalState {
     /// All its tasks completed.
     Done,
-    /// Its user cancelled it, or a job that it waited for.
+    /// It was cancelled by its user, or because a job that it depends on was.
     Cancelled,
 }
 
-/// What a cell's own record of a job says of the ledger's.
+/// The version of a job's record in the ledger by which a cell's own record was written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stamp {
-    /// The epoch under which the cell took it.
+pub struct OwnershipVersion {
+    /// Ownership epoch of that record.
     pub epoch: u64,
-    /// The ledger's revision of that.
-    pub mark: u64,
+    /// The ledger's revision of that record.
+    #[serde(rename = "mark")]
+    pub revision: u64,
 }
 
-/// What a cell has to offer, as it last said.
+/// The capacity that a cell last published.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Summary {
-    /// Milliseconds since the epoch when it was made.
-    pub at_ms: u64,
-    /// Tasks that wait.
-    pub waiting: u64,
-    /// CPUs of its machines on which nothing runs.
+pub struct CapacitySummary {
+    /// When it was computed, in milliseconds since the Unix epoch.
+    #[serde(rename = "at_ms")]
+    pub computed_ms: u64,
+    /// Number of tasks that wait for a machine.
+    #[serde(rename = "waiting")]
+    pub waiting_tasks: u64,
+    /// CPUs of the cell's machines that no task uses.
     pub free_cpus: f64,
-    /// Its cloud refused nothing of late.
+    /// The cell's cloud has not recently refused a rental.
     pub can_rent: bool,
 }
 
 /// A cell's presence.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CellPresence {
-    /// The controller that registered it.
+    /// The controller that registered the cell.
     pub controller: String,
-    /// That process.
+    /// The incarnation of that controller's process.
     pub incarnation: u64,
-    /// What the cell has to offer.
+    /// The cell's capacity.
     #[serde(default)]
-    pub summary: Summary,
+    pub summary: CapacitySummary,
 }
 
-/// An operator drains a cell.
+/// An operator's request to drain a cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Drain {
-    /// Milliseconds since the epoch when that was asked for.
-    pub since_ms: u64,
+pub struct DrainRequest {
+    /// Time of the request, in milliseconds since the Unix epoch.
+    #[serde(rename = "since_ms")]
+    pub requested_ms: u64,
 }
 
 /// A cell's registrations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Generation {
-    /// How many there were.
+    /// Number of registrations so far.
     pub count: u64,
 }
--- a/crates/rowanmill-cells/src/replica.rs
+++ b/crates/rowanmill-cells/src/replica.rs
@@ -1,13 +1,21 @@
-//! A copy of the ledger's live records, kept by following its log.
+//! A copy of the ledger's live records, kept up to date by watching its log.
+//!
+//! It holds what was read, and decides nothing. Records that cannot be read are counted and otherwise
+//! ignored.
 
-use crate::contact::CANCELLATION_SETTLES;
+mod final_states;
+mod recent_changes;
+
+use crate::contact::CANCELLATION_EFFECT_DELAY;
 use crate::record::{
-    CellPresence, Drain, FinalState, Generation, LIVE_PREFIX, LedgerJob, generation_key,
+    CellPresence, DrainRequest, FinalState, Generation, LedgerJob, LiveKey, generation_key,
     presence_key,
 };
+use final_states::FinalStateCache;
+use recent_changes::RecentChanges;
 use rowanmill_state::{Change, Guard, Pair};
 use serde::Deserialize;
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::BTreeMap;
 use std::time::Instant;
 
 /// A record with the revision of its last change.
@@ -15,56 +23,47 @@
 pub struct Versioned<T> {
     /// The record.
     pub record: T,
-    /// Its revision.
-    pub mark: u64,
+    /// The ledger's revision that it was written at.
+    pub revision: u64,
 }
 
-/// What is known of a cell.
+/// The ledger's records of one cell.
 #[derive(Debug, Clone, Default)]
 pub struct CellState {
     /// Its presence, while its lease holds.
     pub presence: Option<Versioned<CellPresence>>,
     /// Its registrations so far.
     pub generation: Option<Versioned<Generation>>,
-    /// Since when its presence is known to be missing.
+    /// When its absence was read; `None` while it is present.
     pub absent_since: Option<Instant>,
-    /// When its presence was last read anew.
-    pub heard_at: Option<Instant>,
-    /// An operator drains it.
-    pub drain: Option<Drain>,
+    /// When its presence was last read.
+    pub presence_updated_at: Option<Instant>,
+    /// An operator's request to drain it.
+    pub drain: Option<DrainRequest>,
 }
 
-/// Final states in memory; older ones are read from the ledger.
-const MOST_FINALS: usize = 20_000;
-/// Changes of jobs in memory: as many as the ledger's log keeps.
-const MOST_CHANGES: usize = 10_000;
-
 /// The replica.
 #[derive(Debug, Default)]
 pub struct LedgerReplica {
-    /// All changes up to here are in.
+    /// All changes up to this revision are applied.
     pub revision: u64,
     /// Open jobs.
     pub jobs: BTreeMap<String, Versioned<LedgerJob>>,
-    /// Cells of the operators' file. What others write under names that are not in it is counted as
-    /// malformed and changes nothing.
+    /// Cells of the operators' file. Records under other names are counted as malformed and change
+    /// nothing.
     pub cells: BTreeMap<String, CellState>,
-    /// Records that could not be read, or are of no known cell.
-    pub malformed: u64,
-    /// Open jobs whose record cannot be read: they are known, and nothing else is said of them.
+    /// Number of records that could not be read, or that belong to no known cell.
+    pub malformed_records: u64,
+    /// Open jobs whose record cannot be read: they are known to exist, and nothing else is known of them.
     unreadable: BTreeMap<String, u64>,
     /// When the cancellation of an open job was first read.
     cancelled_at: BTreeMap<String, Instant>,
-    /// Changes of jobs of late, for others that cannot read them.
-    changes: VecDeque<(u64, String)>,
-    /// All later changes of jobs are among these.
-    changes_from: u64,
-    finals: HashMap<String, FinalState>,
-    finals_order: VecDeque<String>,
+    recent_changes: RecentChanges,
+    final_states: FinalStateCache,
 }
 
 impl LedgerReplica {
-    /// An empty one, for these cells.
+    /// An empty replica for the cells of these names.
     pub fn new<'a>(cells: impl IntoIterator<Item = &'a str>) -> Self {
         let cells = cells.into_iter();
         Self {
@@ -75,13 +74,13 @@
         }
     }
 
-    /// Starts again from a listing. A cell that is not in it counts as missing from now on.
-    pub fn reset(&mut self, pairs: Vec<Pair>, revision: u64, now: Instant) {
+    /// Replaces all live records by those of a listing. A cell that is not in it counts as absent from
+    /// `now` on.
+    pub fn reload_from_snapshot(&mut self, pairs: Vec<Pair>, revision: u64, now: Instant) {
         self.jobs.clear();
         self.unreadable.clear();
         self.cancelled_at.clear();
-        self.changes.clear();
-        self.changes_from = revision;
+        self.recent_changes.reset(revision);
         for cell in self.cells.values_mut() {
             *cell = CellState {
                 absent_since: Some(now),
@@ -89,231 +88,220 @@
             };
         }
         for pair in pairs {
-            self.put(&pair.k, pair.data.get(), pair.mark, now);
+            self.apply_put(&pair.k, pair.data.get(), pair.mark, now);
         }
         self.revision = revision;
     }
 
-    /// Takes in what a reading of the log returned. Answers may overlap.
-    pub fn take(&mut self, log: Vec<Change>, revision: u64, now: Instant) {
+    /// Applies changes that were read from the log up to `revision`. Answers may overlap: a change that is
+    /// already applied is skipped.
+    pub fn apply_changes(&mut self, log: Vec<Change>, revision: u64, now: Instant) {
         for change in log {
             if change.mark <= self.revision {
                 continue;
             }
-            if let Some(key) = change.set.as_ref().or(change.drop.as_ref()) {
-                self.note_change(key, change.mark);
+            if let Some(key) = change.set.as_ref().or(change.drop.as_ref())
+                && let Some(LiveKey::Job(id)) = LiveKey::parse(key)
+            {
+                self.recent_changes.record(id, change.mark);
             }
             if let (Some(key), Some(data)) = (&change.set, &change.data) {
-                self.put(key, data.get(), change.mark, now);
+                self.apply_put(key, data.get(), change.mark, now);
             } else if let Some(key) = &change.drop {
-                self.remove(key, change.mark, now);
+                self.apply_delete(key, change.mark, now);
             }
         }
         self.revision = self.revision.max(revision);
     }
 
-    fn note_change(&mut self, key: &str, mark: u64) {
-        let rest = key.strip_prefix(LIVE_PREFIX);
-        let Some(("j", id)) = rest.and_then(|rest| rest.split_once('/')) else {
-            return;
-        };
-        self.changes.push_back((mark, id.to_owned()));
-        if self.changes.len() > MOST_CHANGES
-            && let Some((oldest, _)) = self.changes.pop_front()
-        {
-            self.changes_from = self.changes_from.max(oldest);
-        }
-    }
-
-    /// The jobs that changed after a revision and that a cell must not run by what is known here; none
-    /// if that cannot be told.
-    pub fn lost_since(&self, cell: &str, revision: u64) -> Option<Vec<String>> {
-        if revision < self.changes_from {
-            return None;
-        }
-        let runs = |id: &str| {
+    /// The jobs that changed after `revision` and that `cell` must not run by the records held here.
+    /// `None` if not all those changes are in memory.
+    pub fn revoked_since(&self, cell: &str, revision: u64) -> Option<Vec<String>> {
+        let may_run = |id: &str| {
             let job = self.jobs.get(id);
             job.is_some_and(|job| job.record.owner == cell && !job.record.cancelled)
         };
-        let changed = self.changes.iter().filter(|(mark, _)| *mark > revision);
-        let lost = changed.filter(|(_, id)| !runs(id));
-        Some(lost.map(|(_, id)| id.clone()).collect())
+        let changed = self.recent_changes.since(revision)?;
+        let revoked = changed.filter(|id| !may_run(id));
+        Some(revoked.map(str::to_owned).collect())
     }
 
-    /// Takes in a job's record that this process wrote, as soon as that is answered.
-    pub fn note_job(&mut self, id: &str, record: LedgerJob, mark: u64, now: Instant) {
-        // The log may have told of its end already.
-        if mark <= self.revision || self.finals.contains_key(id) {
+    /// Applies a job's record that this process wrote, as soon as the write is acknowledged.
+    pub fn apply_own_write(&mut self, id: &str, record: LedgerJob, revision: u64, now: Instant) {
+        // The log may have brought the job's end already.
+        if revision <= self.revision || self.final_state(id).is_some() {
             return;
         }
-        let held = self.jobs.get(id).map_or(0, |held| held.mark);
-        if mark > held {
-            // Others may ask for it before the log tells of it.
-            self.changes.push_back((mark, id.to_owned()));
-            self.hold(id, record, mark, now);
+        let held = self.jobs.get(id).map_or(0, |held| held.revision);
+        if revision > held {
+            // Others may ask for the change before the log brings it.
+            self.recent_changes.record_own_write(id, revision);
+            self.insert_job(id, record, revision, now);
         }
     }
 
-    /// Puts one record, unless a newer one is held.
-    fn put(&mut self, key: &str, data: &str, mark: u64, now: Instant) {
-        let Some(rest) = key.strip_prefix(LIVE_PREFIX) else {
-            return;
-        };
-        let Some((slice, name)) = rest.split_once('/') else {
-            self.malformed += 1;
+    /// Applies one record, unless a newer one is held.
+    fn apply_put(&mut self, key: &str, data: &str, revision: u64, now: Instant) {
+        let Some(live_key) = LiveKey::parse(key) else {
             return;
         };
-        match slice {
-            "j" => self.put_job(name, data, mark, now),
-            "n" => {
-                let presence: Option<CellPresence> = self.read(key, data);
-                if let (Some(record), Some(cell)) = (presence, self.cell(name)) {
-                    cell.presence = Some(Versioned { record, mark });
+        match live_key {
+            LiveKey::Job(id) => self.apply_job(id, data, revision, now),
+            LiveKey::Presence(name) => {
+                if let Some((record, cell)) = self.parse_cell_record(key, name, data) {
+                    cell.presence = Some(Versioned { record, revision });
                     cell.absent_since = None;
-                    cell.heard_at = Some(now);
+                    cell.presence_updated_at = Some(now);
                 }
             }
-            "g" => {
-                let generation: Option<Generation> = self.read(key, data);
-                if let (Some(record), Some(cell)) = (generation, self.cell(name)) {
-                    cell.generation = Some(Versioned { record, mark });
+            LiveKey::Generation(name) => {
+                if let Some((record, cell)) = self.parse_cell_record(key, name, data) {
+                    cell.generation = Some(Versioned { record, revision });
                 }
             }
-            "d" => {
-                let drain: Option<Drain> = self.read(key, data);
-                if let (Some(drain), Some(cell)) = (drain, self.cell(name)) {
-                    cell.drain = Some(drain);
+            LiveKey::Drain(name) => {
+                if let Some((request, cell)) = self.parse_cell_record(key, name, data) {
+                    cell.drain = Some(request);
                 }
             }
-            _ => self.malformed += 1,
+            LiveKey::Unknown => self.malformed_records += 1,
         }
     }
 
-    fn put_job(&mut self, id: &str, data: &str, mark: u64, now: Instant) {
-        if self.jobs.get(id).is_some_and(|held| held.mark >= mark) {
+    fn apply_job(&mut self, id: &str, data: &str, revision: u64, now: Instant) {
+        if self
+            .jobs
+            .get(id)
+            .is_some_and(|held| held.revision >= revision)
+        {
             return;
         }
-        let record: Option<LedgerJob> = self.read(id, data);
+        let record: Option<LedgerJob> = self.parse(id, data);
         match record {
-            // An owner that the file does not name could never be seen to be gone.
             Some(record) if self.cells.contains_key(&record.owner) => {
                 self.unreadable.remove(id);
-                self.hold(id, record, mark, now);
+                self.insert_job(id, record, revision, now);
             }
             Some(_) => {
-                self.malformed += 1;
-                self.forget_readable(id, mark);
+                // The absence of an owner that the file does not name could never be detected.
+                self.malformed_records += 1;
+                self.mark_unreadable(id, revision);
             }
-            None => self.forget_readable(id, mark),
+            None => self.mark_unreadable(id, revision),
         }
     }
 
-    fn hold(&mut self, id: &str, record: LedgerJob, mark: u64, now: Instant) {
+    fn insert_job(&mut self, id: &str, record: LedgerJob, revision: u64, now: Instant) {
         if record.cancelled {
             self.cancelled_at.entry(id.to_owned()).or_insert(now);
         }
-        self.jobs.insert(id.to_owned(), Versioned { record, mark });
-    }
-
-    /// Whether an open job is cancelled, and no controller can start it by an earlier reading any more.
-    pub fn is_settled(&self, id: &str, now: Instant) -> bool {
-        let read_at = self.cancelled_at.get(id);
-        read_at.is_some_and(|at| now.saturating_duration_since(*at) >= CANCELLATION_SETTLES)
+        let held = Versioned { record, revision };
+        self.jobs.insert(id.to_owned(), held);
     }
 
-    fn forget_readable(&mut self, id: &str, mark: u64) {
+    fn mark_unreadable(&mut self, id: &str, revision: u64) {
         self.jobs.remove(id);
-        self.unreadable.insert(id.to_owned(), mark);
+        self.unreadable.insert(id.to_owned(), revision);
     }
 
-    fn cell(&mut self, name: &str) -> Option<&mut CellState> {
+    /// A record of a cell, and the cell; `None` if either cannot be had, which is counted.
+    fn parse_cell_record<T: for<'de> Deserialize<'de>>(
+        &mut self,
+        key: &str,
+        name: &str,
+        data: &str,
+    ) -> Option<(T, &mut CellState)> {
+        let record = self.parse(key, data);
         if !self.cells.contains_key(name) {
-            self.malformed += 1;
+            self.malformed_records += 1;
         }
-        self.cells.get_mut(name)
+        record.zip(self.cells.get_mut(name))
     }
 
-    fn read<T: for<'de> Deserialize<'de>>(&mut self, key: &str, data: &str) -> Option<T> {
+    fn parse<T: for<'de> Deserialize<'de>>(&mut self, key: &str, data: &str) -> Option<T> {
         match serde_json::from_str(data) {
             Ok(record) => Some(record),
             Err(error) => {
-                tracing::error!(key, %error, "a record of the ledger cannot be read");
-                self.malformed += 1;
+                tracing::error!(key, %error, "ledger record rejected as malformed");
+                self.malformed_records += 1;
                 None
             }
         }
     }
 
-    fn remove(&mut self, key: &str, mark: u64, now: Instant) {
-        let rest = key.strip_prefix(LIVE_PREFIX);
-        match rest.and_then(|rest| rest.split_once('/')) {
-            Some(("j", id)) => {
-                if self.jobs.get(id).is_some_and(|held| held.mark < mark) {
+    fn apply_delete(&mut self, key: &str, revision: u64, now: Instant) {
+        match LiveKey::parse(key) {
+            Some(LiveKey::Job(id)) => {
+                if self
+                    .jobs
+                    .get(id)
+                    .is_some_and(|held| held.revision < revision)
+                {
                     self.jobs.remove(id);
                     self.cancelled_at.remove(id);
                 }
                 self.unreadable.remove(id);
             }
-            Some(("n", name)) => {
+            Some(LiveKey::Presence(name)) => {
                 if let Some(cell) = self.cells.get_mut(name) {
                     cell.presence = None;
                     cell.absent_since = Some(now);
                 }
             }
-            Some(("d", name)) => {
+            Some(LiveKey::Drain(name)) => {
                 if let Some(cell) = self.cells.get_mut(name) {
                     cell.drain = None;
                 }
             }
-            _ => {}
+            Some(LiveKey::Generation(_) | LiveKey::Unknown) | None => {}
         }
     }
 
-    /// Whether a record of the job is there that cannot be read.
+    /// Whether an open job is cancelled and no controller can start it by an earlier read any more.
+    pub fn is_cancellation_effective(&self, id: &str, now: Instant) -> bool {
+        let read_at = self.cancelled_at.get(id);
+        read_at.is_some_and(|at| now.saturating_duration_since(*at) >= CANCELLATION_EFFECT_DELAY)
+    }
+
+    /// Whether the job has an open record that cannot be read.
     pub fn is_unreadable(&self, id: &str) -> bool {
         self.unreadable.contains_key(id)
     }
 
     /// How a job ended, if that is in memory.
     pub fn final_state(&self, id: &str) -> Option<FinalState> {
-        self.finals.get(id).copied()
+        self.final_states.get(id)
     }
 
-    /// Remembers how a job ended. That never changes.
-    pub fn remember_final(&mut self, id: &str, last: FinalState) {
+    /// Records how a job ended. A final state never changes.
+    pub fn record_final_state(&mut self, id: &str, final_state: FinalState) {
         self.jobs.remove(id);
         self.cancelled_at.remove(id);
-        if self.finals.insert(id.to_owned(), last).is_some() {
-            return;
-        }
-        self.finals_order.push_back(id.to_owned());
-        if self.finals_order.len() > MOST_FINALS
-            && let Some(oldest) = self.finals_order.pop_front()
-        {
-            self.finals.remove(&oldest);
-        }
+        self.final_states.insert(id, final_state);
     }
 
-    /// Whether a cell's lease holds, as far as was read.
+    /// Whether a cell's lease holds, by the last read.
     pub fn is_present(&self, cell: &str) -> bool {
         let cell = self.cells.get(cell);
         cell.is_some_and(|cell| cell.presence.is_some())
     }
 
-    /// Whether an operator drains a cell.
+    /// Whether an operator has requested that a cell be drained.
     pub fn is_draining(&self, cell: &str) -> bool {
         let cell = self.cells.get(cell);
         cell.is_some_and(|cell| cell.drain.is_some())
     }
 
-    /// The guards under which a cell is taken to be gone: it is not there, and has not been back since.
-    pub fn absence_guards(&self, cell: &str) -> [Guard; 2] {
-        let generation = self.cells.get(cell).and_then(|c| c.generation.as_ref());
+    /// The preconditions under which a cell counts as absent: it is not present now, and has not been
+    /// since its absence was read.
+    pub fn absence_preconditions(&self, cell: &str) -> [Guard; 2] {
+        let state = self.cells.get(cell);
+        let generation = state.and_then(|state| state.generation.as_ref());
         [
             Guard::absent(presence_key(cell)),
             Guard {
                 k: generation_key(cell),
-                mark: generation.map_or(0, |g| g.mark),
+                mark: generation.map_or(0, |held| held.revision),
             },
         ]
     }
--- a/crates/rowanmill-cells/src/replica/tests.rs
+++ b/crates/rowanmill-cells/src/replica/tests.rs
@@ -2,7 +2,7 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-fn change(key: &str, data: Value, mark: u64) -> Change {
+fn log_entry(key: &str, data: Value, mark: u64) -> Change {
     let drop = data.is_null().then(|| key.to_owned());
     let set = (!data.is_null()).then(|| key.to_owned());
     let data = serde_json::value::to_raw_value(&data).ok();
@@ -18,103 +18,108 @@
     json!({"owner": owner, "epoch": epoch, "home": "a", "accepted_ms": 0, "description": {}})
 }
 
+fn cancelled_job(owner: &str) -> Value {
+    let mut job = job(owner, 1);
+    job["cancelled"] = json!(true);
+    job
+}
+
 fn presence() -> Value {
     json!({"controller": "m-0", "incarnation": 1})
 }
 
-/// What cannot be read, or names a cell that the file does not, is counted and changes nothing else; a job
-/// in it is neither taken for another cell's nor for one that never was.
+/// A record that cannot be read, or that names a cell which the file does not, is counted and changes
+/// nothing else. Its job is taken neither for another cell's nor for an unknown one.
 #[test]
 fn malformed_records_change_nothing() {
     let now = Instant::now();
     let mut replica = LedgerReplica::new(["a", "b"]);
-    replica.take(vec![change("c/l/j/job-1", job("a", 1), 3)], 3, now);
-    let wrong = vec![
-        change("c/l/j/job-1", json!({"owner": 7}), 4),
-        change("c/l/j/job-2", job("nowhere", 1), 5),
-        change("c/l/n/nowhere", presence(), 6),
-        change("c/l/n/b", json!("present"), 7),
-        change("c/l/what/b", json!(1), 8),
+    replica.apply_changes(vec![log_entry("c/l/j/job-1", job("a", 1), 3)], 3, now);
+    let malformed = vec![
+        log_entry("c/l/j/job-1", json!({"owner": 7}), 4),
+        log_entry("c/l/j/job-2", job("nowhere", 1), 5),
+        log_entry("c/l/n/nowhere", presence(), 6),
+        log_entry("c/l/n/b", json!("present"), 7),
+        log_entry("c/l/what/b", json!(1), 8),
     ];
-    replica.take(wrong, 8, now);
-    assert_eq!(replica.malformed, 5);
+    replica.apply_changes(malformed, 8, now);
+    assert_eq!(replica.malformed_records, 5);
     assert!(replica.jobs.is_empty() && !replica.is_present("b"));
     assert!(replica.is_unreadable("job-1") && replica.is_unreadable("job-2"));
-    replica.take(vec![change("c/l/j/job-1", job("b", 2), 9)], 9, now);
+    replica.apply_changes(vec![log_entry("c/l/j/job-1", job("b", 2), 9)], 9, now);
     assert_eq!(replica.jobs["job-1"].record.owner, "b");
     assert!(!replica.is_unreadable("job-1"));
 }
 
-/// A cell counts as missing from when that was read; and its return, however short, begins the wait anew.
+/// A cell is absent from when that was read, and its return, however short, restarts the wait.
 #[test]
-fn a_cell_that_was_back_is_missing_anew() {
+fn absence_restarts_after_a_return() {
     let start = Instant::now();
     let at = |s: u64| start + Duration::from_secs(s);
     let mut replica = LedgerReplica::new(["a", "b"]);
-    replica.reset(Vec::new(), 0, start);
+    replica.reload_from_snapshot(Vec::new(), 0, start);
     assert_eq!(replica.cells["a"].absent_since, Some(start));
-    let gone = |mark| change("c/l/n/a", Value::Null, mark);
-    replica.take(vec![change("c/l/n/a", presence(), 1)], 1, at(1));
+    let gone = |revision| log_entry("c/l/n/a", Value::Null, revision);
+    replica.apply_changes(vec![log_entry("c/l/n/a", presence(), 1)], 1, at(1));
     assert_eq!(replica.cells["a"].absent_since, None);
-    replica.take(vec![gone(2)], 2, at(10));
+    replica.apply_changes(vec![gone(2)], 2, at(10));
     assert_eq!(replica.cells["a"].absent_since, Some(at(10)));
-    // Back and gone again between two readings.
-    let back = vec![change("c/l/n/a", presence(), 3), gone(4)];
-    replica.take(back, 4, at(20));
+    // Back and gone again between two reads.
+    let back_and_gone = vec![log_entry("c/l/n/a", presence(), 3), gone(4)];
+    replica.apply_changes(back_and_gone, 4, at(20));
     assert_eq!(replica.cells["a"].absent_since, Some(at(20)));
 }
 
-/// Our own change, answered, and a job's end that the log told of meanwhile.
+/// An acknowledged write of this process, where the log has brought the job's end in the meantime.
 #[test]
-fn an_own_change_never_brings_back_what_ended() {
+fn own_write_never_revives_an_ended_job() {
     let now = Instant::now();
     let mut replica = LedgerReplica::new(["a", "b"]);
     let record: LedgerJob = serde_json::from_value(job("a", 1)).unwrap();
-    replica.note_job("job-1", record.clone(), 5, now);
-    assert_eq!(replica.jobs["job-1"].mark, 5);
-    replica.take(vec![change("c/l/j/job-1", Value::Null, 6)], 6, now);
-    replica.note_job("job-1", record.clone(), 5, now);
+    replica.apply_own_write("job-1", record.clone(), 5, now);
+    assert_eq!(replica.jobs["job-1"].revision, 5);
+    replica.apply_changes(vec![log_entry("c/l/j/job-1", Value::Null, 6)], 6, now);
+    replica.apply_own_write("job-1", record.clone(), 5, now);
     assert!(replica.jobs.is_empty());
-    replica.remember_final("job-1", FinalState::Done);
-    replica.note_job("job-1", record, 7, now);
+    replica.record_final_state("job-1", FinalState::Done);
+    replica.apply_own_write("job-1", record, 7, now);
     assert!(replica.jobs.is_empty());
 }
 
-/// What one controller tells another that lacks the last changes; nothing if it does not know them all.
+/// What one controller attests to another that lacks the last changes; nothing if it does not have them
+/// all.
 #[test]
-fn others_learn_which_jobs_are_lost() {
+fn revoked_jobs_since_a_revision() {
     let now = Instant::now();
     let mut replica = LedgerReplica::new(["a", "b"]);
-    replica.reset(Vec::new(), 2, now);
-    let mut cancelled = job("a", 1);
-    cancelled["cancelled"] = json!(true);
+    replica.reload_from_snapshot(Vec::new(), 2, now);
     let log = vec![
-        change("c/l/j/job-1", job("a", 1), 3),
-        change("c/l/j/job-2", cancelled, 4),
-        change("c/l/j/job-3", job("b", 2), 5),
-        change("c/l/j/job-4", Value::Null, 6),
+        log_entry("c/l/j/job-1", job("a", 1), 3),
+        log_entry("c/l/j/job-2", cancelled_job("a"), 4),
+        log_entry("c/l/j/job-3", job("b", 2), 5),
+        log_entry("c/l/j/job-4", Value::Null, 6),
     ];
-    replica.take(log, 6, now);
-    assert_eq!(replica.lost_since("a", 1), None);
+    replica.apply_changes(log, 6, now);
+    assert_eq!(replica.revoked_since("a", 1), None);
     let all = ["job-2", "job-3", "job-4"].map(str::to_owned);
-    assert_eq!(replica.lost_since("a", 2), Some(all.to_vec()));
-    assert_eq!(replica.lost_since("a", 4), Some(all[1..].to_vec()));
-    assert_eq!(replica.lost_since("a", 6), Some(Vec::new()));
+    assert_eq!(replica.revoked_since("a", 2), Some(all.to_vec()));
+    assert_eq!(replica.revoked_since("a", 4), Some(all[1..].to_vec()));
+    assert_eq!(replica.revoked_since("a", 6), Some(Vec::new()));
 }
 
-/// A cancellation that was just read may be unknown to one that starts by an earlier reading; one that is
-/// read anew after a new listing is taken for just read.
+/// A cancellation that was just read may be unknown to a controller that starts tasks by an earlier read.
+/// One that is read again after a new listing counts as just read.
 #[test]
-fn a_cancellation_settles() {
+fn cancellation_takes_effect_after_a_delay() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let mut cancelled = job("a", 1);
-    cancelled["cancelled"] = json!(true);
     let mut replica = LedgerReplica::new(["a", "b"]);
-    replica.take(vec![change("c/l/j/job-1", job("a", 1), 1)], 1, start);
-    assert!(!replica.is_settled("job-1", at(9_000)));
-    replica.take(vec![change("c/l/j/job-1", cancelled, 2)], 2, at(1_000));
-    assert!(!replica.is_settled("job-1", at(4_100)) && replica.is_settled("job-1", at(4_200)));
-    replica.reset(Vec::new(), 2, at(5_000));
-    assert!(!replica.is_settled("job-1", at(9_000)));
+    replica.apply_changes(vec![log_entry("c/l/j/job-1", job("a", 1), 1)], 1, start);
+    assert!(!replica.is_cancellation_effective("job-1", at(9_000)));
+    let cancellation = log_entry("c/l/j/job-1", cancelled_job("a"), 2);
+    replica.apply_changes(vec![cancellation], 2, at(1_000));
+    assert!(!replica.is_cancellation_effective("job-1", at(4_100)));
+    assert!(replica.is_cancellation_effective("job-1", at(4_200)));
+    replica.reload_from_snapshot(Vec::new(), 2, at(5_000));
+    assert!(!replica.is_cancellation_effective("job-1", at(9_000)));
 }
--- a/crates/rowanmill-cells/src/report.rs
+++ b/crates/rowanmill-cells/src/report.rs
@@ -1,15 +1,19 @@
-//! What the client tells operators, by the ledger alone: so it has an answer whichever controller leads,
-//! and while a cell is dead. As text for people, and as JSON in a format with a version.
+//! What the client shows of cells and jobs, as text for people and as JSON in a versioned format.
+//!
+//! It is built from the ledger alone, so that there is an answer whichever controller leads, and while a
+//! cell is lost. The names of the fields are those of the JSON.
+
+mod text;
 
 use crate::record::{FinalState, LedgerJob};
 use crate::replica::LedgerReplica;
 use serde::Serialize;
-use std::fmt::Write;
+use std::fmt;
 
-/// The version of the JSON. It rises when a field changes its meaning or goes.
+/// Version of the JSON. It rises when a field is removed or changes its meaning.
 pub const FORMAT: u32 = 1;
 
-/// How a cell stands.
+/// State of one cell.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct CellReport {
     /// Its name.
@@ -24,38 +28,78 @@
     pub registrations: u64,
     /// Open jobs that it owns.
     pub jobs: usize,
-    /// Those of them that are cancelled and still have to end.
+    /// Those of them that are cancelled and have not ended yet.
     pub cancelled: usize,
     /// Those of them that other cells accepted.
     pub foreign: usize,
     /// Tasks that wait there.
     pub waiting: Option<u64>,
-    /// CPUs of machines on which nothing runs.
+    /// CPUs of its machines that no task uses.
     pub free_cpus: Option<f64>,
 }
 
-/// How all cells stand.
+/// State of all cells.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Status {
+pub struct CellsReport {
     /// [`FORMAT`].
     pub format: u32,
     /// The ledger's revision.
     pub revision: u64,
-    /// The cells of the file.
+    /// The cells of the operators' file.
     pub cells: Vec<CellReport>,
-    /// Records that cannot be read or are of no cell of the file.
+    /// Records that cannot be read, or that belong to no cell of the file.
     pub malformed: u64,
 }
 
-/// Where a job stands.
+/// State of a job, as the client reports it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
+#[serde(rename_all = "lowercase")]
+pub enum ReportedState {
+    /// It is open.
+    Open,
+    /// It is cancelled and has not ended yet.
+    Cancelling,
+    /// All its tasks completed.
+    Done,
+    /// It ended cancelled.
+    Cancelled,
+    /// The ledger has no record of it that can be read.
+    Unknown,
+}
+
+impl ReportedState {
+    fn of(job: Option<&LedgerJob>, final_state: Option<FinalState>) -> Self {
+        match (final_state, job) {
+            (Some(FinalState::Done), _) => Self::Done,
+            (Some(FinalState::Cancelled), _) => Self::Cancelled,
+            (None, Some(job)) if job.cancelled => Self::Cancelling,
+            (None, Some(_)) => Self::Open,
+            (None, None) => Self::Unknown,
+        }
+    }
+}
+
+impl fmt::Display for ReportedState {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Open => "open",
+            Self::Cancelling => "cancelling",
+            Self::Done => "done",
+            Self::Cancelled => "cancelled",
+            Self::Unknown => "unknown",
+        })
+    }
+}
+
+/// State of a job, and what explains it.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Explanation {
     /// [`FORMAT`].
     pub format: u32,
     /// The job.
     pub job: String,
-    /// `open`, `cancelling`, `done`, `cancelled` or `unknown`.
-    pub state: &'static str,
+    /// Its state.
+    pub state: ReportedState,
     /// The cell that owns it.
     pub owner: Option<String>,
     /// Whether that cell's lease holds.
@@ -64,61 +108,60 @@
     pub epoch: Option<u64>,
     /// The cell that accepted it.
     pub home: Option<String>,
-    /// How often it was moved because it waited.
+    /// How often it changed cells because it waited.
     pub moves: Option<u32>,
-    /// Cells that cannot run it, or may not now.
+    /// Cells that cannot run it, or could not when it came to them.
     pub declined: Vec<String>,
-    /// Jobs that it waits for and that are not over.
+    /// Jobs that it depends on and that are open.
     pub awaits: Vec<String>,
-    /// All this in words.
+    /// The same as sentences.
     pub reasons: Vec<String>,
 }
 
-/// How all cells stand.
-pub fn status(replica: &LedgerReplica) -> Status {
-    let cells = replica.cells.keys().map(|name| cell_report(replica, name));
-    Status {
+/// The state of all cells.
+pub fn report_cells(replica: &LedgerReplica) -> CellsReport {
+    let cells = replica.cells.keys().map(|name| report_cell(replica, name));
+    CellsReport {
         format: FORMAT,
         revision: replica.revision,
         cells: cells.collect(),
-        malformed: replica.malformed,
+        malformed: replica.malformed_records,
     }
 }
 
-fn cell_report(replica: &LedgerReplica, name: &str) -> CellReport {
+fn report_cell(replica: &LedgerReplica, name: &str) -> CellReport {
     let state = &replica.cells[name];
     let presence = state.presence.as_ref().map(|held| &held.record);
     let owned = || {
         let jobs = replica.jobs.values().map(|held| &held.record);
         jobs.filter(|job| job.owner == name)
     };
+    let generation = state.generation.as_ref();
     CellReport {
         cell: name.to_owned(),
         present: presence.is_some(),
         draining: state.drain.is_some(),
-        controller: presence.map(|p| p.controller.clone()),
-        registrations: state.generation.as_ref().map_or(0, |g| g.record.count),
+        controller: presence.map(|presence| presence.controller.clone()),
+        registrations: generation.map_or(0, |held| held.record.count),
         jobs: owned().count(),
         cancelled: owned().filter(|job| job.cancelled).count(),
         foreign: owned().filter(|job| job.home != name).count(),
-        waiting: presence.map(|p| p.summary.waiting),
-        free_cpus: presence.map(|p| p.summary.free_cpus),
+        waiting: presence.map(|presence| presence.summary.waiting_tasks),
+        free_cpus: presence.map(|presence| presence.summary.free_cpus),
     }
 }
 
-/// Where a job stands. `last` is its final state, if the ledger has one.
-pub fn explain(replica: &LedgerReplica, id: &str, last: Option<FinalState>) -> Explanation {
-    let job = replica.jobs.get(id).map(|held| &held.record);
-    let state = match (last, job) {
-        (Some(FinalState::Done), _) => "done",
-        (Some(FinalState::Cancelled), _) => "cancelled",
-        (None, Some(job)) if job.cancelled => "cancelling",
-        (None, Some(_)) => "open",
-        (None, None) => "unknown",
+/// The state of a job, which ended with `final_state` if the ledger has one.
+pub fn explain(replica: &LedgerReplica, id: &str, final_state: Option<FinalState>) -> Explanation {
+    let open_record = replica.jobs.get(id).map(|held| &held.record);
+    let state = ReportedState::of(open_record, final_state);
+    // The live records were read before the final state: that overrides an open record.
+    let job = open_record.filter(|_| final_state.is_none());
+    let open_dependencies = job.map(|job| open_dependencies(replica, job));
+    let reasons = match job {
+        Some(job) => reasons_of_open(replica, job),
+        None => vec![reason_of_other(replica, id, state)],
     };
-    let job = job.filter(|_| last.is_none());
-    let open = |id: &&String| replica.jobs.contains_key(*id);
-    let awaits = job.map(|job| job.awaits.iter().filter(open).cloned().collect());
     Explanation {
         format: FORMAT,
         job: id.to_owned(),
@@ -127,28 +170,41 @@
         owner_present: job.map(|job| replica.is_present(&job.owner)),
         epoch: job.map(|job| job.epoch),
         home: job.map(|job| job.home.clone()),
-        moves: job.map(|job| job.moves),
-        declined: job.map(|job| job.declined.clone()).unwrap_or_default(),
-        awaits: awaits.unwrap_or_default(),
-        reasons: reasons(replica, id, job, state),
+        moves: job.map(|job| job.spill_count),
+        declined: job.map(|job| job.declined_by.clone()).unwrap_or_default(),
+        awaits: open_dependencies.unwrap_or_default(),
+        reasons,
     }
 }
 
-fn reasons(replica: &LedgerReplica, id: &str, job: Option<&LedgerJob>, state: &str) -> Vec<String> {
-    let Some(job) = job else {
-        return vec![match state {
-            "unknown" if replica.is_unreadable(id) => "its record cannot be read".to_owned(),
-            "unknown" => "no cell ever accepted it through the ledger".to_owned(),
-            ended => format!("it ended: {ended}"),
-        }];
-    };
-    let mut reasons = Vec::new();
+fn open_dependencies(replica: &LedgerReplica, job: &LedgerJob) -> Vec<String> {
+    let dependencies = job.depends_on.iter();
+    dependencies
+        .filter(|id| replica.jobs.contains_key(*id))
+        .cloned()
+        .collect()
+}
+
+/// The one reason of a job that has no open record.
+fn reason_of_other(replica: &LedgerReplica, id: &str, state: ReportedState) -> String {
+    match state {
+        ReportedState::Unknown if replica.is_unreadable(id) => {
+            "its record cannot be read".to_owned()
+        }
+        ReportedState::Unknown => "no cell ever accepted it through the ledger".to_owned(),
+        ended => format!("it ended: {ended}"),
+    }
+}
+
+fn reasons_of_open(replica: &LedgerReplica, job: &LedgerJob) -> Vec<String> {
     let owner = &job.owner;
-    match replica.is_present(owner) {
-        true => reasons.push(format!("`{owner}` runs it, under epoch {}", job.epoch)),
-        false => reasons.push(format!(
+    let mut reasons = Vec::new();
+    if replica.is_present(owner) {
+        reasons.push(format!("`{owner}` runs it, under epoch {}", job.epoch));
+    } else {
+        reasons.push(format!(
             "`{owner}` is missing: another cell takes the job over once nothing of it can run there"
-        )),
+        ));
     }
     if job.cancelled {
         reasons.push("its user cancelled it; it ends when none of its tasks is left".to_owned());
@@ -156,24 +212,17 @@
     if job.home != *owner {
         reasons.push(format!("`{}` accepted it", job.home));
     }
-    if job.moves > 0 {
-        reasons.push(format!(
-            "it was moved {} times because it waited",
-            job.moves
-        ));
-    }
-    for cell in &job.declined {
-        reasons.push(format!(
-            "`{cell}` cannot run it, or all room for it there is protected"
-        ));
+    if job.spill_count > 0 {
+        let count = job.spill_count;
+        reasons.push(format!("it was moved {count} times because it waited"));
     }
-    for other in job
-        .awaits
+    let declined = job
+        .declined_by
         .iter()
-        .filter(|id| replica.jobs.contains_key(*id))
-    {
-        reasons.push(format!("it waits for `{other}`"));
-    }
+        .map(|cell| format!("`{cell}` cannot run it, or all room for it there is protected"));
+    reasons.extend(declined);
+    let dependencies = open_dependencies(replica, job);
+    reasons.extend(dependencies.iter().map(|id| format!("it waits for `{id}`")));
     if replica.is_draining(owner) {
         reasons.push(format!(
             "`{owner}` is being drained: it leaves unless it has begun"
@@ -182,49 +231,5 @@
     reasons
 }
 
-impl Status {
-    /// For people.
-    pub fn text(&self) -> String {
-        let mut text = String::new();
-        let line =
-            "cell            state      jobs  foreign  cancelled  waiting  free cpus  controller";
-        let _ = writeln!(text, "{line}");
-        for cell in &self.cells {
-            let state = match (cell.present, cell.draining) {
-                (true, true) => "draining",
-                (true, false) => "present",
-                (false, _) => "missing",
-            };
-            let number = |n: Option<f64>| n.map_or("-".to_owned(), |n| format!("{n:.0}"));
-            let _ = writeln!(
-                text,
-                "{:<15} {state:<9} {:>5} {:>8} {:>10} {:>8} {:>10}  {}",
-                cell.cell,
-                cell.jobs,
-                cell.foreign,
-                cell.cancelled,
-                number(cell.waiting.map(|n| n as f64)),
-                number(cell.free_cpus),
-                cell.controller.as_deref().unwrap_or("-"),
-            );
-        }
-        if self.malformed > 0 {
-            let _ = writeln!(text, "{} records cannot be read", self.malformed);
-        }
-        text
-    }
-}
-
-impl Explanation {
-    /// For people.
-    pub fn text(&self) -> String {
-        let mut text = format!("{}: {}\n", self.job, self.state);
-        for reason in &self.reasons {
-            let _ = writeln!(text, "  {reason}");
-        }
-        text
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/rowanmill-cells/src/report/tests.rs
+++ b/crates/rowanmill-cells/src/report/tests.rs
@@ -41,20 +41,23 @@
             mark: at as u64 + 1,
         });
     let mut replica = LedgerReplica::new(["hanoi", "danang", "hue"]);
-    replica.reset(pairs.collect(), 40, Instant::now());
+    replica.reload_from_snapshot(pairs.collect(), 40, Instant::now());
     replica
 }
 
-/// Scripts depend on the JSON: while its version is 1, this trace stays.
+/// Scripts depend on the JSON: while its version is 1, this snapshot stays.
 #[test]
-fn the_format_of_the_status_stays() {
-    let status = status(&replica());
-    let json = serde_json::to_string_pretty(&status).unwrap();
-    insta::assert_snapshot!(format!("{}\n{json}", status.text()));
+fn cells_report_format_is_stable() {
+    let report = report_cells(&replica());
+    let json = serde_json::to_string_pretty(&report).unwrap();
+    insta::assert_snapshot!(format!(
+        "{report}
+{json}"
+    ));
 }
 
 #[test]
-fn the_format_of_an_explanation_stays() {
+fn explanation_format_is_stable() {
     let replica = replica();
     let mut trace = String::new();
     let jobs = [
@@ -65,9 +68,9 @@
         ("job-5", None),
         ("job-6", Some(FinalState::Done)),
     ];
-    for (id, last) in jobs {
-        let explanation = explain(&replica, id, last);
-        trace.push_str(&explanation.text());
+    for (id, final_state) in jobs {
+        let explanation = explain(&replica, id, final_state);
+        trace.push_str(&explanation.to_string());
         trace.push_str(&serde_json::to_string(&explanation).unwrap());
         trace.push('\n');
     }
--- a/crates/rowanmill-cells/src/scheduler.rs
+++ b/crates/rowanmill-cells/src/scheduler.rs
@@ -1,105 +1,117 @@
-//! What the cells ask of the scheduler of their own cell.
+//! The interface between the cells and the scheduler of their own cell.
+//!
+//! [`Scheduler`] is implemented by the controller. Nothing here reads or writes the ledger.
 
-use crate::record::{LedgerJob, Stamp, Summary};
+use crate::record::{CapacitySummary, LedgerJob, OwnershipVersion};
 
-/// Where one of the ledger's jobs stands in the cell's own records.
+/// State of one of the ledger's jobs in the cell's own records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LocalJob {
-    /// No record of it is in memory. It may have ended before this process began.
+pub enum LocalJobState {
+    /// No record of it is in memory. It may have ended before this process started.
     Absent,
     /// It may run.
     Open {
-        /// Some task of it was started.
-        begun: bool,
-        /// How long it has been in the records, in milliseconds.
+        /// At least one of its tasks was started.
+        has_started: bool,
+        /// Milliseconds that it has been in the records.
         age_ms: u64,
-        /// Another cell's, and all machines that it may use are protected.
-        is_barred: bool,
+        /// Another cell accepted it, and all machines that it may use are protected.
+        excluded_by_protection: bool,
     },
-    /// Nothing of it is started any more, and what runs is being stopped.
-    Cancelled,
-    /// The same, because it is to be another cell's.
+    /// No task of it is started any more, and running ones are being stopped.
+    Cancelling,
+    /// As `Cancelling`, but because the job is leaving the cell.
     Withdrawn,
     /// All its tasks completed here.
-    Done,
-    /// Its user's cancellation was recorded here, and nothing of it runs.
-    EndedCancelled,
+    Completed,
+    /// Its cancellation was recorded here, and none of its tasks runs.
+    Cancelled,
 }
 
-/// A job of the cell's own records that the ledger should know.
+/// A job of the cell's own records that has a record in the ledger.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StampedJob {
-    /// The job.
+pub struct TrackedJob {
+    /// The job's name.
     pub id: String,
-    /// What the record says of the ledger.
-    pub stamp: Stamp,
-    /// Nothing of it is started any more.
-    pub stopped: bool,
+    /// The ledger's record that the cell's own record was written by.
+    pub ownership: OwnershipVersion,
+    /// No task of it is started any more.
+    pub is_stopped: bool,
 }
 
-/// What became of a job that the cell was to take.
+/// Result of putting an owned job into the cell's records.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Adoption {
+pub enum AdoptionOutcome {
     /// It is in the records, or was already.
-    Taken,
+    Adopted,
     /// The records say that it ended.
-    Ended,
-    /// The cell gave it up under this epoch: a handover may have been sent.
-    GivenUp {
-        /// The epoch of the ledger's record at that time.
+    AlreadyEnded,
+    /// The cell relinquished it under this epoch: a handover may have been sent.
+    Relinquished {
+        /// Epoch of the ledger's record when it was relinquished.
         epoch: u64,
     },
-    /// The cell can never run it.
-    Unfit {
-        /// Why.
+    /// The cell cannot run it.
+    Ineligible {
+        /// Explanation for the log.
         reason: String,
     },
 }
 
-/// The cell's state service gave no certain answer; to be tried again.
+/// Condition under which a job is withdrawn from the cell's records.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum WithdrawalCondition {
+    /// Whether any of its tasks has started or not.
+    Always,
+    /// Only if none of its tasks has started.
+    NotStarted,
+}
+
+/// The cell's state service gave no definite answer. The call may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the cell's state service gave no answer")]
 pub struct Unavailable;
 
 /// The scheduler of one cell, as one of its controllers reaches it.
 pub trait Scheduler: Send + Sync + 'static {
-    /// Whether this controller leads the cell.
-    fn leads(&self) -> bool;
-    /// Where each of these jobs stands.
-    fn local_jobs(&self, ids: &[String]) -> Vec<LocalJob>;
-    /// All open jobs of the records that the ledger should know.
-    fn stamped_jobs(&self) -> Vec<StampedJob>;
-    /// What the cell has to offer.
-    fn summary(&self) -> Summary;
-    /// Whether the cell could run it.
+    /// Whether this controller is the cell's leader.
+    fn is_leader(&self) -> bool;
+    /// State of each of these jobs, in the same order.
+    fn local_job_states(&self, ids: &[String]) -> Vec<LocalJobState>;
+    /// All open jobs of the cell's records that have a record in the ledger.
+    fn tracked_jobs(&self) -> Vec<TrackedJob>;
+    /// The capacity that the cell publishes to the others.
+    fn capacity_summary(&self) -> CapacitySummary;
+    /// Whether the cell could run the job.
     fn can_run(&self, job: &LedgerJob) -> bool;
-    /// Puts a job into the records, under the guard that the cell has not given it up since.
+    /// Puts a job, as the ledger holds it at `revision`, into the cell's records. The write has the
+    /// precondition that the cell has not relinquished the job in the meantime.
     fn adopt(
         &self,
         id: &str,
         job: &LedgerJob,
-        mark: u64,
-    ) -> impl Future<Output = Result<Adoption, Unavailable>> + Send;
-    /// Records that the cell gives up a job that is not in its records, so that no other controller of
-    /// it puts it there. Returns whether that holds now.
-    fn give_up(
+        revision: u64,
+    ) -> impl Future<Output = Result<AdoptionOutcome, Unavailable>> + Send;
+    /// Records that the cell relinquishes a job that is not in its records, so that no other controller
+    /// of the cell puts it there. Returns whether that record is in force.
+    fn relinquish(
         &self,
         id: &str,
         epoch: u64,
     ) -> impl Future<Output = Result<bool, Unavailable>> + Send;
     /// Records that a job is cancelled.
     fn cancel(&self, id: &str) -> impl Future<Output = Result<(), Unavailable>> + Send;
-    /// Records that a job is to be another cell's, with what the ledger says of it. `only_unbegun`:
-    /// unless something of it was started.
+    /// Records that a job leaves the cell, with the ledger's record that this follows from.
     fn withdraw(
         &self,
         id: &str,
-        stamp: Stamp,
-        only_unbegun: bool,
+        ownership: OwnershipVersion,
+        condition: WithdrawalCondition,
     ) -> impl Future<Output = Result<(), Unavailable>> + Send;
-    /// Asks all other controllers of all cells what they know of the ledger beyond `revision`. Nothing
-    /// unless all answer that they have no contact with it either; else the jobs that `cell` must not run.
-    fn ask_others(
+    /// Asks the other controllers of all cells which changes of the ledger after `revision` they have
+    /// read. `None` unless each of them answers that it has lost contact with the ledger; otherwise the
+    /// jobs that `cell` must not run.
+    fn collect_attestations(
         &self,
         cell: &str,
         revision: u64,
--- /dev/null
+++ b/crates/rowanmill-cells/src/service/presence.rs
@@ -0,0 +1,100 @@
+//! The cell's lease in the ledger, and the capacity that it publishes with its presence.
+
+use super::CellCoordinator;
+use crate::record::CellPresence;
+use crate::replica::Versioned;
+use crate::scheduler::Scheduler;
+use crate::transaction::{self, Transaction};
+use rowanmill_state::{ReadError, TxnError};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// Interval at which a cell publishes its capacity.
+const PUBLISH_INTERVAL: Duration = Duration::from_secs(3);
+/// Renewals of the cell's lease within its length, so that some may fail.
+const RENEWALS_PER_LEASE: u32 = 6;
+/// Renewals within [`PUBLISH_INTERVAL`], so that a publication is late by a third of it at most.
+const RENEWALS_PER_PUBLICATION: u32 = 3;
+
+/// Keeps the cell present while this controller is its leader.
+pub(super) async fn maintain_presence<S: Scheduler>(
+    coordinator: Arc<CellCoordinator>,
+    scheduler: Arc<S>,
+) {
+    let lease = coordinator.config.cell_lease();
+    let interval = (lease / RENEWALS_PER_LEASE).min(PUBLISH_INTERVAL / RENEWALS_PER_PUBLICATION);
+    loop {
+        let is_loaded = coordinator.shared().is_loaded;
+        if is_loaded
+            && scheduler.is_leader()
+            && let Some(lease) = coordinator.renew_lease().await
+        {
+            coordinator.publish_presence(&*scheduler, lease).await;
+        }
+        tokio::time::sleep(interval).await;
+    }
+}
+
+impl CellCoordinator {
+    /// Renews the cell's lease, or creates one; `None` if it has none now or the ledger gave no answer.
+    async fn renew_lease(&self) -> Option<u64> {
+        let held = self.shared().lease;
+        let lease = match held {
+            Some(lease) => match self.ledger.extend_lease(lease).await {
+                Ok(()) => lease,
+                Err(ReadError::Gone) => {
+                    tracing::info!(cell = self.cell, "cell lease expired");
+                    self.shared().lease = None;
+                    return None;
+                }
+                Err(_) => return None,
+            },
+            None => {
+                let created = self.ledger.create_lease(self.config.cell_lease()).await;
+                created.ok()?
+            }
+        };
+        self.shared().lease = Some(lease);
+        Some(lease)
+    }
+
+    /// Registers the cell, or publishes its capacity when that is due.
+    async fn publish_presence<S: Scheduler>(&self, scheduler: &S, lease: u64) {
+        let presence = CellPresence {
+            controller: self.controller.clone(),
+            incarnation: self.incarnation,
+            summary: scheduler.capacity_summary(),
+        };
+        let Some(transaction) = self.presence_transaction(&presence, lease) else {
+            return;
+        };
+        match self.commit(&transaction).await {
+            Ok(_) => self.shared().presence_published_at = Some(Instant::now()),
+            Err(TxnError::NoLease) => self.shared().lease = None,
+            Err(error) => tracing::debug!(%error, "cell presence not written"),
+        }
+    }
+
+    fn presence_transaction(&self, presence: &CellPresence, lease: u64) -> Option<Transaction> {
+        let shared = self.shared();
+        let cell = shared.replica.cells.get(&self.cell);
+        let held = cell.and_then(|cell| cell.presence.as_ref());
+        let is_own = |held: &&Versioned<CellPresence>| {
+            held.record.controller == self.controller && held.record.incarnation == self.incarnation
+        };
+        let is_recent = shared
+            .presence_published_at
+            .is_some_and(|at| at.elapsed() < PUBLISH_INTERVAL);
+        match held.filter(is_own) {
+            Some(_) if is_recent => None,
+            Some(held) => Some(transaction::update_presence(
+                &self.cell, held, presence, lease,
+            )),
+            None => {
+                tracing::info!(cell = self.cell, "registering cell");
+                let replica = &shared.replica;
+                Some(transaction::register(replica, &self.cell, presence, lease))
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/rowanmill-cells/src/service/requests.rs
@@ -0,0 +1,139 @@
+//! Requests of users: publishing a job, its state, and its cancellation.
+
+use super::{CancelOutcome, CellCoordinator, LedgerJobState, PublishOutcome, RETRY_DELAY};
+use crate::contact::CANCELLATION_EFFECT_DELAY;
+use crate::record::{FinalState, LedgerJob, OwnershipVersion, final_key};
+use crate::transaction;
+use rowanmill_state::{Need, ReadError, TxnError};
+use std::time::Instant;
+
+/// How often a cancellation is repeated when the job changes at the same time.
+const MAX_CANCEL_ATTEMPTS: usize = 4;
+
+impl CellCoordinator {
+    /// Publishes a job that this cell accepts. Only a job that is in the ledger may be accepted.
+    pub async fn publish(&self, id: &str, job: &LedgerJob) -> PublishOutcome {
+        if self.ledger.writes_left(Need::User) == 0 {
+            return PublishOutcome::RateLimited;
+        }
+        match self.commit(&transaction::publish(id, job)).await {
+            Ok(revision) => {
+                let mut shared = self.shared();
+                let replica = &mut shared.replica;
+                replica.apply_own_write(id, job.clone(), revision, Instant::now());
+                PublishOutcome::Accepted(OwnershipVersion {
+                    epoch: job.epoch,
+                    revision,
+                })
+            }
+            Err(TxnError::Conflict(_)) => PublishOutcome::AlreadyKnown,
+            Err(_) => PublishOutcome::Unavailable,
+        }
+    }
+
+    /// State of a job in the ledger, by nothing older than this call.
+    pub async fn job_state(&self, id: &str) -> LedgerJobState {
+        if let Some(final_state) = self.final_state(id) {
+            return LedgerJobState::Ended(final_state);
+        }
+        if !self.read_barrier().await {
+            return LedgerJobState::Indeterminate;
+        }
+        if let Some(state) = self.replicated_job_state(id) {
+            return state;
+        }
+        match self.read_final_state(id).await {
+            Ok(Some(final_state)) => LedgerJobState::Ended(final_state),
+            Ok(None) => LedgerJobState::Unknown,
+            Err(_) => LedgerJobState::Indeterminate,
+        }
+    }
+
+    /// State of a job by the replica; `None` if only the record of its final state can tell.
+    fn replicated_job_state(&self, id: &str) -> Option<LedgerJobState> {
+        let shared = self.shared();
+        let Some(held) = shared.replica.jobs.get(id) else {
+            let is_contradicted =
+                shared.replica.is_unreadable(id) || shared.contact.halted.contains(id);
+            return is_contradicted.then_some(LedgerJobState::Indeterminate);
+        };
+        let owned_here = held.record.owner == self.cell;
+        let is_effective = shared.replica.is_cancellation_effective(id, Instant::now());
+        Some(if is_effective {
+            LedgerJobState::Cancelled
+        } else if held.record.cancelled {
+            LedgerJobState::Cancelling { owned_here }
+        } else {
+            LedgerJobState::Open { owned_here }
+        })
+    }
+
+    /// Cancels a job, whichever cell owns it.
+    pub async fn cancel(&self, id: &str) -> CancelOutcome {
+        for _ in 0..MAX_CANCEL_ATTEMPTS {
+            match self.job_state(id).await {
+                LedgerJobState::Ended(state) => return CancelOutcome::AlreadyEnded(state),
+                LedgerJobState::Unknown => return CancelOutcome::Unknown,
+                LedgerJobState::Indeterminate => return CancelOutcome::Indeterminate,
+                LedgerJobState::Cancelling { owned_here } => {
+                    return CancelOutcome::Recorded { owned_here };
+                }
+                LedgerJobState::Cancelled => return CancelOutcome::Confirmed,
+                LedgerJobState::Open { .. } => {}
+            }
+            let Some(held) = self.open_job(id) else {
+                continue;
+            };
+            let record = held.record.clone().into_cancelled();
+            match self.update_job(id, held.revision, record).await {
+                Ok(()) => {
+                    self.wake_up();
+                    let owned_here = held.record.owner == self.cell;
+                    return CancelOutcome::Recorded { owned_here };
+                }
+                // The record changed in the meantime: the job may have ended, or changed its owner.
+                Err(TxnError::Conflict(_)) => {}
+                Err(_) => return CancelOutcome::Indeterminate,
+            }
+        }
+        CancelOutcome::Indeterminate
+    }
+
+    /// Waits until a recorded cancellation may be confirmed, because the job has ended or no controller
+    /// can start it any more. False if that is not known within the time that a user waits.
+    pub async fn await_cancellation(&self, id: &str) -> bool {
+        let deadline = Instant::now() + CANCELLATION_EFFECT_DELAY + RETRY_DELAY;
+        while Instant::now() < deadline {
+            match self.job_state(id).await {
+                LedgerJobState::Ended(FinalState::Cancelled) | LedgerJobState::Cancelled => {
+                    return true;
+                }
+                LedgerJobState::Cancelling { .. } | LedgerJobState::Indeterminate => {}
+                LedgerJobState::Open { .. }
+                | LedgerJobState::Ended(FinalState::Done)
+                | LedgerJobState::Unknown => return false,
+            }
+            tokio::time::sleep(RETRY_DELAY).await;
+        }
+        false
+    }
+
+    async fn update_job(&self, id: &str, revision: u64, record: LedgerJob) -> Result<(), TxnError> {
+        let transaction = transaction::update_job(id, revision, &record);
+        let committed = self.commit(&transaction).await?;
+        let mut shared = self.shared();
+        let replica = &mut shared.replica;
+        replica.apply_own_write(id, record, committed, Instant::now());
+        Ok(())
+    }
+
+    /// Reads a job's final state from the ledger; `None` if it has none.
+    pub(super) async fn read_final_state(&self, id: &str) -> Result<Option<FinalState>, ReadError> {
+        let Some(value) = self.ledger.get(&final_key(id)).await? else {
+            return Ok(None);
+        };
+        let final_state = serde_json::from_value(value).map_err(|_| ReadError::Failed)?;
+        self.shared().replica.record_final_state(id, final_state);
+        Ok(Some(final_state))
+    }
+}
--- /dev/null
+++ b/crates/rowanmill-cells/src/service/watch.rs
@@ -0,0 +1,197 @@
+//! Reads of the ledger: watching its log, read barriers, and attestations in place of a read.
+
+use super::{CellCoordinator, LedgerLossAttestation, RETRY_DELAY, Shared};
+use crate::record::LIVE_PREFIX;
+use crate::scheduler::Scheduler;
+use rowanmill_state::{Followed, ReadError};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tokio::sync::oneshot;
+
+/// Longest time that the ledger holds a watch request for a change.
+const MAX_HOLD: Duration = Duration::from_secs(1);
+/// Shortest such time, whatever the operators' file says of renewals.
+const MIN_HOLD: Duration = Duration::from_millis(100);
+/// Watch requests that end within the time in which renewals are permitted, so that one that fails leaves
+/// time for others.
+const HOLDS_PER_RENEWAL_LIMIT: u32 = 3;
+/// Time without an answer after which a controller attests that it has lost contact. One that had contact
+/// more recently may be confirming a change that it has not read itself yet.
+const DISCONNECTED_AFTER: Duration = Duration::from_millis(2500);
+
+impl CellCoordinator {
+    /// Waits for a read of the ledger that was sent after this call, or for the attestations of all other
+    /// controllers. False if there is neither. One read serves all who wait.
+    pub async fn read_barrier(&self) -> bool {
+        let (send, receive) = oneshot::channel();
+        self.barrier_waiters.lock().unwrap().push(send);
+        self.barrier_requested.notify_one();
+        receive.await.unwrap_or(false)
+    }
+
+    /// What this controller attests to one of `cell` that has read the ledger up to `revision`.
+    pub fn attest_ledger_loss(&self, cell: &str, revision: u64) -> LedgerLossAttestation {
+        let shared = self.shared();
+        let Some(mut revoked_jobs) = shared.replica.revoked_since(cell, revision) else {
+            return LedgerLossAttestation::default();
+        };
+        // What others attested to this controller is passed on: who confirmed it may be out of the
+        // querying controller's reach.
+        revoked_jobs.extend(shared.contact.halted.iter().cloned());
+        LedgerLossAttestation {
+            is_disconnected: shared.has_lost_ledger(),
+            revoked_jobs,
+        }
+    }
+
+    /// Reads the log once, waiting up to `hold` for a change.
+    async fn read_log<S: Scheduler>(&self, scheduler: &S, hold: Duration) -> Result<(), ReadError> {
+        let from = self.shared().replica.revision;
+        let sent = Instant::now();
+        let body = self.ledger.follow(LIVE_PREFIX, from, hold).await?;
+        let followed = Followed::decode(&body)?;
+        let has_changes = !followed.log.is_empty();
+        {
+            let mut shared = self.shared();
+            let Shared {
+                replica, contact, ..
+            } = &mut *shared;
+            replica.apply_changes(followed.log, followed.ledger, Instant::now());
+            contact.last_response_at = contact.last_response_at.max(Some(sent));
+        }
+        self.update_halted(scheduler);
+        {
+            let mut shared = self.shared();
+            // The read counts only once what it forbids is in force.
+            if shared.replica.is_present(&self.cell) {
+                shared.contact.last_read_at = shared.contact.last_read_at.max(Some(sent));
+                shared.contact.last_attestation_at = None;
+            }
+        }
+        if has_changes {
+            self.wake_up();
+        }
+        Ok(())
+    }
+
+    /// Updates which jobs of the cell's records must not run.
+    pub(super) fn update_halted<S: Scheduler>(&self, scheduler: &S) {
+        let tracked = scheduler.tracked_jobs();
+        let mut shared = self.shared();
+        let halted = {
+            let planner = self.planner.lock().unwrap();
+            planner.halted_jobs(&shared.replica, &tracked)
+        };
+        if *shared.contact.halted != halted {
+            shared.contact.halted = Arc::new(halted);
+        }
+    }
+
+    async fn load<S: Scheduler>(&self, scheduler: &S) -> Result<(), ReadError> {
+        let (pairs, revision) = self.ledger.list_all(LIVE_PREFIX).await?;
+        self.shared()
+            .replica
+            .reload_from_snapshot(pairs, revision, Instant::now());
+        self.read_log(scheduler, Duration::ZERO).await
+    }
+
+    /// Obtains the attestations of all other controllers in place of a read. False if one is missing.
+    async fn obtain_attestations<S: Scheduler>(&self, scheduler: &S) -> bool {
+        let revision = {
+            let shared = self.shared();
+            if !shared.has_lost_ledger() {
+                return false;
+            }
+            shared.replica.revision
+        };
+        let asked_at = Instant::now();
+        let attested = scheduler.collect_attestations(&self.cell, revision).await;
+        let Some(revoked_jobs) = attested else {
+            return false;
+        };
+        let mut shared = self.shared();
+        if shared.replica.revision != revision {
+            return false; // it has contact again
+        }
+        if !revoked_jobs.is_empty() {
+            let mut halted = (*shared.contact.halted).clone();
+            halted.extend(revoked_jobs);
+            shared.contact.halted = Arc::new(halted);
+        }
+        let contact = &mut shared.contact;
+        contact.last_attestation_at = contact.last_attestation_at.max(Some(asked_at));
+        true
+    }
+}
+
+impl Shared {
+    /// Whether the records were loaded, and the ledger has not answered since for too long.
+    fn has_lost_ledger(&self) -> bool {
+        let has_contact = self
+            .contact
+            .responded_within(DISCONNECTED_AFTER, Instant::now());
+        self.is_loaded && !has_contact
+    }
+}
+
+/// Loads the ledger's records, then watches its log; loads again when the log was compacted.
+pub(super) async fn watch_ledger<S: Scheduler>(
+    coordinator: Arc<CellCoordinator>,
+    scheduler: Arc<S>,
+) {
+    let renewal_limit = coordinator.config.renew_without_ledger();
+    let hold = (renewal_limit / HOLDS_PER_RENEWAL_LIMIT).clamp(MIN_HOLD, MAX_HOLD);
+    loop {
+        if coordinator.load(&*scheduler).await.is_err() {
+            tokio::time::sleep(RETRY_DELAY).await;
+            continue;
+        }
+        coordinator.shared().is_loaded = true;
+        watch_until_compacted(&coordinator, &*scheduler, hold).await;
+        coordinator.shared().is_loaded = false;
+        tracing::info!("ledger log compacted before the last read revision, reloading");
+    }
+}
+
+async fn watch_until_compacted<S: Scheduler>(
+    coordinator: &CellCoordinator,
+    scheduler: &S,
+    hold: Duration,
+) {
+    loop {
+        match coordinator.read_log(scheduler, hold).await {
+            Ok(()) => tokio::time::sleep(coordinator.ledger.follow_gap()).await,
+            Err(ReadError::TooOld | ReadError::Gone) => return,
+            Err(ReadError::Failed) => {
+                coordinator.obtain_attestations(scheduler).await;
+                tokio::time::sleep(RETRY_DELAY).await;
+            }
+        }
+    }
+}
+
+/// Serves read barriers: one read for all who wait when it is sent.
+pub(super) async fn serve_read_barriers<S: Scheduler>(
+    coordinator: Arc<CellCoordinator>,
+    scheduler: Arc<S>,
+) {
+    loop {
+        coordinator.barrier_requested.notified().await;
+        let waiters = std::mem::take(&mut *coordinator.barrier_waiters.lock().unwrap());
+        if waiters.is_empty() {
+            continue;
+        }
+        let is_loaded = coordinator.shared().is_loaded;
+        let has_read = is_loaded
+            && (coordinator
+                .read_log(&*scheduler, Duration::ZERO)
+                .await
+                .is_ok()
+                || coordinator.obtain_attestations(&*scheduler).await);
+        for waiter in waiters {
+            // A waiter that was dropped has no use for the answer.
+            let _ = waiter.send(has_read);
+        }
+        tokio::time::sleep(coordinator.ledger.sync_gap()).await;
+    }
+}
--- a/crates/rowanmill-cells/src/transaction.rs
+++ b/crates/rowanmill-cells/src/transaction.rs
@@ -1,6 +1,8 @@
-//! The ledger's changes, each under guards that make a late or repeated one harmless.
+//! Transactions on the ledger. Each carries preconditions that make a late or repeated one harmless.
+//!
+//! This module builds transactions; [`crate::service`] sends them.
 
-use crate::plan::Action;
+use crate::plan::{Action, HandoverReason};
 use crate::record::{
     CellPresence, FinalState, Generation, LedgerJob, final_key, generation_key, job_key,
     presence_key,
@@ -8,49 +10,51 @@
 use crate::replica::{LedgerReplica, Versioned};
 use rowanmill_state::{Guard, Op};
 
-/// Guards and changes of one transaction.
+/// Preconditions and operations of one transaction.
 #[derive(Debug, Clone, Default)]
 pub struct Transaction {
-    /// What must hold.
-    pub guards: Vec<Guard>,
-    /// What changes then.
-    pub changes: Vec<Op>,
+    /// The keys' revisions under which the operations are carried out.
+    pub preconditions: Vec<Guard>,
+    /// The operations, all of them or none.
+    pub operations: Vec<Op>,
 }
 
-fn guard(id: &str, mark: u64) -> Guard {
+/// The precondition that a job's record is the one of this revision.
+fn job_unchanged(id: &str, revision: u64) -> Guard {
     Guard {
         k: job_key(id),
-        mark,
+        mark: revision,
     }
 }
 
-/// Publishes a job. Guarded by its absence among open and ended jobs: one of the two exists from the
-/// first acceptance on, so that a late repeat fails.
+/// Publishes a job, with the precondition that it is neither among the open jobs nor among the ended ones.
+/// One of the two records exists from the first acceptance on, so that a late repeat fails.
 pub fn publish(id: &str, job: &LedgerJob) -> Transaction {
     Transaction {
-        guards: vec![Guard::absent(job_key(id)), Guard::absent(final_key(id))],
-        changes: vec![Op::set(job_key(id), job)],
+        preconditions: vec![Guard::absent(job_key(id)), Guard::absent(final_key(id))],
+        operations: vec![Op::set(job_key(id), job)],
     }
 }
 
-/// Changes an open job: its owner, its epoch, or that it is cancelled.
-pub fn change(id: &str, mark: u64, job: &LedgerJob) -> Transaction {
+/// Replaces the record of an open job: changes its owner or epoch, or cancels it.
+pub fn update_job(id: &str, revision: u64, job: &LedgerJob) -> Transaction {
     Transaction {
-        guards: vec![guard(id, mark)],
-        changes: vec![Op::set(job_key(id), job)],
+        preconditions: vec![job_unchanged(id, revision)],
+        operations: vec![Op::set(job_key(id), job)],
     }
 }
 
-/// Ends an open job. Any change of owner or cancellation since has moved its revision on.
-pub fn finish(id: &str, mark: u64, last: FinalState) -> Transaction {
+/// Ends an open job. It fails if the job changed its owner or was cancelled since, as both change its
+/// revision.
+pub fn finish(id: &str, revision: u64, final_state: FinalState) -> Transaction {
     Transaction {
-        guards: vec![guard(id, mark)],
-        changes: vec![Op::set(final_key(id), &last), Op::drop(job_key(id))],
+        preconditions: vec![job_unchanged(id, revision)],
+        operations: vec![Op::set(final_key(id), &final_state), Op::drop(job_key(id))],
     }
 }
 
-/// Registers a cell on a lease. The generation changes with it: a takeover that was sent while the cell
-/// was away, and is carried out after it came back and left again, fails on that.
+/// Registers a cell on a lease. The generation rises with it: a takeover that was sent while the cell was
+/// absent, and is carried out after the cell returned and left again, fails on that.
 pub fn register(
     replica: &LedgerReplica,
     cell: &str,
@@ -58,141 +62,155 @@
     lease: u64,
 ) -> Transaction {
     let known = replica.cells.get(cell);
-    let held = known.and_then(|known| known.presence.as_ref());
+    let previous = known.and_then(|known| known.presence.as_ref());
     let generation = known.and_then(|known| known.generation.as_ref());
     let next = Generation {
-        count: generation.map_or(0, |g| g.record.count) + 1,
+        count: generation.map_or(0, |held| held.record.count) + 1,
     };
     Transaction {
-        guards: vec![
+        preconditions: vec![
             Guard {
                 k: presence_key(cell),
-                mark: held.map_or(0, |held| held.mark),
+                mark: previous.map_or(0, |held| held.revision),
             },
             Guard {
                 k: generation_key(cell),
-                mark: generation.map_or(0, |g| g.mark),
+                mark: generation.map_or(0, |held| held.revision),
             },
         ],
-        changes: vec![
+        operations: vec![
             Op::set(presence_key(cell), presence).on_lease(lease),
             Op::set(generation_key(cell), &next),
         ],
     }
 }
 
-/// Says anew what a registered cell has to offer.
-pub fn announce(
+/// Updates the presence, and with it the published capacity, of a registered cell.
+pub fn update_presence(
     cell: &str,
     held: &Versioned<CellPresence>,
     presence: &CellPresence,
     lease: u64,
 ) -> Transaction {
     Transaction {
-        guards: vec![Guard {
+        preconditions: vec![Guard {
             k: presence_key(cell),
-            mark: held.mark,
+            mark: held.revision,
         }],
-        changes: vec![Op::set(presence_key(cell), presence).on_lease(lease)],
+        operations: vec![Op::set(presence_key(cell), presence).on_lease(lease)],
     }
 }
 
-/// A change of the ledger that the planner wants, and what holds once it is answered.
+/// A transaction that an [`Action`] requires, and the ledger's records once it is committed.
 #[derive(Debug, Clone, Default)]
-pub struct Step {
-    /// The change.
+pub struct LedgerChange {
+    /// The transaction to send.
     pub transaction: Transaction,
-    /// Open jobs as they are then.
-    pub records: Vec<(String, LedgerJob)>,
-    /// A job that ended with it.
-    pub ended: Option<(String, FinalState)>,
+    /// Open jobs with the records that they have then.
+    pub updated_jobs: Vec<(String, LedgerJob)>,
+    /// The job that it ends.
+    pub ended_job: Option<(String, FinalState)>,
 }
 
-/// The change of the ledger that an action of `cell` asks for, by the records of now; none if it is about
-/// the cell's own records alone, or the job is not there any more.
-pub fn step(
-    replica: &LedgerReplica,
-    cell: &str,
-    action: &Action,
-    most_changes: usize,
-) -> Option<Step> {
-    let held = |id: &String| replica.jobs.get(id);
-    match action {
-        Action::Finish { id, last } => {
-            let held = held(id)?;
-            // A cancellation that the ledger has by now wins over an end that it has not.
-            let last = match held.record.cancelled {
-                true => FinalState::Cancelled,
-                false => *last,
-            };
-            Some(Step {
-                transaction: finish(id, held.mark, last),
-                ended: Some((id.clone(), last)),
-                ..Step::default()
-            })
-        }
-        Action::CancelInLedger { id } => {
-            let held = held(id)?;
-            Some(changing(id, held, held.record.clone().into_cancelled()))
-        }
-        Action::Claim { id } => {
-            let held = held(id)?;
-            Some(changing(id, held, held.record.claimed_anew()))
-        }
-        Action::HandOver { id, to, waited } => {
-            let held = held(id)?;
-            let mut record = held.record.owned_by(to);
-            match waited {
-                true => record.moves += 1,
-                false => record.declined.push(cell.to_owned()),
+impl LedgerChange {
+    /// The change that an action of `cell` requires by the replica's records. `None` if the action is
+    /// about the cell's own records alone, or if the job is no longer open. `max_operations` is the
+    /// ledger's limit on the operations of a transaction.
+    pub fn for_action(
+        replica: &LedgerReplica,
+        cell: &str,
+        action: &Action,
+        max_operations: usize,
+    ) -> Option<Self> {
+        let open_job = |id: &String| replica.jobs.get(id);
+        match action {
+            Action::Finish { id, final_state } => {
+                Some(Self::finish(id, open_job(id)?, *final_state))
             }
-            Some(changing(id, held, record))
+            Action::CancelInLedger { id } => {
+                let held = open_job(id)?;
+                Some(Self::update(id, held, held.record.clone().into_cancelled()))
+            }
+            Action::Reclaim { id } => {
+                let held = open_job(id)?;
+                Some(Self::update(id, held, held.record.reclaimed()))
+            }
+            Action::HandOver { id, to, reason } => {
+                let held = open_job(id)?;
+                let mut record = held.record.with_owner(to);
+                match reason {
+                    HandoverReason::Waited => record.spill_count += 1,
+                    HandoverReason::Declined => record.declined_by.push(cell.to_owned()),
+                }
+                Some(Self::update(id, held, record))
+            }
+            Action::TakeOver { from, ids } => {
+                Some(Self::take_over(replica, cell, from, ids, max_operations))
+            }
+            Action::Adopt { .. }
+            | Action::Cancel { .. }
+            | Action::Withdraw { .. }
+            | Action::Relinquish { .. }
+            | Action::ReadFinalState { .. } => None,
         }
-        Action::TakeOver { from, ids } => Some(take_over(replica, cell, from, ids, most_changes)),
-        Action::Adopt { .. }
-        | Action::Cancel { .. }
-        | Action::Withdraw { .. }
-        | Action::GiveUp { .. }
-        | Action::LookUp { .. } => None,
     }
-}
 
-fn changing(id: &str, held: &Versioned<LedgerJob>, record: LedgerJob) -> Step {
-    Step {
-        transaction: change(id, held.mark, &record),
-        records: vec![(id.to_owned(), record)],
-        ended: None,
+    fn update(id: &str, held: &Versioned<LedgerJob>, record: LedgerJob) -> Self {
+        Self {
+            transaction: update_job(id, held.revision, &record),
+            updated_jobs: vec![(id.to_owned(), record)],
+            ended_job: None,
+        }
     }
-}
-
-/// Most bytes of a transaction's changes: the service takes 64 KiB in all.
-const MOST_BYTES: usize = 44 << 10;
 
-/// Takes over as many jobs of a cell that is gone as fit a transaction; the rest goes with the next round.
-fn take_over(
-    replica: &LedgerReplica,
-    cell: &str,
-    from: &str,
-    ids: &[String],
-    most_changes: usize,
-) -> Step {
-    let mut step = Step::default();
-    step.transaction.guards = replica.absence_guards(from).to_vec();
-    let mut bytes = 0;
-    for id in ids {
-        let Some(held) = replica.jobs.get(id).filter(|job| job.record.owner == from) else {
-            continue;
+    fn finish(id: &str, held: &Versioned<LedgerJob>, reached: FinalState) -> Self {
+        // A cancellation that is already in the ledger takes precedence over an end that is not.
+        let final_state = if held.record.cancelled {
+            FinalState::Cancelled
+        } else {
+            reached
         };
-        let record = held.record.owned_by(cell);
-        let change = Op::set(job_key(id), &record);
-        bytes += change.bytes();
-        let is_full = bytes > MOST_BYTES || step.records.len() == most_changes;
-        if is_full && !step.records.is_empty() {
-            break;
+        Self {
+            transaction: finish(id, held.revision, final_state),
+            updated_jobs: Vec::new(),
+            ended_job: Some((id.to_owned(), final_state)),
         }
-        step.transaction.guards.push(guard(id, held.mark));
-        step.transaction.changes.push(change);
-        step.records.push((id.clone(), record));
     }
-    step
+
+    /// Takes over as many jobs of an absent cell as fit a transaction; the rest follow in the next round.
+    fn take_over(
+        replica: &LedgerReplica,
+        cell: &str,
+        from: &str,
+        ids: &[String],
+        max_operations: usize,
+    ) -> Self {
+        let mut change = Self::default();
+        change.transaction.preconditions = replica.absence_preconditions(from).to_vec();
+        let mut bytes = 0;
+        for id in ids {
+            let Some(held) = replica.jobs.get(id).filter(|job| job.record.owner == from) else {
+                continue;
+            };
+            let record = held.record.with_owner(cell);
+            let operation = Op::set(job_key(id), &record);
+            bytes += operation.bytes();
+            let is_full =
+                bytes > MAX_OPERATION_BYTES || change.updated_jobs.len() == max_operations;
+            if is_full && !change.updated_jobs.is_empty() {
+                break;
+            }
+            let transaction = &mut change.transaction;
+            transaction
+                .preconditions
+                .push(job_unchanged(id, held.revision));
+            transaction.operations.push(operation);
+            change.updated_jobs.push((id.clone(), record));
+        }
+        change
+    }
 }
+
+/// Most bytes of a transaction's operations. The service takes requests of 64 KiB; the preconditions and
+/// the encoding take the rest.
+const MAX_OPERATION_BYTES: usize = 44 << 10;
--- a/crates/rowanmill-cells/tests/model/cell.rs
+++ b/crates/rowanmill-cells/tests/model/cell.rs
@@ -3,12 +3,12 @@
 
 use super::ledger::Ledger;
 use super::{CELLS, CONTROLLERS, Fault, WORKER_LEASE};
-use rowanmill_cells::contact::Contact;
-use rowanmill_cells::plan::{Action, Picture, Planner};
-use rowanmill_cells::record::{CellPresence, Stamp, Summary};
+use rowanmill_cells::contact::LedgerContact;
+use rowanmill_cells::plan::{Action, LocalJobs, Planner};
+use rowanmill_cells::record::{CapacitySummary, CellPresence, OwnershipVersion};
 use rowanmill_cells::replica::LedgerReplica;
 use rowanmill_cells::transaction::{self, Transaction};
-use rowanmill_cells::{CellsConfig, LocalJob, StampedJob};
+use rowanmill_cells::{CellsConfig, LocalJobState, TrackedJob};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -36,7 +36,7 @@
 pub enum LocalChange {
     Put {
         id: String,
-        stamp: Stamp,
+        ownership: OwnershipVersion,
         given_up: u64,
     },
     Cancel {
@@ -46,7 +46,7 @@
     Withdraw {
         id: String,
         mark: u64,
-        stamp: Stamp,
+        ownership: OwnershipVersion,
     },
 }
 
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy)]
 struct Record {
     stands: Stands,
-    stamp: Stamp,
+    ownership: OwnershipVersion,
     mark: u64,
     since: Option<Instant>,
 }
@@ -69,7 +69,7 @@
 pub struct Records {
     revision: u64,
     open: BTreeMap<String, Record>,
-    ended: BTreeMap<String, LocalJob>,
+    ended: BTreeMap<String, LocalJobState>,
     given_up: BTreeMap<String, (u64, u64)>,
 }
 
@@ -94,7 +94,7 @@
         match change {
             LocalChange::Put {
                 id,
-                stamp,
+                ownership,
                 given_up,
             } => {
                 let held = self.given_up.get(id).map_or(0, |(_, mark)| *mark);
@@ -103,7 +103,7 @@
                 }
                 let record = Record {
                     stands: Stands::Open,
-                    stamp: *stamp,
+                    ownership: *ownership,
                     mark: revision,
                     since: None,
                 };
@@ -113,9 +113,13 @@
             LocalChange::Cancel { id, mark } => {
                 self.change(id, *mark, |record| record.stands = Stands::Cancelled)
             }
-            LocalChange::Withdraw { id, mark, stamp } => self.change(id, *mark, |record| {
+            LocalChange::Withdraw {
+                id,
+                mark,
+                ownership,
+            } => self.change(id, *mark, |record| {
                 record.stands = Stands::Withdrawn;
-                record.stamp = *stamp;
+                record.ownership = *ownership;
             }),
         }
     }
@@ -130,12 +134,12 @@
         })
     }
 
-    fn stamped(&self) -> Vec<StampedJob> {
+    fn tracked(&self) -> Vec<TrackedJob> {
         let open = self.open.iter();
-        open.map(|(id, record)| StampedJob {
+        open.map(|(id, record)| TrackedJob {
             id: id.clone(),
-            stamp: record.stamp,
-            stopped: record.stands != Stands::Open,
+            ownership: record.ownership,
+            is_stopped: record.stands != Stands::Open,
         })
         .collect()
     }
@@ -143,7 +147,7 @@
 
 pub struct Controller {
     pub replica: LedgerReplica,
-    contact: Contact,
+    contact: LedgerContact,
     pub planner: Planner,
     pub lease: Option<u64>,
     pub cut_until: Instant,
@@ -156,7 +160,7 @@
     fn new(at: usize, fault: Fault, now: Instant, incarnation: u64) -> Self {
         Self {
             replica: LedgerReplica::new(CELLS),
-            contact: Contact::default(),
+            contact: LedgerContact::default(),
             planner: Planner::new(CELLS[at], &config(fault)),
             lease: None,
             cut_until: now,
@@ -242,19 +246,21 @@
     }
 
     pub fn read(&mut self, number: usize, ledger: &mut Ledger, now: Instant) {
-        let stamped = self.records.stamped();
+        let tracked = self.records.tracked();
         let controller = &mut self.controllers[number];
         if !controller.loaded {
-            controller.replica.reset(Vec::new(), 0, now);
+            controller.replica.reload_from_snapshot(Vec::new(), 0, now);
             controller.loaded = true;
         }
         let log = ledger.since(controller.replica.revision);
-        controller.replica.take(log, ledger.revision, now);
-        controller.contact.answered_at = Some(now);
-        let halted = controller.planner.halted(&controller.replica, &stamped);
+        controller.replica.apply_changes(log, ledger.revision, now);
+        controller.contact.last_response_at = Some(now);
+        let halted = controller
+            .planner
+            .halted_jobs(&controller.replica, &tracked);
         controller.contact.halted = halted.into();
         if controller.replica.is_present(CELLS[self.at]) {
-            controller.contact.read_at = Some(now);
+            controller.contact.last_read_at = Some(now);
         }
     }
 
@@ -268,10 +274,10 @@
         let presence = CellPresence {
             controller: format!("m-{number}"),
             incarnation: self.controllers[number].incarnation,
-            summary: Summary {
+            summary: CapacitySummary {
                 free_cpus: 1.0,
-                waiting: u64::from(self.full),
-                ..Summary::default()
+                waiting_tasks: u64::from(self.full),
+                ..CapacitySummary::default()
             },
         };
         let ends = now + Ledger::CELL_LEASE;
@@ -293,7 +299,7 @@
         });
         match ours {
             Some(held) if held.record == presence => None,
-            Some(held) => Some(transaction::announce(cell, held, &presence, lease)),
+            Some(held) => Some(transaction::update_presence(cell, held, &presence, lease)),
             None => Some(transaction::register(
                 &controller.replica,
                 cell,
@@ -303,19 +309,19 @@
         }
     }
 
-    fn local(&self, id: &str, now: Instant) -> LocalJob {
+    fn local(&self, id: &str, now: Instant) -> LocalJobState {
         if let Some(last) = self.records.ended.get(id) {
             return *last;
         }
         let Some(record) = self.records.open.get(id) else {
-            return LocalJob::Absent;
+            return LocalJobState::Absent;
         };
         match record.stands {
-            Stands::Cancelled => LocalJob::Cancelled,
-            Stands::Withdrawn => LocalJob::Withdrawn,
-            Stands::Open => LocalJob::Open {
-                begun: self.running.contains_key(id),
-                is_barred: false,
+            Stands::Cancelled => LocalJobState::Cancelling,
+            Stands::Withdrawn => LocalJobState::Withdrawn,
+            Stands::Open => LocalJobState::Open {
+                has_started: self.running.contains_key(id),
+                excluded_by_protection: false,
                 age_ms: record
                     .since
                     .map_or(0, |since| now.duration_since(since).as_millis() as u64),
@@ -331,21 +337,23 @@
         if !controller.contact.permits_starts(now) {
             return Vec::new();
         }
-        let owned = controller.planner.owned(&controller.replica);
+        let owned = controller.planner.owned_jobs(&controller.replica);
         let owned = owned.into_iter().map(|id| {
             let local = self.local(&id, now);
             (id, local)
         });
-        let picture = Picture {
+        let local_jobs = LocalJobs {
             owned: owned.collect(),
-            stamped: self.records.stamped(),
+            tracked: self.records.tracked(),
         };
         let controller = &mut self.controllers[number];
-        let lost = controller.planner.lost(&controller.replica, now);
+        let lost = controller
+            .planner
+            .takeover_candidates(&controller.replica, now);
         let runnable: BTreeSet<String> = lost.into_iter().map(|(id, _)| id.clone()).collect();
         controller
             .planner
-            .plan(&controller.replica, &picture, now, &runnable)
+            .plan(&controller.replica, &local_jobs, now, &runnable)
     }
 
     /// The controller that the cell's machines report to.
@@ -355,9 +363,9 @@
     }
 
     fn is_halted(&self, controller: &Controller, id: &str) -> bool {
-        let stamped = self.records.stamped();
-        let job: Vec<StampedJob> = stamped.into_iter().filter(|job| job.id == id).collect();
-        let halted = controller.planner.halted(&controller.replica, &job);
+        let tracked = self.records.tracked();
+        let job: Vec<TrackedJob> = tracked.into_iter().filter(|job| job.id == id).collect();
+        let halted = controller.planner.halted_jobs(&controller.replica, &job);
         halted.contains(id) || controller.contact.halted.contains(id)
     }
 
@@ -401,7 +409,9 @@
             let open = self.records.open.get(id);
             if open.is_some_and(|record| record.stands == Stands::Open) {
                 self.records.open.remove(id);
-                self.records.ended.insert(id.clone(), LocalJob::Done);
+                self.records
+                    .ended
+                    .insert(id.clone(), LocalJobState::Completed);
             }
         }
         done
@@ -413,7 +423,8 @@
             return Vec::new();
         };
         let permits = controller.contact.permits_starts(now)
-            || (self.fault == Fault::StartWithoutReading && controller.contact.read_at.is_some());
+            || (self.fault == Fault::StartWithoutReading
+                && controller.contact.last_read_at.is_some());
         let open = self.records.open.iter().filter(|_| permits);
         let open = open.filter(|(id, record)| {
             record.stands == Stands::Open
@@ -442,9 +453,9 @@
             self.records.revision += 1;
             let revision = self.records.revision;
             if record.stands == Stands::Cancelled {
-                self.records.ended.insert(id, LocalJob::EndedCancelled);
+                self.records.ended.insert(id, LocalJobState::Cancelled);
             } else {
-                let given_up = (record.stamp.epoch, revision);
+                let given_up = (record.ownership.epoch, revision);
                 self.records.given_up.insert(id, given_up);
             }
         }
--- a/crates/rowanmill-cells/tests/model/ledger.rs
+++ b/crates/rowanmill-cells/tests/model/ledger.rs
@@ -65,16 +65,19 @@
     pub fn transact(&mut self, transaction: &Transaction, now: Instant) -> Result<u64, ()> {
         self.end_leases(now);
         let mark = |key: &str| self.keys.get(key).map_or(0, |held| held.mark);
-        let holds = transaction.guards.iter().all(|g| mark(&g.k) == g.mark);
+        let holds = transaction
+            .preconditions
+            .iter()
+            .all(|g| mark(&g.k) == g.mark);
         let is_over = |change: &Op| match change {
             Op::Set { lease, .. } => lease.is_some_and(|l| !self.leases.contains_key(&l)),
             Op::Drop { .. } => false,
         };
-        if !holds || transaction.changes.iter().any(is_over) {
+        if !holds || transaction.operations.iter().any(is_over) {
             return Err(());
         }
         self.revision += 1;
-        for change in &transaction.changes {
+        for change in &transaction.operations {
             match change {
                 Op::Set { set, data, lease } => {
                     self.log.push(Change {
--- a/crates/rowanmill-cells/tests/model/mod.rs
+++ b/crates/rowanmill-cells/tests/model/mod.rs
@@ -7,10 +7,11 @@
 use ledger::Ledger;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use rowanmill_cells::contact::CANCELLATION_SETTLES;
+use rowanmill_cells::WithdrawalCondition;
+use rowanmill_cells::contact::CANCELLATION_EFFECT_DELAY;
 use rowanmill_cells::plan::Action;
-use rowanmill_cells::record::{FinalState, LedgerJob, Stamp, final_key};
-use rowanmill_cells::transaction::{self, Transaction};
+use rowanmill_cells::record::{FinalState, LedgerJob, OwnershipVersion, final_key};
+use rowanmill_cells::transaction::{self, LedgerChange, Transaction};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -246,9 +247,9 @@
             epoch: 1,
             home: CELLS[at].to_owned(),
             cancelled: false,
-            moves: 0,
-            declined: Vec::new(),
-            awaits: Vec::new(),
+            spill_count: 0,
+            declined_by: Vec::new(),
+            depends_on: Vec::new(),
             accepted_ms: 0,
             description: json!({}),
         };
@@ -261,10 +262,13 @@
             return;
         };
         self.accepted.insert(id.to_owned());
-        let stamp = Stamp { epoch: 1, mark };
+        let ownership = OwnershipVersion {
+            epoch: 1,
+            revision: mark,
+        };
         let put = LocalChange::Put {
             id: id.to_owned(),
-            stamp,
+            ownership,
             given_up: 0,
         };
         self.send_local(at, put);
@@ -278,7 +282,7 @@
         if self.cells[at].reading(self.now).is_none() || held.0.cancelled {
             return;
         }
-        let transaction = transaction::change(id, held.1, &held.0.into_cancelled());
+        let transaction = transaction::update_job(id, held.1, &held.0.into_cancelled());
         if self.send(transaction).is_some() {
             self.cancelling.insert(id.to_owned(), self.now);
             self.totals.cancelled += 1;
@@ -288,7 +292,7 @@
     /// Users are told of cancellations once these have settled, or the job has ended.
     fn confirm_cancellations(&mut self) {
         for (id, since) in self.cancelling.clone() {
-            let settled = self.now >= since + CANCELLATION_SETTLES;
+            let settled = self.now >= since + CANCELLATION_EFFECT_DELAY;
             if settled || self.final_state(&id) == Some(FinalState::Cancelled) {
                 self.cancelling.remove(&id);
                 self.cancelled.entry(id).or_insert(self.now);
@@ -375,25 +379,25 @@
     fn act(&mut self, at: usize, number: usize, action: Action) {
         match &action {
             Action::Adopt { id } => self.adopt(at, number, id),
-            Action::Cancel { id } => self.change_record(at, id, None, false),
+            Action::Cancel { id } => self.change_record(at, id, None, WithdrawalCondition::Always),
             Action::Withdraw {
                 id,
-                stamp,
-                only_unbegun,
-            } => self.change_record(at, id, Some(*stamp), *only_unbegun),
-            Action::GiveUp { .. } | Action::LookUp { .. } => {}
+                ownership,
+                condition,
+            } => self.change_record(at, id, Some(*ownership), *condition),
+            Action::Relinquish { .. } | Action::ReadFinalState { .. } => {}
             _ => self.change_ledger(at, number, &action),
         }
     }
 
     fn change_ledger(&mut self, at: usize, number: usize, action: &Action) {
         let replica = &self.cells[at].controllers[number].replica;
-        let Some(step) = transaction::step(replica, CELLS[at], action, 8) else {
+        let Some(step) = LedgerChange::for_action(replica, CELLS[at], action, 8) else {
             return;
         };
         let mut transaction = step.transaction;
         if self.fault == Fault::FinishWithoutGuard && matches!(action, Action::Finish { .. }) {
-            transaction.guards.clear();
+            transaction.preconditions.clear();
         }
         let Some(mark) = self.send(transaction) else {
             return;
@@ -405,11 +409,11 @@
         }
         let now = self.now;
         let replica = &mut self.cells[at].controllers[number].replica;
-        for (id, record) in step.records {
-            replica.note_job(&id, record, mark, now);
+        for (id, record) in step.updated_jobs {
+            replica.apply_own_write(&id, record, mark, now);
         }
-        if let Some((id, last)) = step.ended {
-            replica.remember_final(&id, last);
+        if let Some((id, last)) = step.ended_job {
+            replica.record_final_state(&id, last);
         }
     }
 
@@ -425,32 +429,44 @@
         if let Some((epoch, _)) = given_up
             && epoch == held.record.epoch
         {
-            cell.controllers[number].planner.note_given_up(id, epoch);
+            cell.controllers[number]
+                .planner
+                .record_relinquished(id, epoch);
             return;
         }
         self.totals.taken_again += usize::from(given_up.is_some());
         let put = LocalChange::Put {
             id: id.to_owned(),
-            stamp: Stamp {
+            ownership: OwnershipVersion {
                 epoch: held.record.epoch,
-                mark: held.mark,
+                revision: held.revision,
             },
             given_up: given_up.map_or(0, |(_, mark)| mark),
         };
         self.send_local(at, put);
     }
 
-    fn change_record(&mut self, at: usize, id: &str, stamp: Option<Stamp>, only_unbegun: bool) {
+    fn change_record(
+        &mut self,
+        at: usize,
+        id: &str,
+        ownership: Option<OwnershipVersion>,
+        condition: WithdrawalCondition,
+    ) {
         let cell = &self.cells[at];
-        if only_unbegun && cell.running.contains_key(id) {
+        if condition == WithdrawalCondition::NotStarted && cell.running.contains_key(id) {
             return;
         }
         let Some(mark) = cell.records.mark(id) else {
             return;
         };
         let id = id.to_owned();
-        let change = match stamp {
-            Some(stamp) => LocalChange::Withdraw { id, mark, stamp },
+        let change = match ownership {
+            Some(ownership) => LocalChange::Withdraw {
+                id,
+                mark,
+                ownership,
+            },
             None => LocalChange::Cancel { id, mark },
         };
         self.send_local(at, change);
--- a/crates/rowanmill-cells/tests/schedules.rs
+++ b/crates/rowanmill-cells/tests/schedules.rs
@@ -8,10 +8,10 @@
 use model::ledger::Ledger;
 use model::{Fault, Model};
 use rowanmill_cells::LedgerJob;
-use rowanmill_cells::plan::Action;
-use rowanmill_cells::record::{CellPresence, Summary, generation_key};
+use rowanmill_cells::plan::{Action, HandoverReason};
+use rowanmill_cells::record::{CapacitySummary, CellPresence, generation_key};
 use rowanmill_cells::replica::LedgerReplica;
-use rowanmill_cells::transaction;
+use rowanmill_cells::transaction::{self, LedgerChange};
 use serde_json::json;
 use std::time::{Duration, Instant};
 
@@ -59,7 +59,7 @@
     CellPresence {
         controller: "m-0".to_owned(),
         incarnation: 1,
-        summary: Summary::default(),
+        summary: CapacitySummary::default(),
     }
 }
 
@@ -70,9 +70,9 @@
         epoch: 1,
         home: "a".to_owned(),
         cancelled: false,
-        moves: 0,
-        declined: Vec::new(),
-        awaits: Vec::new(),
+        spill_count: 0,
+        declined_by: Vec::new(),
+        depends_on: Vec::new(),
         accepted_ms: 0,
         description: json!({}),
     };
@@ -82,7 +82,7 @@
 
 fn read(ledger: &Ledger, now: Instant) -> LedgerReplica {
     let mut replica = LedgerReplica::new(["a", "b"]);
-    replica.take(ledger.since(0), ledger.revision, now);
+    replica.apply_changes(ledger.since(0), ledger.revision, now);
     replica
 }
 
@@ -111,12 +111,12 @@
             from: "a".to_owned(),
             ids: vec!["job-1".to_owned()],
         };
-        let mut takeover = transaction::step(&replica, "b", &action, 8)
+        let mut takeover = LedgerChange::for_action(&replica, "b", &action, 8)
             .unwrap()
             .transaction;
         if !with_generation {
             takeover
-                .guards
+                .preconditions
                 .retain(|guard| guard.k != generation_key("a"));
         }
         register(&mut ledger, away);
@@ -141,11 +141,12 @@
         let handover = Action::HandOver {
             id: id.clone(),
             to: "b".to_owned(),
-            waited: true,
+            reason: HandoverReason::Waited,
         };
-        let handover = transaction::step(&replica, "a", &handover, 8).unwrap();
+        let handover = LedgerChange::for_action(&replica, "a", &handover, 8).unwrap();
         if with_claim {
-            let claim = transaction::step(&replica, "a", &Action::Claim { id }, 8).unwrap();
+            let claim =
+                LedgerChange::for_action(&replica, "a", &Action::Reclaim { id }, 8).unwrap();
             ledger.transact(&claim.transaction, now).unwrap();
         }
         ledger.transact(&handover.transaction, now).is_ok()
--- a/src/cells/mod.rs
+++ b/src/cells/mod.rs
@@ -15,10 +15,10 @@
 use crate::state::{Guard, Op, TxnError, final_key, given_up_key, job_key};
 use crate::workers::Report;
 use protection::Barred;
-use rowanmill_cells::record::Summary;
+use rowanmill_cells::record::CapacitySummary;
 use rowanmill_cells::{
-    Adoption, Cells, FinalState, LedgerJob, LocalJob, Scheduler, Stamp, StampedJob, Unavailable,
-    WorkerTimes,
+    AdoptionOutcome, CellCoordinator, FinalState, LedgerJob, LocalJobState, OwnershipVersion,
+    Scheduler, TrackedJob, Unavailable, WithdrawalCondition, WorkerTiming,
 };
 use rowanmill_state::Need;
 use std::collections::BTreeSet;
@@ -35,18 +35,18 @@
 }
 
 /// What the cells' file is checked against.
-pub fn worker_times(settings: &crate::settings::Settings) -> WorkerTimes {
-    WorkerTimes {
+pub fn worker_times(settings: &crate::settings::Settings) -> WorkerTiming {
+    WorkerTiming {
         lease: settings.worker_lease(),
         disconnected_lease_limit: settings.disconnected_lease_limit(),
-        state: settings.endpoints.state,
+        state_service: settings.endpoints.state,
     }
 }
 
 /// The scheduler as the cells reach it.
 pub struct CellScheduler {
     node: Arc<Node>,
-    cells: Arc<Cells>,
+    cells: Arc<CellCoordinator>,
 }
 
 /// Starts this controller's part in the cells, if there are any.
@@ -57,16 +57,16 @@
 }
 
 /// A job that the ledger should know, by its record.
-fn stamped(id: &str, record: &JobRecord) -> Option<StampedJob> {
-    Some(StampedJob {
+fn stamped(id: &str, record: &JobRecord) -> Option<TrackedJob> {
+    Some(TrackedJob {
         id: id.to_owned(),
-        stamp: record.ledger?,
-        stopped: record.cancelled,
+        ownership: record.ledger?,
+        is_stopped: record.cancelled,
     })
 }
 
 /// Jobs with tasks on a machine, by the records or by its report, that the ledger should know.
-fn stamped_on(core: &Core, report: &Report) -> Vec<StampedJob> {
+fn stamped_on(core: &Core, report: &Report) -> Vec<TrackedJob> {
     let recorded = core.replica.on.get(&report.machine).into_iter().flatten();
     let recorded = recorded.map(|(job, _)| job.as_str());
     let planned = core.plans.on(&report.machine).map(|(job, _)| job.as_str());
@@ -107,7 +107,7 @@
 }
 
 impl CellScheduler {
-    pub fn new(node: &Arc<Node>, cells: &Arc<Cells>) -> Self {
+    pub fn new(node: &Arc<Node>, cells: &Arc<CellCoordinator>) -> Self {
         Self {
             node: node.clone(),
             cells: cells.clone(),
@@ -124,12 +124,12 @@
             accepted_ms: job.accepted_ms,
             cancelled: false,
             placer: None,
-            released_ms: (!job.awaits.is_empty()).then(wall_ms),
-            ledger: Some(Stamp {
+            released_ms: (!job.depends_on.is_empty()).then(wall_ms),
+            ledger: Some(OwnershipVersion {
                 epoch: job.epoch,
-                mark,
+                revision: mark,
             }),
-            foreign: job.home != self.cells.name(),
+            foreign: job.home != self.cells.cell_name(),
             withdrawn: false,
         })
     }
@@ -238,36 +238,36 @@
 }
 
 /// Where a job stands, by the records in memory.
-fn local_job(node: &Node, core: &Core, id: &str, now_ms: u64) -> LocalJob {
+fn local_job(node: &Node, core: &Core, id: &str, now_ms: u64) -> LocalJobState {
     let Some(job) = core.replica.jobs.get(id) else {
         return match core.replica.ended(id) {
-            Some(Final::Done) => LocalJob::Done,
-            Some(Final::Cancelled) => LocalJob::EndedCancelled,
+            Some(Final::Done) => LocalJobState::Completed,
+            Some(Final::Cancelled) => LocalJobState::Cancelled,
             // Nothing is done about one whose record cannot be read.
-            None if core.replica.is_unreadable(id) => LocalJob::Cancelled,
-            None => LocalJob::Absent,
+            None if core.replica.is_unreadable(id) => LocalJobState::Cancelling,
+            None => LocalJobState::Absent,
         };
     };
     if job.record.withdrawn {
-        return LocalJob::Withdrawn;
+        return LocalJobState::Withdrawn;
     }
     if job.record.cancelled {
-        return LocalJob::Cancelled;
+        return LocalJobState::Cancelling;
     }
     let planned = core.plans.of(id).is_some_and(|planned| !planned.is_empty());
     let begun = job.placed > 0 || job.done > 0 || planned;
     let spec = &job.record.spec;
-    LocalJob::Open {
-        begun,
+    LocalJobState::Open {
+        has_started: begun,
         age_ms: now_ms.saturating_sub(job.record.since_ms()),
-        is_barred: job.record.foreign
+        excluded_by_protection: job.record.foreign
             && !begun
             && protection::barred(node, core, spec, now_ms).is_some(),
     }
 }
 
 /// What the cell has to offer, by its records.
-fn summary(core: &Core, now_ms: u64) -> Summary {
+fn summary(core: &Core, now_ms: u64) -> CapacitySummary {
     let capacity: f64 = core.replica.fleet.machines.values().fold(0.0, |sum, m| {
         sum + core.kind(&m.kind).map_or(0.0, |kind| kind.cpus)
     });
@@ -279,20 +279,20 @@
             waiting += u64::from(left);
         }
     }
-    Summary {
-        at_ms: now_ms,
-        waiting,
+    CapacitySummary {
+        computed_ms: now_ms,
+        waiting_tasks: waiting,
         free_cpus: (capacity - used).max(0.0),
         can_rent: core.rent.refused.is_empty(),
     }
 }
 
 impl Scheduler for CellScheduler {
-    fn leads(&self) -> bool {
+    fn is_leader(&self) -> bool {
         membership::lead_mark(&self.node).is_some()
     }
 
-    fn local_jobs(&self, ids: &[String]) -> Vec<LocalJob> {
+    fn local_job_states(&self, ids: &[String]) -> Vec<LocalJobState> {
         let core = self.node.core();
         let now_ms = wall_ms();
         let local = ids
@@ -301,14 +301,14 @@
         local.collect()
     }
 
-    fn stamped_jobs(&self) -> Vec<StampedJob> {
+    fn tracked_jobs(&self) -> Vec<TrackedJob> {
         let core = self.node.core();
         let jobs = core.replica.jobs.iter();
         jobs.filter_map(|(id, job)| stamped(id, &job.record))
             .collect()
     }
 
-    fn summary(&self) -> Summary {
+    fn capacity_summary(&self) -> CapacitySummary {
         summary(&self.node.core(), wall_ms())
     }
 
@@ -318,7 +318,12 @@
         })
     }
 
-    async fn adopt(&self, id: &str, job: &LedgerJob, mark: u64) -> Result<Adoption, Unavailable> {
+    async fn adopt(
+        &self,
+        id: &str,
+        job: &LedgerJob,
+        mark: u64,
+    ) -> Result<AdoptionOutcome, Unavailable> {
         if !self.node.sync().await {
             return Err(Unavailable);
         }
@@ -331,48 +336,50 @@
                 // One that is on its way out is taken again once it has left.
                 return match held.record.withdrawn {
                     true => Err(Unavailable),
-                    false => Ok(Adoption::Taken),
+                    false => Ok(AdoptionOutcome::Adopted),
                 };
             }
         }
         // Read before the other key: a job that ends or leaves meanwhile fails the guards.
         let given_up = self.given_up(id).await?;
         if self.ended(id).await? {
-            return Ok(Adoption::Ended);
+            return Ok(AdoptionOutcome::AlreadyEnded);
         }
         if let Some((_, GivenUp { epoch })) = given_up
             && epoch == job.epoch
         {
-            return Ok(Adoption::GivenUp { epoch });
+            return Ok(AdoptionOutcome::Relinquished { epoch });
         }
         let record = match self.record_of(job, mark) {
             Ok(record) => record,
-            Err(reason) => return Ok(Adoption::Unfit { reason }),
+            Err(reason) => return Ok(AdoptionOutcome::Ineligible { reason }),
         };
         if let Some(Barred { until_ms }) = self.barred(&record) {
             let reason = match until_ms {
                 Some(at_ms) => format!("only protected room, until {at_ms} ms of the epoch"),
                 None => "only protected room".to_owned(),
             };
-            return Ok(Adoption::Unfit { reason });
+            return Ok(AdoptionOutcome::Ineligible { reason });
         }
         match self.verdict(&record) {
             Verdict::Takes => {}
             Verdict::Never(reason) => {
                 let reason = reason.to_owned();
-                return Ok(Adoption::Unfit { reason });
+                return Ok(AdoptionOutcome::Ineligible { reason });
             }
             Verdict::TooLarge => {
                 let reason = "more than a record takes".to_owned();
-                return Ok(Adoption::Unfit { reason });
+                return Ok(AdoptionOutcome::Ineligible { reason });
             }
             Verdict::Undecided | Verdict::NoMemory | Verdict::NotYet => return Err(Unavailable),
         }
         let mark = given_up.map_or(0, |(mark, _)| mark);
-        self.put(id, record, mark).await.map(|()| Adoption::Taken)
+        self.put(id, record, mark)
+            .await
+            .map(|()| AdoptionOutcome::Adopted)
     }
 
-    async fn give_up(&self, id: &str, epoch: u64) -> Result<bool, Unavailable> {
+    async fn relinquish(&self, id: &str, epoch: u64) -> Result<bool, Unavailable> {
         if !self.node.sync().await {
             return Err(Unavailable);
         }
@@ -400,20 +407,27 @@
     async fn withdraw(
         &self,
         id: &str,
-        stamp: Stamp,
-        only_unbegun: bool,
+        ownership: OwnershipVersion,
+        condition: WithdrawalCondition,
     ) -> Result<(), Unavailable> {
         self.change(id, |core, job| {
             let local = local_job(&self.node, core, id, wall_ms());
-            let begun = matches!(local, LocalJob::Open { begun: true, .. });
-            let stays = job.record.withdrawn || (only_unbegun && begun);
-            (!stays).then(|| job.record.clone().into_withdrawn(stamp))
+            let begun = matches!(
+                local,
+                LocalJobState::Open {
+                    has_started: true,
+                    ..
+                }
+            );
+            let stays =
+                job.record.withdrawn || (condition == WithdrawalCondition::NotStarted && begun);
+            (!stays).then(|| job.record.clone().into_withdrawn(ownership))
         })
         .await
     }
 
-    async fn ask_others(&self, cell: &str, revision: u64) -> Option<Vec<String>> {
-        let others = self.cells.others(self.node.settings.mesh_addr);
+    async fn collect_attestations(&self, cell: &str, revision: u64) -> Option<Vec<String>> {
+        let others = self.cells.other_controllers(self.node.settings.mesh_addr);
         testimony::ask_all(others, cell, revision).await
     }
 }
--- a/src/cells/requests.rs
+++ b/src/cells/requests.rs
@@ -7,7 +7,10 @@
 use crate::jobs::{Final, JobRecord, Stage};
 use crate::node::Node;
 use hyper::StatusCode;
-use rowanmill_cells::{Cancelled, Cells, KnownJob, LedgerJob, Published, Scheduler, Stamp};
+use rowanmill_cells::{
+    CancelOutcome, CellCoordinator, LedgerJob, LedgerJobState, OwnershipVersion, PublishOutcome,
+    Scheduler,
+};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -63,21 +66,21 @@
 }
 
 /// Answers a poll.
-pub async fn poll(node: &Arc<Node>, cells: &Cells, id: &str) -> Answer {
-    match cells.known(id).await {
-        KnownJob::Over(last) => over(id, last),
-        KnownJob::Open {
-            cancelled: true, ..
-        } => told_progress(id, Stage::Cancelled, 0, 0),
-        KnownJob::Cancelling { .. } if is_cancelled_here(node, id) => {
+pub async fn poll(node: &Arc<Node>, cells: &CellCoordinator, id: &str) -> Answer {
+    match cells.job_state(id).await {
+        LedgerJobState::Ended(last) => over(id, last),
+        LedgerJobState::Cancelled => told_progress(id, Stage::Cancelled, 0, 0),
+        LedgerJobState::Cancelling { .. } if is_cancelled_here(node, id) => {
             told_progress(id, Stage::Cancelled, 0, 0)
         }
-        KnownJob::Cancelling { .. } => being_cancelled(),
-        KnownJob::Open { is_ours: true, .. } => progress(node, id),
-        KnownJob::Open { .. } => told_progress(id, Stage::Queued, 0, 0),
-        KnownJob::Never => only_here(node, id).await,
-        KnownJob::Unclear if is_local(node, id) => local_answer(node, id).await,
-        KnownJob::Unclear => no_ledger(),
+        LedgerJobState::Cancelling { .. } => being_cancelled(),
+        LedgerJobState::Open {
+            owned_here: true, ..
+        } => progress(node, id),
+        LedgerJobState::Open { .. } => told_progress(id, Stage::Queued, 0, 0),
+        LedgerJobState::Unknown => only_here(node, id).await,
+        LedgerJobState::Indeterminate if is_local(node, id) => local_answer(node, id).await,
+        LedgerJobState::Indeterminate => no_ledger(),
     }
 }
 
@@ -109,25 +112,26 @@
 }
 
 /// Answers a cancellation. Nothing when the job is this cell's alone.
-pub async fn abort(node: &Arc<Node>, cells: &Arc<Cells>, id: &str) -> Option<Answer> {
+pub async fn abort(node: &Arc<Node>, cells: &Arc<CellCoordinator>, id: &str) -> Option<Answer> {
     let confirmed = || Some(json(StatusCode::OK, &told(id, Stage::Cancelled)));
     match cells.cancel(id).await {
-        Cancelled::Confirmed => confirmed(),
-        Cancelled::Recorded { is_ours } => {
-            if is_ours {
+        CancelOutcome::Confirmed => confirmed(),
+        CancelOutcome::Recorded { owned_here } => {
+            if owned_here {
                 let _ = CellScheduler::new(node, cells).cancel(id).await;
             }
-            let settled = (is_ours && is_cancelled_here(node, id)) || cells.settles(id).await;
+            let settled =
+                (owned_here && is_cancelled_here(node, id)) || cells.await_cancellation(id).await;
             if settled {
                 confirmed()
             } else {
                 Some(being_cancelled())
             }
         }
-        Cancelled::Over(last) => Some(over(id, last)),
-        Cancelled::Never => None,
-        Cancelled::Unclear if is_local(node, id) => None,
-        Cancelled::Unclear => {
+        CancelOutcome::AlreadyEnded(last) => Some(over(id, last)),
+        CancelOutcome::Unknown => None,
+        CancelOutcome::Indeterminate if is_local(node, id) => None,
+        CancelOutcome::Indeterminate => {
             // Without the ledger it cannot be confirmed: another cell may own the job by now. But its
             // tasks here are of no use to anybody from now on.
             let _ = CellScheduler::new(node, cells).cancel(id).await;
@@ -139,7 +143,7 @@
 /// Answers a submission whose body is right. Nothing when the job is this cell's alone.
 pub async fn submit(
     server: &Server,
-    cells: &Arc<Cells>,
+    cells: &Arc<CellCoordinator>,
     record: JobRecord,
     awaits: Vec<String>,
     verdict: Verdict,
@@ -149,10 +153,10 @@
     if is_local(node, &id) {
         return None;
     }
-    if !cells.has_ledger(OUT) {
+    if !cells.ledger_responded_within(OUT) {
         return Some(no_ledger());
     }
-    if verdict != Verdict::Takes || cells.seems_known(&id) {
+    if verdict != Verdict::Takes || cells.is_cached(&id) {
         match known_answer(node, cells, &id).await {
             Some(answer) => return Some(answer),
             None if verdict != Verdict::Takes => return Some(refuse_for(&verdict)),
@@ -168,35 +172,26 @@
         Known::Live(stage, ..) if is_local(node, &id) => {
             return Some(json(StatusCode::OK, &told(&id, stage)));
         }
-        Known::Over(last) if !cells.seems_known(&id) => return Some(over(&id, last)),
+        Known::Over(last) if !cells.is_cached(&id) => return Some(over(&id, last)),
         Known::Unclear => return Some(no_ledger()),
         Known::Live(..) | Known::Over(_) => {}
     }
-    let job = LedgerJob {
-        owner: cells.name().to_owned(),
-        epoch: 1,
-        home: cells.name().to_owned(),
-        cancelled: false,
-        moves: 0,
-        declined: Vec::new(),
-        awaits,
-        accepted_ms: record.accepted_ms,
-        description: serde_json::to_value(&record.spec).expect("a job is plain data"),
-    };
+    let description = serde_json::to_value(&record.spec).expect("a job is plain data");
+    let job = LedgerJob::accepted_by(cells.cell_name(), record.accepted_ms, awaits, description);
     let bytes = serde_json::to_vec(&job).map_or(usize::MAX, |text| text.len());
     if bytes + MORE_BYTES > cells.config().value_bytes() {
         return Some(refuse_for(&Verdict::TooLarge));
     }
     Some(match cells.publish(&id, &job).await {
-        Published::New(stamp) => {
+        PublishOutcome::Accepted(stamp) => {
             take_in(node, cells, record, &job, stamp);
             json(StatusCode::CREATED, &told(&id, Stage::Queued))
         }
-        Published::Known => known_answer(node, cells, &id)
+        PublishOutcome::AlreadyKnown => known_answer(node, cells, &id)
             .await
             .unwrap_or_else(no_ledger),
-        Published::Busy => busy(),
-        Published::Unavailable => no_ledger(),
+        PublishOutcome::RateLimited => busy(),
+        PublishOutcome::Unavailable => no_ledger(),
     })
 }
 
@@ -204,28 +199,31 @@
 const MORE_BYTES: usize = 256;
 
 /// A job that the ledger knows already; none if it never had it.
-pub async fn known_answer(node: &Arc<Node>, cells: &Cells, id: &str) -> Option<Answer> {
-    match cells.known(id).await {
-        KnownJob::Never => None,
-        KnownJob::Over(last) => Some(over(id, last)),
-        KnownJob::Open {
-            cancelled: true, ..
-        } => Some(json(StatusCode::OK, &told(id, Stage::Cancelled))),
-        KnownJob::Cancelling { .. } => Some(being_cancelled()),
-        KnownJob::Open { is_ours: true, .. } => Some(progress(node, id)),
-        KnownJob::Open { .. } => Some(json(StatusCode::OK, &told(id, Stage::Queued))),
-        KnownJob::Unclear => Some(no_ledger()),
+pub async fn known_answer(node: &Arc<Node>, cells: &CellCoordinator, id: &str) -> Option<Answer> {
+    match cells.job_state(id).await {
+        LedgerJobState::Unknown => None,
+        LedgerJobState::Ended(last) => Some(over(id, last)),
+        LedgerJobState::Cancelled => Some(json(StatusCode::OK, &told(id, Stage::Cancelled))),
+        LedgerJobState::Cancelling { .. } => Some(being_cancelled()),
+        LedgerJobState::Open {
+            owned_here: true, ..
+        } => Some(progress(node, id)),
+        LedgerJobState::Open { .. } => Some(json(StatusCode::OK, &told(id, Stage::Queued))),
+        LedgerJobState::Indeterminate => Some(no_ledger()),
     }
 }
 
 /// Whether the ledger knows all jobs that a new one waits for. Of one from before there were cells it
 /// would never learn the end.
-async fn check_awaits(cells: &Cells, awaits: &[String]) -> Result<(), Answer> {
+async fn check_awaits(cells: &CellCoordinator, awaits: &[String]) -> Result<(), Answer> {
     for id in awaits {
-        match cells.known(id).await {
-            KnownJob::Open { .. } | KnownJob::Cancelling { .. } | KnownJob::Over(_) => {}
-            KnownJob::Unclear => return Err(no_ledger()),
-            KnownJob::Never => {
+        match cells.job_state(id).await {
+            LedgerJobState::Open { .. }
+            | LedgerJobState::Cancelling { .. }
+            | LedgerJobState::Cancelled
+            | LedgerJobState::Ended(_) => {}
+            LedgerJobState::Indeterminate => return Err(no_ledger()),
+            LedgerJobState::Unknown => {
                 let reason = "`awaits` names a job that the cells never accepted";
                 return Err(error(StatusCode::UNPROCESSABLE_ENTITY, reason));
             }
@@ -238,16 +236,16 @@
 /// leader does it: the ledger says that the job is the cell's.
 fn take_in(
     node: &Arc<Node>,
-    cells: &Arc<Cells>,
+    cells: &Arc<CellCoordinator>,
     mut record: JobRecord,
     job: &LedgerJob,
-    stamp: Stamp,
+    ownership: OwnershipVersion,
 ) {
     // One that waits for others is put there once they are done.
-    if !job.awaits.is_empty() {
+    if !job.depends_on.is_empty() {
         return;
     }
-    record.ledger = Some(stamp);
+    record.ledger = Some(ownership);
     let scheduler = CellScheduler::new(node, cells);
     tokio::spawn(async move {
         let id = record.spec.id.clone();
--- a/src/cells/testimony.rs
+++ b/src/cells/testimony.rs
@@ -4,7 +4,7 @@
 
 use crate::node::Node;
 use bytes::Bytes;
-use rowanmill_cells::service::Testimony;
+use rowanmill_cells::service::LedgerLossAttestation;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -53,16 +53,16 @@
 pub async fn answer(node: &Node, stream: &mut TcpStream) -> std::io::Result<()> {
     let frame = read_frame(stream, MOST_QUESTION_BYTES).await?;
     let question: Question = bitcode::decode(&frame).map_err(malformed)?;
-    let Testimony {
+    let LedgerLossAttestation {
         is_disconnected,
-        lost,
+        revoked_jobs,
     } = match &node.cells {
-        Some(cells) => cells.testify(&question.cell, question.revision),
-        None => Testimony::default(),
+        Some(cells) => cells.attest_ledger_loss(&question.cell, question.revision),
+        None => LedgerLossAttestation::default(),
     };
     let answer = Answer {
         is_disconnected,
-        lost,
+        lost: revoked_jobs,
     };
     write_frame(stream, bitcode::encode(&answer)).await
 }
