--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -6,9 +6,9 @@
 pub use limits::LimitsCommand;
 
 use clap::{Args, Subcommand, ValueEnum};
-use rowanmill_cells::record::{Drain, LIVE_PREFIX, drain_key, final_key};
+use rowanmill_cells::record::{DrainRequest, LIVE_PREFIX, drain_key, final_key};
 use rowanmill_cells::replica::LedgerReplica;
-use rowanmill_cells::report::{self, FORMAT};
+use rowanmill_cells::report::{self, FORMAT, ReportedState};
 use rowanmill_cells::{CellsConfig, FinalState};
 use rowanmill_state::{Op, StateClient, StateShare};
 use serde::Serialize;
@@ -128,14 +128,14 @@
         let (pairs, revision) = listing.map_err(|_| ClientError::NoLedger)?;
         let names = self.config.cells.iter().map(|cell| cell.name.as_str());
         let mut replica = LedgerReplica::new(names);
-        replica.reset(pairs, revision, Instant::now());
+        replica.reload_from_snapshot(pairs, revision, Instant::now());
         Ok(replica)
     }
 
     async fn status(&self, output: Output) -> Result<String, ClientError> {
-        let status = report::status(&self.replica().await?);
+        let status = report::report_cells(&self.replica().await?);
         Ok(match output {
-            Output::Text => status.text(),
+            Output::Text => status.to_string(),
             Output::Json => line(&status),
         })
     }
@@ -147,11 +147,11 @@
         let last = last.map_err(|_| ClientError::NoLedger)?;
         let last: Option<FinalState> = last.and_then(|last| serde_json::from_value(last).ok());
         let explanation = report::explain(&replica, job, last);
-        if explanation.state == "unknown" && !replica.is_unreadable(job) {
+        if explanation.state == ReportedState::Unknown && !replica.is_unreadable(job) {
             return Err(ClientError::UnknownJob(job.to_owned()));
         }
         Ok(match output {
-            Output::Text => explanation.text(),
+            Output::Text => explanation.to_string(),
             Output::Json => line(&explanation),
         })
     }
@@ -165,9 +165,9 @@
         if !self.config.cells.iter().any(|c| c.name == cell) {
             return Err(ClientError::UnknownCell(cell.to_owned()));
         }
-        let since_ms = crate::node::wall_ms();
+        let requested_ms = crate::node::wall_ms();
         let change = match drain {
-            true => Op::set(drain_key(cell), &Drain { since_ms }),
+            true => Op::set(drain_key(cell), &DrainRequest { requested_ms }),
             false => Op::drop(drain_key(cell)),
         };
         let done = self.ledger.transact(&[], &[change]).await;
--- a/src/jobs/ends.rs
+++ b/src/jobs/ends.rs
@@ -5,7 +5,7 @@
 use crate::node::{Core, Node};
 use crate::state::replica::Job;
 use crate::state::{Guard, Op, Replica, final_key, given_up_key, job_key, page_key};
-use rowanmill_cells::Stamp;
+use rowanmill_cells::OwnershipVersion;
 use rowanmill_state::Need;
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
 enum Last {
     Final(Final),
     /// Nothing of it runs here any more, and it is to be another cell's.
-    GivenUp(Stamp),
+    GivenUp(OwnershipVersion),
 }
 
 /// Moves jobs that are over to their final key, with their pages; as many in a transaction as
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -10,7 +10,7 @@
 pub use pages::{Entry, Layout, Page, PageId};
 pub use spec::{JobSpec, Shape, SpecError, Submission, Urgency, is_job_id};
 
-use rowanmill_cells::Stamp;
+use rowanmill_cells::OwnershipVersion;
 use serde::{Deserialize, Serialize};
 
 /// The record of an unfinished job: what the user asked for, when, and whether it was cancelled.
@@ -30,7 +30,7 @@
     pub released_ms: Option<u64>,
     /// Where the ledger of the cells has it; nothing for a job that only this cell knows.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub ledger: Option<Stamp>,
+    pub ledger: Option<OwnershipVersion>,
     /// Another cell accepted it.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub foreign: bool,
@@ -63,7 +63,7 @@
 
     /// The record of a job that is to be another cell's: nothing of it starts, and once nothing of it runs
     /// the record goes.
-    pub fn into_withdrawn(self, stamp: Stamp) -> Self {
+    pub fn into_withdrawn(self, stamp: OwnershipVersion) -> Self {
         Self {
             ledger: Some(stamp),
             withdrawn: true,
@@ -109,7 +109,7 @@
 }
 
 impl GivenUp {
-    pub fn under(stamp: Stamp) -> Self {
+    pub fn under(stamp: OwnershipVersion) -> Self {
         Self { epoch: stamp.epoch }
     }
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -17,7 +17,7 @@
 use crate::settings::Settings;
 use crate::state::{Guard, Op, Replica, StateClient, rental_key};
 use crate::workers::{TaskId, Workers};
-use rowanmill_cells::{Cells, CellsConfig};
+use rowanmill_cells::{CellCoordinator, CellsConfig};
 use rowanmill_limits::LimitsConfig;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -62,7 +62,7 @@
     ticks: watch::Sender<(u64, u64)>,
     heard: Mutex<PeerStatus>,
     /// The cells that share work, if an operators' file names them.
-    pub cells: Option<Arc<Cells>>,
+    pub cells: Option<Arc<CellCoordinator>>,
     pub processor_time: ProcessorTime,
     pub memory: MemoryPressure,
 }
@@ -115,7 +115,12 @@
     /// Takes part in the cells of an operators' file, as a controller of `cell`.
     pub fn in_cell(mut self, config: CellsConfig, cell: &str) -> Self {
         let Member { name, incarnation } = &self.me;
-        self.cells = Some(Arc::new(Cells::new(config, cell, name, *incarnation)));
+        self.cells = Some(Arc::new(CellCoordinator::new(
+            config,
+            cell,
+            name,
+            *incarnation,
+        )));
         self
     }
 
