--- /dev/null
+++ b/crates/rowanmill-state/tests/protocol.rs
@@ -0,0 +1,314 @@
+//! The state service's protocol as this client speaks it: what it sends, and what it reads out of each
+//! answer. The snapshots are the interface: they change only with the protocol.
+
+use rowanmill_state::{
+    Change, Followed, Guard, Listing, Op, Pair, ReadError, StateClient, StateShare, TxnError,
+};
+use rowanmill_testing::exchange::{Recorder, Reply};
+use serde_json::json;
+use std::fmt::Write;
+use std::time::Duration;
+
+const SHARE: StateShare = StateShare {
+    requests: 1000.0,
+    writes: 1000.0,
+};
+
+fn answer(status: u16, body: &str) -> Reply {
+    Reply::Answer(status, body.to_owned())
+}
+
+#[derive(Default)]
+struct Trace(String);
+
+impl Trace {
+    /// One call, with what is replied to each of its requests.
+    async fn call(
+        &mut self,
+        what: &str,
+        replies: &[Reply],
+        call: impl AsyncFnOnce(StateClient) -> String,
+    ) {
+        let recorder = Recorder::start(replies.to_vec());
+        let outcome = call(StateClient::new(recorder.addr, SHARE, SHARE)).await;
+        writeln!(self.0, "== {what}").unwrap();
+        for (request, reply) in recorder.requests().iter().zip(replies) {
+            self.0.push_str(request);
+            match reply {
+                Reply::Answer(status, body) => writeln!(self.0, "< {status} {body}").unwrap(),
+                Reply::HangUp => writeln!(self.0, "< no answer").unwrap(),
+            }
+        }
+        writeln!(self.0, "{}\n", outcome.trim_end()).unwrap();
+    }
+}
+
+fn transaction_text(outcome: Result<u64, TxnError>) -> String {
+    match outcome {
+        Ok(revision) => format!("applied at revision {revision}"),
+        Err(TxnError::Conflict(keys)) => format!("guards failed: {}", keys.join(", ")),
+        Err(TxnError::Refused) => "not executed, may be sent again".to_owned(),
+        Err(TxnError::Malformed) => "refused for good".to_owned(),
+        Err(TxnError::NoLease) => "its lease is over".to_owned(),
+        Err(TxnError::Unknown) => "may have been executed, or may be yet".to_owned(),
+    }
+}
+
+fn problem_text(problem: ReadError) -> String {
+    match problem {
+        ReadError::TooOld => "the log does not go back that far".to_owned(),
+        ReadError::Gone => "the lease is over".to_owned(),
+        ReadError::Failed => "nothing is known".to_owned(),
+    }
+}
+
+fn pair_text(pair: &Pair) -> String {
+    format!("{} at {}: {}\n", pair.k, pair.mark, pair.data)
+}
+
+fn listing_text(listing: &Listing) -> String {
+    let pairs: String = listing.pairs.iter().map(pair_text).collect();
+    format!("{pairs}more: {}, revision {}", listing.more, listing.ledger)
+}
+
+fn change_text(change: &Change) -> String {
+    let data = change.data.as_ref().map_or("none", |data| data.get());
+    let key = |key: &Option<String>| key.clone().unwrap_or("none".to_owned());
+    format!(
+        "at {}: put {}, removed {}, value {data}\n",
+        change.mark,
+        key(&change.set),
+        key(&change.drop)
+    )
+}
+
+fn guards() -> Vec<Guard> {
+    vec![
+        Guard::absent("a/new".to_owned()),
+        Guard {
+            k: "a/b".to_owned(),
+            mark: 412,
+        },
+    ]
+}
+
+fn changes() -> Vec<Op> {
+    vec![
+        Op::set("a/b".to_owned(), &json!({"count": 1, "share": 0.5})),
+        Op::set("a/new".to_owned(), &json!([1, "x", null])).on_lease(7),
+        Op::drop("c/d".to_owned()),
+    ]
+}
+
+#[tokio::test]
+async fn a_transaction_is_sent_and_each_answer_read() {
+    let mut trace = Trace::default();
+    let replies = [
+        ("applied", answer(200, r#"{"ledger":432}"#)),
+        (
+            "with unknown fields",
+            answer(200, r#"{"ledger":433,"later":{"x":1}}"#),
+        ),
+        (
+            "a guard failed",
+            answer(409, r#"{"failed":["a/b","a/new"],"ledger":431}"#),
+        ),
+        ("guards failed without names", answer(409, "")),
+        ("no such lease", answer(400, r#"{"error":"no such lease"}"#)),
+        ("malformed", answer(400, r#"{"error":"value too large"}"#)),
+        ("over the limit", answer(429, r#"{"error":"too many"}"#)),
+        ("an outage", answer(503, r#"{"error":"trouble"}"#)),
+        ("another status", answer(500, "")),
+        ("an answer that cannot be read", answer(200, "{}")),
+        ("no answer", Reply::HangUp),
+    ];
+    for (what, reply) in replies {
+        let call = async |client: StateClient| {
+            transaction_text(client.transact(&guards(), &changes()).await)
+        };
+        trace.call(what, &[reply], call).await;
+    }
+    let compare =
+        async |client: StateClient| transaction_text(client.transact(&guards(), &[]).await);
+    let reply = answer(200, r#"{"ledger":432}"#);
+    trace.call("a comparison alone", &[reply], compare).await;
+    let none = async |client: StateClient| transaction_text(client.transact(&[], &[]).await);
+    let reply = answer(200, r#"{"ledger":432}"#);
+    trace.call("nothing at all", &[reply], none).await;
+    insta::assert_snapshot!(trace.0);
+}
+
+#[tokio::test]
+async fn a_transaction_without_a_connection_was_not_executed() {
+    let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let addr = closed.local_addr().unwrap();
+    drop(closed);
+    let client = StateClient::new(addr, SHARE, SHARE);
+    let outcome = client.transact(&guards(), &changes()).await;
+    assert!(matches!(outcome, Err(TxnError::Refused)));
+}
+
+#[tokio::test]
+async fn the_log_is_followed_and_each_answer_read() {
+    let mut trace = Trace::default();
+    let log = r#"{"ledger":433,"log":[{"set":"c/9","data":{"n":1},"mark":433},{"drop":"c/d","mark":432}]}"#;
+    let replies = [
+        ("changes", answer(200, log)),
+        ("no changes", answer(200, r#"{"ledger":433,"log":[]}"#)),
+        ("the log left out", answer(200, r#"{"ledger":433}"#)),
+        ("unknown fields", answer(200, r#"{"ledger":433,"more":1}"#)),
+        ("too old", answer(410, r#"{"error":"too old"}"#)),
+        ("over the limit", answer(429, r#"{"error":"too many"}"#)),
+        ("an outage", answer(503, r#"{"error":"trouble"}"#)),
+        ("an answer that cannot be read", answer(200, "[]")),
+        ("no answer", Reply::HangUp),
+    ];
+    for (what, reply) in replies {
+        let call = async |client: StateClient| {
+            let followed = client.follow("c/", 431, Duration::from_millis(250)).await;
+            match followed.and_then(|body| Followed::decode(&body)) {
+                Ok(followed) => {
+                    let log: String = followed.log.iter().map(change_text).collect();
+                    format!("{log}all up to revision {}", followed.ledger)
+                }
+                Err(problem) => problem_text(problem),
+            }
+        };
+        trace.call(what, &[reply], call).await;
+    }
+    let at_once = async |client: StateClient| {
+        let followed = client.follow("r/", 0, Duration::ZERO).await;
+        followed.map_or_else(problem_text, |body| format!("{} bytes", body.len()))
+    };
+    let reply = answer(200, r#"{"ledger":433}"#);
+    trace.call("without waiting", &[reply], at_once).await;
+    insta::assert_snapshot!(trace.0);
+}
+
+#[tokio::test]
+async fn a_key_is_read_and_each_answer_understood() {
+    let mut trace = Trace::default();
+    let replies = [
+        (
+            "a key on a lease",
+            answer(
+                200,
+                r#"{"k":"a/b","data":{"n":[1,2]},"mark":412,"tenancy":7}"#,
+            ),
+        ),
+        (
+            "a key on none",
+            answer(200, r#"{"k":"a/b","data":"done","mark":412}"#),
+        ),
+        ("no such key", answer(404, r#"{"ledger":431}"#)),
+        ("an outage", answer(503, r#"{"error":"trouble"}"#)),
+        ("an answer that cannot be read", answer(200, "{}")),
+        ("no answer", Reply::HangUp),
+    ];
+    for (what, reply) in replies {
+        let pair = async |client: StateClient| match client.get_pair("a/b").await {
+            Ok(Some(pair)) => pair_text(&pair),
+            Ok(None) => "there is none".to_owned(),
+            Err(problem) => problem_text(problem),
+        };
+        trace.call(what, std::slice::from_ref(&reply), pair).await;
+        let value = async |client: StateClient| match client.get("a/b").await {
+            Ok(Some(value)) => value.to_string(),
+            Ok(None) => "there is none".to_owned(),
+            Err(problem) => problem_text(problem),
+        };
+        let what = format!("{what}, its value alone");
+        trace.call(&what, &[reply], value).await;
+    }
+    insta::assert_snapshot!(trace.0);
+}
+
+#[tokio::test]
+async fn keys_are_listed_page_by_page() {
+    let mut trace = Trace::default();
+    let first = r#"{"pairs":[{"k":"c/1","data":1,"mark":3},{"k":"c/7","data":{"a":null},"mark":400}],"more":true,"ledger":431}"#;
+    let last = r#"{"pairs":[{"k":"c/8","data":[],"mark":4}],"ledger":440}"#;
+    let page = async |client: StateClient| match client.list("c/", None).await {
+        Ok(listing) => listing_text(&listing),
+        Err(problem) => problem_text(problem),
+    };
+    let reply = answer(200, first);
+    trace.call("the first page", &[reply], page).await;
+    let page = async |client: StateClient| match client.list("c/", Some("c/7")).await {
+        Ok(listing) => listing_text(&listing),
+        Err(problem) => problem_text(problem),
+    };
+    let reply = answer(200, last);
+    trace.call("the page after a key", &[reply], page).await;
+    let all = async |client: StateClient| match client.list_all("c/").await {
+        Ok((pairs, revision)) => {
+            let pairs: String = pairs.iter().map(pair_text).collect();
+            format!("{pairs}continued from revision {revision}")
+        }
+        Err(problem) => problem_text(problem),
+    };
+    let replies = [answer(200, first), answer(200, last)];
+    trace.call("all pages", &replies, all).await;
+    let replies = [answer(200, first), answer(503, r#"{"error":"trouble"}"#)];
+    trace.call("all pages, one refused", &replies, all).await;
+    let replies = [answer(200, r#"{"pairs":[],"more":true,"ledger":9}"#)];
+    trace.call("an empty page ends it", &replies, all).await;
+    let replies = [answer(200, r#"{"pairs":[]}"#)];
+    trace.call("a page without revision", &replies, all).await;
+    insta::assert_snapshot!(trace.0);
+}
+
+#[tokio::test]
+async fn leases_are_made_extended_and_ended() {
+    let mut trace = Trace::default();
+    let made = async |client: StateClient| {
+        let lease = client.create_lease(Duration::from_millis(2500)).await;
+        lease.map_or_else(problem_text, |lease| format!("lease {lease}"))
+    };
+    let replies = [
+        ("made", answer(200, r#"{"tenancy":7}"#)),
+        (
+            "not made in an outage",
+            answer(503, r#"{"error":"trouble"}"#),
+        ),
+        ("made, not readable", answer(200, "{}")),
+        ("made, no answer", Reply::HangUp),
+    ];
+    for (what, reply) in replies {
+        trace.call(what, &[reply], made).await;
+    }
+    let extended = async |client: StateClient| {
+        let done = client.extend_lease(7).await;
+        done.map_or_else(problem_text, |()| "extended".to_owned())
+    };
+    let replies = [
+        ("extended", answer(200, "{}")),
+        (
+            "extended too late",
+            answer(404, r#"{"error":"no such lease"}"#),
+        ),
+        (
+            "not extended in an outage",
+            answer(503, r#"{"error":"trouble"}"#),
+        ),
+    ];
+    for (what, reply) in replies {
+        trace.call(what, &[reply], extended).await;
+    }
+    let ended = async |client: StateClient| {
+        let done = client.end_lease(7).await;
+        done.map_or_else(problem_text, |()| "ended".to_owned())
+    };
+    let replies = [
+        ("ended", answer(200, "{}")),
+        ("ended before", answer(404, "{}")),
+        (
+            "not ended in an outage",
+            answer(503, r#"{"error":"trouble"}"#),
+        ),
+    ];
+    for (what, reply) in replies {
+        trace.call(what, &[reply], ended).await;
+    }
+    insta::assert_snapshot!(trace.0);
+}
--- /dev/null
+++ b/crates/rowanmill-testing/src/exchange.rs
@@ -0,0 +1,126 @@
+//! HTTP as it is on the wire: requests recorded as they came, answers shown as they were sent. For tests
+//! that freeze an interface.
+
+use std::collections::VecDeque;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+/// What a recorder does with a request.
+#[derive(Debug, Clone)]
+pub enum Reply {
+    /// It answers with this status and this body.
+    Answer(u16, String),
+    /// It closes the connection without an answer.
+    HangUp,
+}
+
+/// A server that answers by a script, each request on a connection of its own, and keeps what it was sent.
+pub struct Recorder {
+    /// Where it listens.
+    pub addr: SocketAddr,
+    requests: Arc<Mutex<Vec<String>>>,
+}
+
+impl Recorder {
+    /// Starts a recorder with a reply for each request to come.
+    pub fn start(replies: Vec<Reply>) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
+        let addr = listener.local_addr().expect("it is bound");
+        let requests: Arc<Mutex<Vec<String>>> = Arc::default();
+        let kept = requests.clone();
+        std::thread::spawn(move || {
+            let mut replies = VecDeque::from(replies);
+            while let Some(reply) = replies.pop_front() {
+                let Ok((mut stream, _)) = listener.accept() else {
+                    return;
+                };
+                let message = read_message(&mut stream);
+                kept.lock().unwrap().push(request_text(&message));
+                if let Reply::Answer(status, body) = reply {
+                    let head = format!(
+                        "HTTP/1.1 {status} Status\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
+                        body.len()
+                    );
+                    let sent = stream.write_all((head + &body).as_bytes());
+                    sent.expect("the client reads its answer");
+                }
+            }
+        });
+        Self { addr, requests }
+    }
+
+    /// All requests so far: method and path, content type, body.
+    pub fn requests(&self) -> Vec<String> {
+        self.requests.lock().unwrap().clone()
+    }
+}
+
+struct Message {
+    first_line: String,
+    headers: Vec<String>,
+    body: String,
+}
+
+fn read_message(stream: &mut TcpStream) -> Message {
+    let timeout = stream.set_read_timeout(Some(Duration::from_secs(20)));
+    timeout.expect("the timeout is not zero");
+    let mut reader = BufReader::new(stream);
+    let mut lines = Vec::new();
+    loop {
+        let mut line = String::new();
+        let read = reader.read_line(&mut line).expect("the head is text");
+        let line = line.trim_end();
+        if read == 0 || line.is_empty() {
+            break;
+        }
+        lines.push(line.to_owned());
+    }
+    let length = lines.iter().find_map(|line| {
+        let (name, value) = line.split_once(':')?;
+        let is_length = name.eq_ignore_ascii_case("content-length");
+        is_length.then(|| value.trim().parse::<usize>().expect("a length"))
+    });
+    let mut body = vec![0; length.unwrap_or(0)];
+    reader.read_exact(&mut body).expect("the body is whole");
+    Message {
+        first_line: lines.first().cloned().unwrap_or_default(),
+        headers: lines.into_iter().skip(1).collect(),
+        body: String::from_utf8(body).expect("bodies are text"),
+    }
+}
+
+fn request_text(message: &Message) -> String {
+    let mut text = format!("> {}\n", message.first_line);
+    let is_type = |line: &&String| line.to_lowercase().starts_with("content-type:");
+    for line in message.headers.iter().filter(is_type) {
+        text.push_str(&format!("> {line}\n"));
+    }
+    if !message.body.is_empty() {
+        text.push_str(&format!("> {}\n", message.body));
+    }
+    text
+}
+
+/// Sends one request as it stands and shows the answer: the status, all headers but `date`, the body.
+/// Blocks until the answer is there.
+pub fn exchange(addr: SocketAddr, method: &str, path: &str, body: &str) -> String {
+    let mut stream = TcpStream::connect(addr).expect("the server listens");
+    let head = format!(
+        "{method} {path} HTTP/1.1\r\nhost: test\r\ncontent-length: {}\r\n\r\n",
+        body.len()
+    );
+    let sent = stream.write_all((head + body).as_bytes());
+    sent.expect("the server reads its request");
+    let answer = read_message(&mut stream);
+    let mut text = format!("< {}\n", answer.first_line);
+    let is_kept = |line: &&String| !line.to_lowercase().starts_with("date:");
+    for line in answer.headers.iter().filter(is_kept) {
+        text.push_str(&format!("< {line}\n"));
+    }
+    if !answer.body.is_empty() {
+        text.push_str(&format!("< {}\n", answer.body));
+    }
+    text
+}
--- a/crates/rowanmill-testing/src/lib.rs
+++ b/crates/rowanmill-testing/src/lib.rs
@@ -3,6 +3,7 @@
 #![deny(missing_docs)]
 
 pub mod cloud;
+pub mod exchange;
 pub mod history;
 pub mod quota;
 pub mod state;
--- /dev/null
+++ b/src/testing/compatibility/cloud.rs
@@ -0,0 +1,192 @@
+//! The cloud's protocol: what is sent, and what is read out of each answer.
+
+use crate::cloud::{CloudClient, CloudError, ListedMachine, MachineType, RentalRequest};
+use rowanmill_testing::exchange::{Recorder, Reply};
+use std::fmt::Write;
+
+fn answer(status: u16, body: &str) -> Reply {
+    Reply::Answer(status, body.to_owned())
+}
+
+#[derive(Default)]
+struct Trace(String);
+
+impl Trace {
+    /// One call, with what is replied to each of its requests.
+    async fn call(
+        &mut self,
+        what: &str,
+        replies: &[Reply],
+        call: impl AsyncFnOnce(CloudClient) -> Result<String, CloudError>,
+    ) {
+        let recorder = Recorder::start(replies.to_vec());
+        let outcome = call(CloudClient::new(recorder.addr)).await;
+        writeln!(self.0, "== {what}").unwrap();
+        for (request, reply) in recorder.requests().iter().zip(replies) {
+            self.0.push_str(request);
+            match reply {
+                Reply::Answer(status, body) => writeln!(self.0, "< {status} {body}").unwrap(),
+                Reply::HangUp => writeln!(self.0, "< no answer").unwrap(),
+            }
+        }
+        let outcome = match outcome {
+            Ok(text) => text,
+            Err(CloudError::NoCapacity) => "no capacity: nothing is rented".to_owned(),
+            Err(CloudError::Malformed) => "malformed".to_owned(),
+            Err(CloudError::Refused) => "not executed, to be sent again".to_owned(),
+            Err(CloudError::Unknown) => "may have been executed, or may be yet".to_owned(),
+        };
+        writeln!(self.0, "{}\n", outcome.trim_end()).unwrap();
+    }
+}
+
+fn kind_text(kind: &MachineType) -> String {
+    format!(
+        "{}: {} CPUs, {} cards, {} GB, cache {} GB, fetches {} GB/s, {} an hour, spot {}, boots in {} s, zones {}\n",
+        kind.name,
+        kind.cpus,
+        kind.gpus,
+        kind.memory_gb,
+        kind.cache_gb,
+        kind.fetch_gb_per_s,
+        kind.price,
+        kind.spot_price,
+        kind.boot_s,
+        kind.zones.join("+")
+    )
+}
+
+fn machine_text(machine: &ListedMachine) -> String {
+    format!(
+        "{}: type {}, zone {}, spot {}, {}, {} s old\n",
+        machine.name,
+        machine.machine_type,
+        machine.zone,
+        machine.spot,
+        machine.stage,
+        machine.age_s
+    )
+}
+
+#[tokio::test]
+async fn the_catalogue_is_asked_for_and_read() {
+    let mut trace = Trace::default();
+    let whole = r#"{"stones":[{"sku":"g8","cpus":96,"cards":8,"memGb":768,"cacheGb":200,"fetchGbPerS":1.0,"hourly":12.0,"marketPrice":4.5,"bootS":45,"yards":["a","b"]},{"sku":"c4","cpus":4.0,"memGb":16.5,"hourly":0.25,"later":true}]}"#;
+    let replies = [
+        (
+            "a type with all fields and one with the least",
+            answer(200, whole),
+        ),
+        ("no types", answer(200, r#"{"stones":[]}"#)),
+        (
+            "a type without price",
+            answer(200, r#"{"stones":[{"sku":"c4","cpus":4.0,"memGb":16}]}"#),
+        ),
+        ("over the limit", answer(429, r#"{"error":"too many"}"#)),
+        ("an outage", answer(503, r#"{"error":"trouble"}"#)),
+        ("no answer", Reply::HangUp),
+    ];
+    for (what, reply) in replies {
+        let call = async |client: CloudClient| {
+            let kinds = client.catalog().await?;
+            Ok(kinds.iter().map(kind_text).collect::<String>() + "read")
+        };
+        trace.call(what, &[reply], call).await;
+    }
+    insta::assert_snapshot!(trace.0);
+}
+
+#[tokio::test]
+async fn a_rental_is_sent_and_each_answer_read() {
+    let mut trace = Trace::default();
+    let replies = [
+        (
+            "all of them",
+            answer(200, r#"{"millstones":["vm-000231","vm-000232"]}"#),
+        ),
+        (
+            "some, with unknown fields",
+            answer(200, r#"{"millstones":["vm-000231"],"later":1}"#),
+        ),
+        ("no capacity", answer(503, r#"{"error":"no capacity"}"#)),
+        ("an outage", answer(503, r#"{"error":"trouble"}"#)),
+        ("malformed", answer(400, r#"{"error":"malformed"}"#)),
+        ("over the limit", answer(429, r#"{"error":"too many"}"#)),
+        ("an answer that cannot be read", answer(200, "{}")),
+        ("no answer", Reply::HangUp),
+    ];
+    for (what, reply) in replies {
+        let call = async |client: CloudClient| {
+            let rental = RentalRequest {
+                name: "r-17",
+                machine_type: "g8",
+                zone: "a",
+                spot: true,
+                count: 12,
+            };
+            let machines = client.rent(&rental).await?;
+            Ok(format!("rented {}", machines.join(", ")))
+        };
+        trace.call(what, &[reply], call).await;
+    }
+    let ordinary = async |client: CloudClient| {
+        let rental = RentalRequest {
+            name: "r-18",
+            machine_type: "c4",
+            zone: "b",
+            spot: false,
+            count: 1,
+        };
+        let machines = client.rent(&rental).await?;
+        Ok(format!("rented {}", machines.join(", ")))
+    };
+    let reply = answer(200, r#"{"millstones":["vm-000233"]}"#);
+    trace.call("an ordinary machine", &[reply], ordinary).await;
+    insta::assert_snapshot!(trace.0);
+}
+
+#[tokio::test]
+async fn a_release_is_sent_and_each_answer_read() {
+    let mut trace = Trace::default();
+    let replies = [
+        ("released", answer(200, "{}")),
+        ("over the limit", answer(429, r#"{"error":"too many"}"#)),
+        ("an outage", answer(503, r#"{"error":"trouble"}"#)),
+        ("no answer", Reply::HangUp),
+    ];
+    for (what, reply) in replies {
+        let call = async |client: CloudClient| {
+            let names = ["vm-000231", "vm-000232"].map(str::to_owned);
+            client.release(names.to_vec()).await?;
+            Ok("the machines are gone".to_owned())
+        };
+        trace.call(what, &[reply], call).await;
+    }
+    insta::assert_snapshot!(trace.0);
+}
+
+#[tokio::test]
+async fn machines_are_listed_page_by_page() {
+    let mut trace = Trace::default();
+    let first = r#"{"millstones":[{"nameId":"vm-000231","endpoint":"10.1.0.232:9000","stone":"g8","yard":"a","borrowed":true,"stage":"running","ageS":61.5},{"nameId":"vm-000232","endpoint":"10.1.0.233:9000","stone":"g8","yard":"a","borrowed":true,"stage":"starting","ageS":3}],"more":true}"#;
+    let last =
+        r#"{"millstones":[{"nameId":"vm-000240","stone":"c4","yard":"b","stage":"failed"}]}"#;
+    let list = async |client: CloudClient| {
+        let machines = client.list().await?;
+        Ok(machines.iter().map(machine_text).collect::<String>() + "read")
+    };
+    let replies = [answer(200, first), answer(200, last)];
+    trace
+        .call("two pages, the last with the least", &replies, list)
+        .await;
+    let replies = [answer(200, first), answer(503, r#"{"error":"trouble"}"#)];
+    trace.call("two pages, one refused", &replies, list).await;
+    let replies = [answer(200, r#"{"millstones":[],"more":false}"#)];
+    trace.call("none", &replies, list).await;
+    let replies = [answer(200, r#"{"millstones":[{"nameId":"vm-000231"}]}"#)];
+    trace
+        .call("a machine without its type", &replies, list)
+        .await;
+    trace.call("no answer", &[Reply::HangUp], list).await;
+    insta::assert_snapshot!(trace.0);
+}
--- /dev/null
+++ b/src/testing/compatibility/interfaces.rs
@@ -0,0 +1,668 @@
+//! What users, workers and the load balancer are answered, byte for byte, and what is read of what they
+//! send. A controller's HTTP server runs as in production; its records are put there by the test.
+
+use crate::api::users::{Verdict, abort, poll, refuse_for, submit};
+use crate::api::{self, Answer, Server, limit::Limit};
+use crate::cloud::MachineType;
+use crate::fleet::{Rental, Rented, Use};
+use crate::jobs::Submission;
+use crate::membership::assignment::Member;
+use crate::node::Node;
+use crate::policy::Policy;
+use crate::settings::Settings;
+use crate::state::{Op, rental_key};
+use crate::workers::{Cause, Report, TaskState};
+use http_body_util::BodyExt;
+use hyper::Method;
+use rowanmill_cells::CellsConfig;
+use rowanmill_testing::exchange::exchange;
+use rowanmill_testing::state::State;
+use rowanmill_testing::{ask, serve, until};
+use serde_json::{Value, json};
+use std::fmt::Write;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tokio::net::TcpListener;
+
+/// An address of loopback at which nothing listens.
+const NOWHERE: &str = "127.0.0.1:4";
+
+pub fn settings(size: u32, state: SocketAddr) -> Settings {
+    let settings = json!({"member": "millstone-0", "site": "a", "api_addr": "127.0.0.1:1",
+        "mesh_addr": "127.0.0.1:2", "known": [], "endpoints": {"cloud": "127.0.0.1:3", "state": state},
+        "params": {"size": size, "zones": ["a", "b"],
+            "teams": [{"name": "t"}, {"name": "limited", "cpus_max": 6.0}],
+            "workers": {"report_s": 0.2, "lease_s": 11.0, "gang_wait_s": 5.0, "gang_peer_s": 2.0,
+                "cancel_s": 36.0},
+            "state": {"rps": 1000.0, "write_rps": 500.0, "value_kb": 8.0, "txn_ops": 24},
+            "cloud": {"rps": 8.0, "list_lag_s": 4.0},
+            "limits": {"core_share": 1.0, "mem_mb": 10_000.0, "sockets": 500}, "skew_ms": 25.0}});
+    Settings::parse(&settings.to_string(), "test").unwrap()
+}
+
+fn kind(name: &str, cpus: f64, zones: &[&str]) -> MachineType {
+    MachineType {
+        name: name.to_owned(),
+        cpus,
+        gpus: 0.0,
+        memory_gb: 32.0,
+        cache_gb: 100.0,
+        fetch_gb_per_s: 1.0,
+        price: 1.0,
+        spot_price: 0.5,
+        boot_s: 30.0,
+        zones: zones.iter().map(|zone| zone.to_string()).collect(),
+    }
+}
+
+fn job(id: &str) -> Value {
+    json!({"nameId": id, "grist": "train", "crew": "t", "shape": "array", "urgency": "standard",
+        "sacks": 4, "cpus": 1.0, "cards": 0.0, "memGb": 1.0, "mould": "img-07", "pullGb": 0.1,
+        "together": false, "spread": false, "borrowed": true, "grindS": 10.0, "bankS": 0.0,
+        "bankWriteS": 0.0})
+}
+
+fn with(mut body: Value, changes: Value) -> Value {
+    for (field, value) in changes.as_object().unwrap() {
+        body[field] = value.clone();
+    }
+    body
+}
+
+fn without(mut body: Value, field: &str) -> Value {
+    body.as_object_mut().unwrap().remove(field).unwrap();
+    body
+}
+
+/// A node behind its HTTP server.
+struct Served {
+    node: Arc<Node>,
+    /// It follows a state service, rather than being given its records by hand.
+    follows: bool,
+    api: SocketAddr,
+    trace: String,
+}
+
+impl Served {
+    async fn start(node: Node) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let api = listener.local_addr().unwrap();
+        let node = Arc::new(node);
+        tokio::spawn(api::run(node.clone(), listener));
+        Self {
+            node,
+            follows: false,
+            api,
+            trace: String::new(),
+        }
+    }
+
+    /// A node whose records are put there by hand, just read and complete.
+    async fn by_hand() -> Self {
+        let settings = settings(1, NOWHERE.parse().unwrap());
+        let served = Self::start(Node::new(1, settings, Policy::default())).await;
+        {
+            let mut core = served.node.core();
+            core.loaded = true;
+            core.kinds = vec![kind("c4", 4.0, &["a"])];
+        }
+        served.read_now();
+        served
+    }
+
+    fn read_now(&self) {
+        self.node.core().proof = Some(Instant::now());
+    }
+
+    fn put(&self, key: &str, data: Value, mark: u64) {
+        let mut core = self.node.core();
+        core.replica.put(key, &data.to_string(), mark);
+    }
+
+    /// On a busy machine the last reading may be old: that is another test's subject.
+    fn wait_for_contact(&self) {
+        let end = Instant::now() + Duration::from_secs(40);
+        while !self.node.has_state(Duration::from_millis(1500)) {
+            assert!(Instant::now() < end, "no reading of the log");
+            std::thread::sleep(Duration::from_millis(10));
+        }
+    }
+
+    /// One request and its answer. `what` says for what it is.
+    fn ask(&mut self, what: &str, method: &str, path: &str, body: &str) {
+        if self.follows {
+            self.wait_for_contact();
+        }
+        let answer = exchange(self.api, method, path, body);
+        let sent = match body.len() {
+            0 => String::new(),
+            1..=1000 => format!("\n> {body}"),
+            many => format!("\n> {many} bytes"),
+        };
+        writeln!(self.trace, "== {what}\n> {method} {path}{sent}\n{answer}").unwrap();
+    }
+
+    fn submit(&mut self, what: &str, body: &Value) {
+        self.ask(what, "POST", "/v1/jobs", &body.to_string());
+    }
+
+    fn poll(&mut self, what: &str, id: &str) {
+        self.ask(what, "GET", &format!("/v1/jobs/{id}"), "");
+    }
+
+    fn abort(&mut self, what: &str, id: &str) {
+        self.ask(what, "POST", &format!("/v1/jobs/{id}/abort"), "");
+    }
+
+    fn hello(&mut self, what: &str, report: &Value) {
+        self.read_now();
+        self.ask(what, "POST", "/hello", &report.to_string());
+    }
+
+    fn health(&mut self, what: &str) {
+        self.ask(what, "GET", "/healthz", "");
+    }
+}
+
+/// A state service, and a node that follows it.
+async fn with_state() -> (Served, SocketAddr) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let state_addr = listener.local_addr().unwrap();
+    tokio::spawn(serve(listener, State::default().handler()));
+    let node = Node::new(1, settings(1, state_addr), Policy::default());
+    node.core().kinds = vec![kind("c4", 4.0, &["a"]), kind("c8", 8.0, &["a", "b"])];
+    let mut served = Served::start(node).await;
+    served.follows = true;
+    tokio::spawn(crate::state::follow::run(served.node.clone()));
+    tokio::spawn(crate::state::follow::serve_syncs(served.node.clone()));
+    let node = served.node.clone();
+    until("the records are read", async || node.core().loaded).await;
+    (served, state_addr)
+}
+
+async fn store(state: SocketAddr, key: &str, data: Value) {
+    let then = json!({"guards": [], "then": [{"set": key, "data": data}]});
+    let (status, _) = ask(state, Method::POST, "/multi", then).await;
+    assert_eq!(status, 200);
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn users_are_answered_at_each_stage_of_a_job() {
+    let (mut served, state) = with_state().await;
+    served.submit("a new job", &job("job-1"));
+    served.submit("the same again", &job("job-1"));
+    let broken = json!({"nameId": "job-1", "sacks": "many"});
+    served.submit("the same with a body that is none", &broken);
+    served.poll("nothing of it runs", "job-1");
+    store(state, "r/p/job-1/0", json!([[1, "vm-1", 1], true])).await;
+    served.poll("one task runs and one is done", "job-1");
+    served.submit("a repeat while it runs", &job("job-1"));
+    served.abort("its user cancels it", "job-1");
+    served.abort("and again", "job-1");
+    served.poll("it is cancelled", "job-1");
+    served.submit("a repeat of a cancelled job", &job("job-1"));
+    store(state, "e/job-2", json!("done")).await;
+    served.poll("a job that is done", "job-2");
+    served.abort("its user cancels it too late", "job-2");
+    served.submit("a repeat of a job that is done", &job("job-2"));
+    store(state, "e/job-3", json!("cancelled")).await;
+    served.poll("a job that ended cancelled", "job-3");
+    served.submit("a repeat of that", &job("job-3"));
+    served.poll("a job that nobody submitted", "job-99");
+    served.abort("its cancellation", "job-99");
+    served.poll("no id", "train-1");
+    served.abort("cancellation of no id", "train-1");
+    let needs = |id, needed| with(job(id), json!({"awaits": [needed]}));
+    served.submit(
+        "one that waits, before all controllers can",
+        &needs("job-4", "job-2"),
+    );
+    let layout = serde_json::to_value(served.node.settings.page_layout()).unwrap();
+    let begun = json!({"seen": ["millstone-0"], "layout": layout});
+    store(state, "r/forms", begun).await;
+    let node = served.node.clone();
+    until("all can", async || node.core().replica.has_begun()).await;
+    served.submit(
+        "one that waits for a job that is done",
+        &needs("job-4", "job-2"),
+    );
+    served.submit("one that waits for a queued job", &needs("job-5", "job-4"));
+    served.poll("it waits", "job-5");
+    served.submit(
+        "one that waits for a cancelled job",
+        &needs("job-6", "job-3"),
+    );
+    served.poll("it is cancelled with it", "job-6");
+    served.submit("one that waits for none", &needs("job-7", "job-98"));
+    served.submit("one that waits for itself", &needs("job-7", "job-7"));
+    served.abort("cancellation of what is waited for", "job-4");
+    served.poll("what waited for it is cancelled", "job-5");
+    served.node.core().kinds.clear();
+    served.submit("a new job before the catalogue is known", &job("job-8"));
+    served.submit("a known job before the catalogue is known", &job("job-4"));
+    insta::assert_snapshot!(served.trace);
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn submissions_that_can_never_run_are_refused_for_good() {
+    let (mut served, _) = with_state().await;
+    served.ask("not JSON", "POST", "/v1/jobs", "{\"nameId\":");
+    served.ask("a list", "POST", "/v1/jobs", "[]");
+    served.ask("nothing", "POST", "/v1/jobs", "");
+    for field in job("job-1").as_object().unwrap().keys() {
+        let what = format!("without `{field}`");
+        served.submit(&what, &without(job("job-1"), field));
+    }
+    for (what, changes) in [
+        ("an unknown team", json!({"crew": "nobody"})),
+        (
+            "more than the team's limit",
+            json!({"crew": "limited", "cpus": 7.0}),
+        ),
+        (
+            "a gang over the team's limit",
+            json!({"crew": "limited", "shape": "group", "cpus": 2.0}),
+        ),
+        ("larger than any type", json!({"cpus": 16.0})),
+        (
+            "larger than the type that is allowed",
+            json!({"cpus": 8.0, "stones": ["c4"]}),
+        ),
+        ("in a zone that no type is in", json!({"yard": "nowhere"})),
+        ("parted, in one zone", json!({"spread": true, "yard": "a"})),
+        (
+            "parted and together",
+            json!({"spread": true, "together": true}),
+        ),
+        (
+            "more than a record takes",
+            json!({"stones": vec!["a-type-with-a-long-name"; 400]}),
+        ),
+    ] {
+        served.submit(what, &with(job("job-1"), changes));
+    }
+    let large = "x".repeat((64 << 10) + 1);
+    served.ask("over 64 KiB", "POST", "/v1/jobs", &large);
+    served.ask("no such path", "GET", "/v2/jobs", "");
+    served.ask("another method for it", "DELETE", "/v1/jobs/job-1", "");
+    served.ask("another method for health", "POST", "/healthz", "");
+    insta::assert_snapshot!(served.trace);
+}
+
+async fn answer_text(answer: Answer) -> String {
+    let (head, body) = answer.into_parts();
+    let mut text = format!("< {}\n", head.status);
+    for (name, value) in &head.headers {
+        writeln!(text, "< {name}: {}", value.to_str().unwrap()).unwrap();
+    }
+    let body = body.collect().await.unwrap().to_bytes();
+    writeln!(text, "< {}", String::from_utf8_lossy(&body)).unwrap();
+    text
+}
+
+#[tokio::test]
+async fn each_verdict_on_a_new_job_has_its_answer() {
+    let verdicts = [
+        ("it can never run", Verdict::Never("unknown team")),
+        ("more than a record takes", Verdict::TooLarge),
+        ("not decided yet", Verdict::Undecided),
+        ("memory is short", Verdict::NoMemory),
+        ("it waits, and not all controllers can", Verdict::NotYet),
+        ("to be taken", Verdict::Takes),
+    ];
+    let mut trace = String::new();
+    for (what, verdict) in verdicts {
+        let answer = answer_text(refuse_for(&verdict)).await;
+        writeln!(trace, "== {what}\n{answer}").unwrap();
+    }
+    insta::assert_snapshot!(trace);
+}
+
+#[tokio::test]
+async fn what_is_over_the_limit_is_sent_away_with_a_time() {
+    let served = Served::by_hand().await;
+    let server = Server {
+        node: served.node.clone(),
+        limit: Limit::new(),
+    };
+    let mut permits = Vec::new();
+    while let Some(permit) = server.limit.enter(1.0) {
+        permits.push(permit);
+    }
+    let body = job("job-1").to_string();
+    let submitted = answer_text(submit(&server, body.as_bytes()).await).await;
+    let polled = answer_text(poll(&server, "job-1").await).await;
+    let aborted = answer_text(abort(&server, "job-1").await).await;
+    let broken = answer_text(submit(&server, br#"{"nameId":"job-1"}"#).await).await;
+    insta::assert_snapshot!(format!(
+        "submitted\n{submitted}polled\n{polled}cancelled\n{aborted}a body that is none\n{broken}"
+    ));
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn without_the_state_service_users_are_sent_away_with_a_time() {
+    let mut served = Served::by_hand().await;
+    served.node.core().proof = None;
+    served.submit("submitted", &job("job-1"));
+    served.submit("a body that is none", &json!({"nameId": "job-1"}));
+    served.poll("polled", "job-1");
+    served.abort("cancelled", "job-1");
+    served.poll("no id is answered all the same", "train-1");
+    insta::assert_snapshot!(served.trace);
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn the_load_balancer_is_told_when_others_are_better() {
+    let mut served = Served::by_hand().await;
+    served.health("with the state service");
+    served.node.core().kinds.clear();
+    served.health("without a catalogue, no other controller better off");
+    served.node.peer_status().have_state = Some(Instant::now());
+    served.health("without a catalogue, another has the state service");
+    served.node.peer_status().have_state = None;
+    served.node.core().proof = None;
+    served.health("never any contact");
+    insta::assert_snapshot!(served.trace);
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn without_the_ledger_users_of_cells_are_sent_away_with_a_time() {
+    let settings = settings(1, NOWHERE.parse().unwrap());
+    let cells = json!({
+        "cells": [{"name": "hanoi", "controllers": ["127.0.0.1:2"]},
+            {"name": "danang", "controllers": ["127.0.0.1:5"]}],
+        "ledger": {"addr": "127.0.0.1:6", "rps": 200.0, "write_rps": 80.0, "value_kb": 8.0,
+            "txn_ops": 24},
+        "cell_lease_s": 30.0, "renew_without_ledger_s": 15.0, "takeover_after_s": 45.0});
+    let cells = CellsConfig::parse(&cells.to_string(), "cells.json").unwrap();
+    let node = Node::new(1, settings, Policy::default()).in_cell(cells, "hanoi");
+    node.core().kinds = vec![kind("c4", 4.0, &["a"])];
+    let mut served = Served::start(node).await;
+    crate::cells::start(&served.node);
+    served.read_now();
+    served.submit("submitted", &job("job-1"));
+    served.submit("a body that is none", &json!({"nameId": "job-1"}));
+    served.poll("polled", "job-1");
+    served.abort("cancelled", "job-1");
+    insta::assert_snapshot!(served.trace);
+}
+
+fn report(tally: u64, warrant: u64, sacks: Value) -> Value {
+    json!({"millstone": "vm-1", "endpoint": "10.1.0.232:9000", "stone": "c4", "yard": "a",
+        "borrowed": false, "shift": 1, "tally": tally, "warrant": warrant, "recallS": null,
+        "sacks": sacks})
+}
+
+const TOKEN: u64 = 41;
+
+fn other(incarnation: u64) -> Member {
+    Member {
+        name: "millstone-1".to_owned(),
+        incarnation,
+    }
+}
+
+/// vm-1 is this owner's.
+fn own(node: &Node, owner: Member, mark: u64) {
+    let rental = Rental {
+        kind: "c4".to_owned(),
+        zone: "a".to_owned(),
+        spot: false,
+        count: 1,
+        hired_ms: 0,
+        open: false,
+        machines: vec![Rented {
+            name: "vm-1".to_owned(),
+            owner,
+            token: TOKEN,
+            state: Use::Open,
+        }],
+    };
+    let mut core = node.core();
+    core.apply(vec![Op::set(rental_key("r-1"), &rental)], mark);
+    core.note_ownership(&node.me, Instant::now());
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn the_owner_answers_a_report_with_its_token_and_each_kind_of_order() {
+    let mut served = Served::by_hand().await;
+    let me = served.node.me.clone();
+    own(&served.node, me, 12);
+    let spec = without(job("job-1"), "nameId");
+    let spec = with(spec, json!({"nameId": "job-1", "sacks": 5}));
+    served.put("r/j/job-1", json!({"spec": spec, "accepted_ms": 0}), 5);
+    served.hello("nothing to do", &report(1, 0, json!([])));
+    let page = json!([
+        [2, "vm-1", 1],
+        [1, "vm-1", 1],
+        [3, "vm-2", 1],
+        true,
+        [1, "vm-1", 1]
+    ]);
+    served.put("r/p/job-1/0", page, 13);
+    let stop = (("job-1".to_owned(), 1), 1);
+    served.node.core().workers.stops.insert(stop, 10.0);
+    let sacks = json!([{"sack": "job-1/1", "turn": 1, "stage": "running"},
+        {"sack": "job-1/2", "turn": 2, "stage": "pulling"},
+        {"sack": "job-1/3", "turn": 1, "stage": "ended", "cause": "done"},
+        {"sack": "job-1/4", "turn": 1, "stage": "gathering"}]);
+    served.hello(
+        "a start, a stop with time to save, one at once, an exit to forget",
+        &report(2, TOKEN, sacks),
+    );
+    served.hello("a late copy", &report(1, TOKEN, json!([])));
+    served.hello(
+        "a higher token than its record's",
+        &report(3, TOKEN + 1, json!([])),
+    );
+    insta::assert_snapshot!(served.trace);
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn a_worker_is_sent_to_its_owner_or_elsewhere() {
+    let mut served = Served::by_hand().await;
+    let idle = report(1, 0, json!([]));
+    served.hello("no record of it, and no leader", &idle);
+    let leader = json!({"member": "millstone-2", "incarnation": 7, "lease": 3});
+    served.put("r/leader", leader, 5);
+    served.hello("no record of it, another leads", &idle);
+    let me = served.node.me.clone();
+    let leader = json!({"member": me.name, "incarnation": me.incarnation, "lease": 3});
+    served.put("r/leader", leader, 6);
+    served.hello("no record of it, this node leads", &idle);
+    own(&served.node, other(1), 12);
+    served.hello("another's that is gone", &idle);
+    served.put("r/n/millstone-1", json!({"incarnation": 1, "lease": 4}), 13);
+    served.hello("another's that is there", &idle);
+    let earlier = Member {
+        incarnation: me.incarnation + 1,
+        ..me.clone()
+    };
+    own(&served.node, earlier, 14);
+    served.hello("this node's before its restart", &idle);
+    own(&served.node, me, 15);
+    served.node.core().proof = None;
+    let text = idle.to_string();
+    served.ask(
+        "this node's, without the state service",
+        "POST",
+        "/hello",
+        &text,
+    );
+    insta::assert_snapshot!(served.trace);
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn reports_that_cannot_be_read_are_refused_by_the_field() {
+    let mut served = Served::by_hand().await;
+    served.ask("not JSON", "POST", "/hello", "{");
+    served.ask("a list", "POST", "/hello", "[]");
+    let whole = report(1, 0, json!([]));
+    for field in ["millstone", "endpoint", "stone", "yard", "shift", "tally"] {
+        let what = format!("without `{field}`");
+        served.hello(&what, &without(whole.clone(), field));
+    }
+    let whole = json!({"sack": "job-1/1", "turn": 1, "stage": "running"});
+    for field in ["sack", "turn", "stage"] {
+        let what = format!("a task without `{field}`");
+        let sacks = json!([without(whole.clone(), field)]);
+        served.hello(&what, &report(1, 0, sacks));
+    }
+    let sacks = json!([with(whole, json!({"stage": "asleep"}))]);
+    served.hello("a task in a state of no protocol", &report(1, 0, sacks));
+    insta::assert_snapshot!(served.trace);
+}
+
+/// In the words of the protocol's page.
+fn state_text(state: TaskState) -> &'static str {
+    match state {
+        TaskState::Fetching => "waits for its image",
+        TaskState::Waiting => "waits for the other tasks of its attempt",
+        TaskState::Running => "runs",
+        TaskState::Flushing => "is saving",
+        TaskState::Ended => "ended",
+    }
+}
+
+fn cause_text(cause: Option<Cause>) -> &'static str {
+    match cause {
+        None => "no cause",
+        Some(Cause::Done) => "completed",
+        Some(Cause::Stopped) => "stopped by command",
+        Some(Cause::PeersGone) => "another task of the gang is gone",
+        Some(Cause::Alone) => "the gang was not complete in time",
+        Some(Cause::Error) => "failed",
+        Some(Cause::NoRoom) => "not enough free resources",
+        Some(Cause::Busy) => "there with another attempt",
+        Some(Cause::Unknown) => "no such job or task",
+        Some(Cause::Other) => "a cause of no protocol",
+    }
+}
+
+fn report_text(report: &Report) -> String {
+    let notice = report
+        .notice_s
+        .map_or("none".to_owned(), |s| format!("{s} s"));
+    let mut text = format!(
+        "machine {} at {}, type {}, zone {}, spot {}\nsession {}, message {}, token {}, notice {notice}\n",
+        report.machine,
+        report.addr,
+        report.kind,
+        report.zone,
+        report.spot,
+        report.session,
+        report.seq,
+        report.token
+    );
+    for task in &report.tasks {
+        writeln!(
+            text,
+            "task {} attempt {}: {}, {}",
+            task.task,
+            task.attempt,
+            state_text(task.state),
+            cause_text(task.cause)
+        )
+        .unwrap();
+    }
+    text
+}
+
+#[test]
+fn a_report_is_read_with_all_its_fields_and_with_the_least() {
+    let stages = ["pulling", "gathering", "running", "flushing"];
+    let stages = stages.map(|stage| json!({"sack": "job-000412/3", "turn": 2, "stage": stage}));
+    let causes = [
+        "done",
+        "stopped",
+        "mates_gone",
+        "alone",
+        "error",
+        "no_room",
+        "busy",
+        "unknown",
+        "melted",
+    ];
+    let causes = causes.map(|cause| {
+        json!({"sack": "job-000398/0", "turn": 1, "stage": "ended", "cause": cause, "stored": true})
+    });
+    let no_cause = json!({"sack": "job-000399/7", "turn": 18_446_744_073_709_551_615_u64,
+        "stage": "ended", "cause": null});
+    let mut sacks = stages.to_vec();
+    sacks.extend(causes);
+    sacks.push(no_cause);
+    let whole = json!({"millstone": "vm-000231", "endpoint": "10.1.0.232:9000", "stone": "g8",
+        "yard": "a", "borrowed": true, "shift": 3, "tally": 88, "warrant": 41, "recallS": 27.5,
+        "sacks": sacks, "later": {"unknown": true}});
+    let least = json!({"millstone": "vm-000232", "endpoint": "10.1.0.233:9000", "stone": "c4",
+        "yard": "b", "shift": 1, "tally": 1});
+    let mut trace = String::new();
+    for (what, body) in [("all fields", whole), ("the least", least)] {
+        let report: Report = serde_json::from_str(&body.to_string()).unwrap();
+        writeln!(trace, "== {what}\n> {body}\n{}", report_text(&report)).unwrap();
+    }
+    insta::assert_snapshot!(trace);
+}
+
+#[test]
+fn a_submission_is_read_with_all_its_fields_and_with_the_least() {
+    let whole = json!({"nameId": "job-000412", "grist": "train", "crew": "vision",
+        "shape": "group", "urgency": "urgent", "sacks": 16, "cpus": 8.0, "cards": 1.0,
+        "memGb": 64.0, "mould": "img-07", "pullGb": 6.2, "stones": ["g8", "g4"], "yard": "a",
+        "together": true, "spread": false, "borrowed": true, "grindS": 240.0, "bankS": 30.0,
+        "bankWriteS": 4.0, "dueS": 900.0, "awaits": ["job-000398", "job-000405", "job-000398"],
+        "later": {"unknown": true}});
+    let nulls = json!({"stones": null, "yard": null, "dueS": null, "awaits": null});
+    let mut cases = vec![
+        ("all fields".to_owned(), whole.clone()),
+        ("the least".to_owned(), job("job-1")),
+        ("nulls".to_owned(), with(job("job-1"), nulls)),
+        (
+            "whole numbers".to_owned(),
+            with(job("job-1"), json!({"sacks": 2.0, "cpus": 1})),
+        ),
+    ];
+    for shape in ["array", "group", "standing"] {
+        let body = with(job("job-1"), json!({"shape": shape}));
+        cases.push((format!("shape {shape}"), body));
+    }
+    for urgency in ["critical", "urgent", "standard", "best_effort"] {
+        let body = with(job("job-1"), json!({"urgency": urgency}));
+        cases.push((format!("urgency {urgency}"), body));
+    }
+    let mut trace = String::new();
+    for (what, body) in cases {
+        let text = body.to_string();
+        let read = Submission::read(text.as_bytes()).unwrap();
+        let spec = serde_json::to_string(&read.spec).unwrap();
+        let awaits = read.awaits.join(", ");
+        writeln!(
+            trace,
+            "== {what}\n> {text}\nread {spec}\nwaits for: {awaits}\n"
+        )
+        .unwrap();
+    }
+    insta::assert_snapshot!(trace);
+}
+
+/// The token and all orders, as a worker reads them, at the ends of their ranges.
+#[test]
+fn orders_are_written_in_the_workers_words() {
+    use crate::workers::{Order, wire};
+    let answer = wire::Answer {
+        token: u64::MAX,
+        orders: vec![
+            Order::run("job-000412/4", 2),
+            Order::stop("job-000377/1", 1, 10.0),
+            Order::stop("job-000377/1", 1, 2.5),
+            Order::reap("job-000398/0", u64::MAX),
+        ],
+    };
+    let none = wire::Answer {
+        token: 0,
+        orders: Vec::new(),
+    };
+    let texts = [answer, none].map(|answer| serde_json::to_string(&answer).unwrap());
+    insta::assert_snapshot!(texts.join("\n"));
+}
--- /dev/null
+++ b/src/testing/compatibility/observability.rs
@@ -0,0 +1,113 @@
+//! What a controller logs of itself at the end of each period: scripts read the fields.
+
+use crate::metrics::log_period;
+use crate::node::Node;
+use crate::policy::Policy;
+use serde_json::json;
+use std::io::Write;
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+use tracing::Level;
+
+#[derive(Clone, Default)]
+struct Output(Arc<Mutex<Vec<u8>>>);
+
+impl Write for Output {
+    fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
+        self.0.lock().unwrap().write(bytes)
+    }
+
+    fn flush(&mut self) -> std::io::Result<()> {
+        Ok(())
+    }
+}
+
+/// What is logged meanwhile, in the form in which a controller writes it.
+fn logged(level: Level, during: impl FnOnce()) -> String {
+    let output = Output::default();
+    let writer = output.clone();
+    let subscriber = tracing_subscriber::fmt()
+        .with_max_level(level)
+        .with_writer(move || writer.clone())
+        .with_ansi(false)
+        .without_time()
+        .with_target(false)
+        .finish();
+    tracing::subscriber::with_default(subscriber, during);
+    let bytes = output.0.lock().unwrap().clone();
+    String::from_utf8(bytes).unwrap()
+}
+
+/// The values of fields that differ from run to run are left out.
+fn without_measured(log: &str) -> String {
+    let measured = |line: &str, field: &str| {
+        let is_time = line.contains("processor time") && field != "us";
+        is_time || ["seconds", "allocated"].contains(&field)
+    };
+    let lines = log.lines().map(|line| {
+        let words = line.split(' ').map(|word| match word.split_once('=') {
+            Some((field, _)) if measured(line, field) => format!("{field}=#"),
+            _ => word.to_owned(),
+        });
+        words.collect::<Vec<_>>().join(" ")
+    });
+    lines.collect::<Vec<_>>().join("\n")
+}
+
+fn node() -> Node {
+    let settings = super::interfaces::settings(1, "127.0.0.1:4".parse().unwrap());
+    let node = Node::new(1, settings, Policy::default());
+    {
+        let mut core = node.core();
+        let spec = json!({"nameId":"job-1","grist":"c","crew":"t","shape":"array",
+            "urgency":"standard","sacks":4,"cpus":1.0,"cards":0.0,"memGb":1.0,"mould":"i",
+            "pullGb":1.0,"together":false,"spread":false,"borrowed":true,"grindS":10.0,
+            "bankS":0.0,"bankWriteS":0.0});
+        let record = json!({"spec": spec, "accepted_ms": 0});
+        core.replica.put("r/j/job-1", &record.to_string(), 5);
+        let member = json!({"name": node.me.name, "incarnation": node.me.incarnation});
+        let assignment = json!({"members": [member], "teams": {}, "gangs": [0],
+            "had_gangs": false, "slots": [0]});
+        core.replica.put("r/shares", &assignment.to_string(), 6);
+        core.replica.put("r/p/job-1/0", "[true]", 7);
+        let counters = &mut core.metrics;
+        counters.heartbeats = 1;
+        counters.status_polls = 2;
+        counters.submissions = 3;
+        counters.scheduling_cycles = 4;
+        counters.task_starts = 5;
+        counters.start_pages = 6;
+        counters.exit_pages = 7;
+        counters.foreign_pages = 8;
+        counters.ended_jobs = 9;
+        counters.deferred_pages = 10;
+        counters.write_conflicts = 11;
+        counters.quota_transfers = 12;
+        counters.fence_writes = 13;
+        counters.machines_examined = 14;
+        counters.rebuilt_snapshots = 15;
+        counters.scheduling_time = Duration::from_millis(160);
+        counters.longest_cycle = Duration::from_millis(17);
+    }
+    node
+}
+
+#[test]
+fn a_period_is_logged_field_by_field_and_the_next_begins_at_nothing() {
+    let node = node();
+    let log = logged(Level::DEBUG, || {
+        log_period(&node, Instant::now());
+        log_period(&node, Instant::now());
+    });
+    insta::assert_snapshot!(without_measured(&log));
+}
+
+/// `LOG_LEVEL` tells how much: what is for finding faults is not in the usual log.
+#[test]
+fn a_period_is_logged_at_the_usual_level_without_single_jobs() {
+    let node = node();
+    let log = logged(Level::INFO, || log_period(&node, Instant::now()));
+    insta::assert_snapshot!(without_measured(&log));
+    let log = logged(Level::ERROR, || log_period(&node, Instant::now()));
+    assert_eq!(log, "");
+}
--- /dev/null
+++ b/tests/compatibility/main.rs
@@ -0,0 +1,6 @@
+//! The program as operators and their scripts meet it: what its client and its check print, and the codes
+//! they exit with. The records that it reads are put there by the test.
+
+mod check;
+mod client;
+mod run;
--- /dev/null
+++ b/tests/compatibility/run.rs
@@ -0,0 +1,34 @@
+//! Runs the program once, and shows what it did.
+
+use std::path::{Path, PathBuf};
+use std::process::Command;
+use std::sync::atomic::{AtomicUsize, Ordering};
+
+/// A folder of its own for a test's files.
+pub fn folder() -> PathBuf {
+    static FOLDERS: AtomicUsize = AtomicUsize::new(0);
+    let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
+    let name = format!("rowanmill-compatibility-{}-{number}", std::process::id());
+    let folder = std::env::temp_dir().join(name);
+    std::fs::create_dir_all(&folder).unwrap();
+    folder
+}
+
+pub fn write(folder: &Path, name: &str, text: &str) {
+    std::fs::write(folder.join(name), text).unwrap();
+}
+
+/// The command, its exit code and both outputs.
+pub fn run(folder: &Path, arguments: &[&str]) -> String {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_rowanmill"));
+    let output = command.current_dir(folder).args(arguments).output();
+    let output = output.unwrap();
+    let code = output.status.code().unwrap();
+    let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).unwrap();
+    format!(
+        "$ rowanmill {}\nexit code {code}\nstandard output:\n{}standard error:\n{}\n",
+        arguments.join(" "),
+        text(&output.stdout),
+        text(&output.stderr)
+    )
+}
