--- /dev/null
+++ b/crates/rowanmill-cells/tests/records.rs
@@ -0,0 +1,158 @@
+//! The ledger's keys and records as text, which no later change of names may alter.
+
+use rowanmill_cells::record::{
+    CapacitySummary, CellPresence, DrainRequest, FinalState, Generation, LIVE_PREFIX, LedgerJob,
+    OwnershipVersion, drain_key, final_key, generation_key, job_key, presence_key,
+};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_json::json;
+use std::fmt::Debug;
+
+/// Adds a record under its key, after a line that names its form, and proves that it reads back as it was
+/// written.
+fn add<T>(trace: &mut String, form: &str, key: &str, record: &T)
+where
+    T: Serialize + DeserializeOwned + PartialEq + Debug,
+{
+    let json = serde_json::to_string(record).unwrap();
+    let read: T = serde_json::from_str(&json).unwrap();
+    assert_eq!(read, *record, "{form} reads back as written");
+    trace.push_str(&format!("# {form}\n{key} {json}\n"));
+}
+
+#[test]
+fn every_kind_of_ledger_record_keeps_its_key() {
+    let keys = [
+        ("what every cell follows", LIVE_PREFIX.to_owned()),
+        ("job", job_key("job-000412")),
+        ("presence", presence_key("stone")),
+        ("registrations", generation_key("stone")),
+        ("drain", drain_key("stone")),
+        ("final state", final_key("job-000412")),
+    ];
+    let lines = keys.map(|(record, key)| format!("{record}: {key}"));
+    insta::assert_snapshot!("keys", lines.join("\n"));
+}
+
+#[test]
+fn ledger_job_keeps_its_json() {
+    let mut trace = String::new();
+    let key = job_key("job-000412");
+    let plain = LedgerJob {
+        owner: "stone".into(),
+        epoch: 1,
+        home: "stone".into(),
+        cancelled: false,
+        spill_count: 0,
+        declined_by: Vec::new(),
+        depends_on: Vec::new(),
+        accepted_ms: 1_796_178_938_037,
+        description: json!({"nameId": "job-000412", "cpus": 1.5, "yard": null}),
+    };
+    add(&mut trace, "no optional field", &key, &plain);
+    add(
+        &mut trace,
+        "of another owner",
+        &key,
+        &plain.with_owner("water"),
+    );
+    add(&mut trace, "claimed again", &key, &plain.reclaimed());
+    let cancelled = plain.clone().into_cancelled();
+    add(&mut trace, "cancelled", &key, &cancelled);
+    let full = LedgerJob {
+        owner: "water".into(),
+        epoch: 9_007_199_254_740_993,
+        spill_count: 2,
+        declined_by: vec!["wind".into(), "stone".into()],
+        depends_on: vec!["job-000410".into(), "job-000411".into()],
+        ..cancelled
+    };
+    add(&mut trace, "all fields set", &key, &full);
+    insta::assert_snapshot!("ledger_job", trace);
+}
+
+#[test]
+fn final_states_keep_their_json() {
+    let mut trace = String::new();
+    let key = final_key("job-000412");
+    add(&mut trace, "done", &key, &FinalState::Done);
+    add(&mut trace, "cancelled", &key, &FinalState::Cancelled);
+    insta::assert_snapshot!("final_state", trace);
+}
+
+#[test]
+fn cell_presence_keeps_its_json() {
+    let mut trace = String::new();
+    let key = presence_key("stone");
+    let plain = CellPresence {
+        controller: "millstone-0".into(),
+        incarnation: 1_170_161_245_356_350,
+        summary: CapacitySummary::default(),
+    };
+    add(&mut trace, "empty summary", &key, &plain);
+    let full = CellPresence {
+        summary: CapacitySummary {
+            computed_ms: 1_796_178_938_037,
+            waiting_tasks: 122,
+            free_cpus: 12.5,
+            can_rent: true,
+        },
+        ..plain
+    };
+    add(&mut trace, "all fields set", &key, &full);
+    insta::assert_snapshot!("cell_presence", trace);
+}
+
+#[test]
+fn drain_and_registrations_keep_their_json() {
+    let mut trace = String::new();
+    let drain = DrainRequest {
+        requested_ms: 1_796_178_938_037,
+    };
+    add(&mut trace, "drain", &drain_key("stone"), &drain);
+    let generation = Generation { count: 3 };
+    let key = generation_key("stone");
+    add(&mut trace, "registrations", &key, &generation);
+    insta::assert_snapshot!("drain_and_registrations", trace);
+}
+
+/// It is a part of a cell's own record of a job.
+#[test]
+fn ownership_version_keeps_its_json() {
+    let mut trace = String::new();
+    let version = OwnershipVersion {
+        epoch: 3,
+        revision: 9_007_199_254_740_993,
+    };
+    add(&mut trace, "stamp", "-", &version);
+    insta::assert_snapshot!("stamp", trace);
+}
+
+/// Records of an earlier version, and of a later one that added a field.
+#[test]
+fn fields_that_are_missing_or_unknown_do_not_keep_a_record_from_being_read() {
+    let job = json!({"owner": "stone", "epoch": 1, "home": "wind", "accepted_ms": 5,
+        "description": {}, "added_later": true});
+    let read: LedgerJob = serde_json::from_value(job).unwrap();
+    let expected = LedgerJob {
+        owner: "stone".into(),
+        epoch: 1,
+        home: "wind".into(),
+        cancelled: false,
+        spill_count: 0,
+        declined_by: Vec::new(),
+        depends_on: Vec::new(),
+        accepted_ms: 5,
+        description: json!({}),
+    };
+    assert_eq!(read, expected);
+    let presence = json!({"controller": "millstone-0", "incarnation": 7, "added_later": true});
+    let read: CellPresence = serde_json::from_value(presence).unwrap();
+    let expected = CellPresence {
+        controller: "millstone-0".into(),
+        incarnation: 7,
+        summary: CapacitySummary::default(),
+    };
+    assert_eq!(read, expected);
+}
--- a/src/cells/testimony.rs
+++ b/src/cells/testimony.rs
@@ -99,3 +99,6 @@
     }
     Some(all)
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/cells/testimony/tests.rs
@@ -0,0 +1,64 @@
+use super::*;
+use crate::testing::compatibility::trace::hex;
+
+#[test]
+fn testimony_frames_keep_their_bytes() {
+    let mut trace = String::new();
+    for (cell, revision) in [("", 0), ("stone", 1), ("stone", 9_007_199_254_740_993)] {
+        let frame = bitcode::encode(&Question {
+            cell: cell.to_owned(),
+            revision,
+        });
+        trace.push_str(&format!(
+            "question of {cell:?} at {revision}: {}\n",
+            hex(&frame)
+        ));
+        let read: Question = bitcode::decode(&frame).unwrap();
+        assert_eq!((read.cell.as_str(), read.revision), (cell, revision));
+    }
+    let lost: [(bool, &[&str]); 4] = [
+        (false, &[]),
+        (true, &[]),
+        (true, &["job-000412"]),
+        (false, &["job-000412", "job-7"]),
+    ];
+    for (is_disconnected, lost) in lost {
+        let frame = bitcode::encode(&Answer {
+            is_disconnected,
+            lost: lost.iter().map(|id| (*id).to_owned()).collect(),
+        });
+        trace.push_str(&format!(
+            "answer {is_disconnected} {lost:?}: {}\n",
+            hex(&frame)
+        ));
+        let read: Answer = bitcode::decode(&frame).unwrap();
+        assert_eq!(read.is_disconnected, is_disconnected);
+        assert_eq!(read.lost, lost);
+    }
+    insta::assert_snapshot!("testimony_frames", trace);
+}
+
+/// The frame as it goes over the connection, with what begins it, and an answer in the bytes that
+/// another controller sends.
+#[tokio::test]
+async fn a_question_to_other_cells_is_sent_as_the_same_bytes() {
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let peer = listener.local_addr().unwrap();
+    let answering = tokio::spawn(async move {
+        let (mut stream, _) = listener.accept().await.unwrap();
+        let mut question = vec![0; 6];
+        stream.read_exact(&mut question).await.unwrap();
+        let mut frame = vec![0; usize::from(question[5])];
+        stream.read_exact(&mut frame).await.unwrap();
+        question.extend(frame);
+        let answer = bitcode::encode(&Answer {
+            is_disconnected: true,
+            lost: vec!["job-000412".to_owned()],
+        });
+        write_frame(&mut stream, answer).await.unwrap();
+        hex(&question)
+    });
+    let lost = ask_all(vec![peer], "stone", 9).await;
+    assert_eq!(lost, Some(vec!["job-000412".to_owned()]));
+    insta::assert_snapshot!("testimony_question_on_the_wire", answering.await.unwrap());
+}
--- a/src/mesh/attestation/tests.rs
+++ b/src/mesh/attestation/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::testing::compatibility::trace::hex;
 
 fn told(incarnation: u64, is_disconnected: bool, cancelled: &[&str]) -> Attestation {
     Attestation {
@@ -50,3 +51,48 @@
     contact: up to None, cancelled []
     "#);
 }
+
+#[test]
+fn attestation_frames_keep_their_bytes() {
+    let mut trace = String::new();
+    let attestations: [(u64, bool, &[&str]); 4] = [
+        (0, false, &[]),
+        (1_170_161_245_356_350, true, &[]),
+        (1_170_161_245_356_350, true, &["job-000412"]),
+        (7, false, &["job-000412", "job-7"]),
+    ];
+    for (incarnation, is_disconnected, cancelled) in attestations {
+        let frame = bitcode::encode(&told(incarnation, is_disconnected, cancelled));
+        trace.push_str(&format!(
+            "{incarnation} {is_disconnected} {cancelled:?}: {}\n",
+            hex(&frame)
+        ));
+        let read: Attestation = bitcode::decode(&frame).unwrap();
+        assert_eq!(read.incarnation, incarnation);
+        assert_eq!(read.is_disconnected, is_disconnected);
+        assert_eq!(read.cancelled, cancelled);
+    }
+    insta::assert_snapshot!("attestation_frames", trace);
+}
+
+/// What begins a question of this kind, and an answer in the bytes that another controller sends.
+#[tokio::test]
+async fn a_request_for_an_attestation_is_sent_as_the_same_bytes() {
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let peer = listener.local_addr().unwrap();
+    let answering = tokio::spawn(async move {
+        let (mut stream, _) = listener.accept().await.unwrap();
+        let mut request = [0; 2];
+        stream.read_exact(&mut request).await.unwrap();
+        let frame = bitcode::encode(&told(7, true, &["job-000412"]));
+        let mut answer = (frame.len() as u32).to_be_bytes().to_vec();
+        answer.extend(frame);
+        stream.write_all(&answer).await.unwrap();
+        hex(&request)
+    });
+    let attestation = ask(peer).await.unwrap();
+    assert_eq!(attestation.incarnation, 7);
+    assert!(attestation.is_disconnected);
+    assert_eq!(attestation.cancelled, ["job-000412"]);
+    assert_eq!(answering.await.unwrap(), "ffff");
+}
--- /dev/null
+++ b/src/testing/compatibility/cluster_records.rs
@@ -0,0 +1,232 @@
+//! Records of the fleet, of the controllers and of what these publish.
+
+use super::trace::Trace;
+use crate::fleet::{Rental, Rented, Use};
+use crate::jobs::Layout;
+use crate::membership::assignment::{Assignment, Member};
+use crate::membership::schema_versions::{CAN, CAN_DIVIDE_LIMITS, SchemaVersions};
+use crate::renting::{ForecastSummaryRecord, Held, Outlook};
+use crate::state::replica::{LeaderRecord, PresenceRecord};
+use crate::state::{
+    ASSIGNMENT_KEY, FORMS_KEY, LEADER_KEY, allotment_key, outlook_key, presence_key, rental_key,
+};
+use rowanmill_limits::{AllotmentRecord, Amount, WaitingUnit};
+use serde_json::json;
+
+fn member(number: u64) -> Member {
+    Member {
+        name: format!("millstone-{number}"),
+        incarnation: 1_170_161_245_356_350 + number,
+    }
+}
+
+#[test]
+fn rental_record_keeps_its_json() {
+    let mut trace = Trace::default();
+    let requested = Rental {
+        kind: "m4".into(),
+        zone: "a".into(),
+        spot: false,
+        count: 4,
+        hired_ms: 1_796_178_941_403,
+        open: true,
+        machines: Vec::new(),
+    };
+    let key = || rental_key("r-9-2");
+    trace.add("requested, not answered", key(), &requested);
+    let machine = |name: &str, owner, token, state| Rented {
+        name: name.into(),
+        owner: member(owner),
+        token,
+        state,
+    };
+    let answered = Rental {
+        spot: true,
+        open: false,
+        machines: vec![
+            machine("vm-000005", 0, 9, Use::Open),
+            machine("vm-000006", 1, 10, Use::Returning),
+            machine("vm-000007", 0, 11, Use::Closing),
+        ],
+        ..requested.clone()
+    };
+    trace.add("answered, each use of a machine", key(), &answered);
+    let returned = Rental {
+        open: false,
+        ..requested
+    };
+    trace.add("no machine left", key(), &returned);
+    insta::assert_snapshot!("rental_record", trace.0);
+}
+
+#[test]
+fn presence_record_keeps_its_json() {
+    let mut trace = Trace::default();
+    for (form, forms) in [
+        ("the version before", 0),
+        ("present version", CAN),
+        ("divides limits", CAN_DIVIDE_LIMITS),
+    ] {
+        let record = PresenceRecord {
+            incarnation: 1_170_161_245_356_350,
+            lease: 17,
+            forms,
+        };
+        trace.add(form, presence_key("millstone-0"), &record);
+    }
+    insta::assert_snapshot!("presence_record", trace.0);
+}
+
+#[test]
+fn leader_record_keeps_its_json() {
+    let mut trace = Trace::default();
+    let record = LeaderRecord {
+        member: "millstone-0".into(),
+        incarnation: 1_170_161_245_356_350,
+        lease: 17,
+    };
+    trace.add("leader", LEADER_KEY.into(), &record);
+    insta::assert_snapshot!("leader_record", trace.0);
+}
+
+#[test]
+fn assignment_record_keeps_its_json() {
+    let mut trace = Trace::default();
+    let key = || ASSIGNMENT_KEY.to_owned();
+    trace.add("of nobody", key(), &Assignment::default());
+    let record = Assignment {
+        members: vec![member(0), member(1), member(2)],
+        teams: [("film".to_owned(), 1), ("web".to_owned(), 0)].into(),
+        gangs: vec![1, 2],
+        had_gangs: true,
+        slots: vec![0, 0, 1, 2],
+    };
+    trace.add("of three controllers", key(), &record);
+    insta::assert_snapshot!("assignment_record", trace.0);
+}
+
+#[test]
+fn schema_versions_record_keeps_its_json() {
+    let mut trace = Trace::default();
+    let key = || FORMS_KEY.to_owned();
+    trace.add("nobody seen", key(), &SchemaVersions::default());
+    let waiting = SchemaVersions {
+        seen: ["millstone-0".to_owned(), "millstone-1".to_owned()].into(),
+        layout: None,
+    };
+    trace.add("not all seen", key(), &waiting);
+    // What a page may take is this process's own and not written.
+    let begun = SchemaVersions {
+        layout: Some(Layout {
+            wide: 170,
+            dense: 64,
+            value_bytes: 0,
+        }),
+        ..waiting
+    };
+    trace.add("begun", key(), &begun);
+    insta::assert_snapshot!("schema_versions_record", trace.0);
+}
+
+fn gang() -> WaitingUnit {
+    WaitingUnit {
+        since_ms: 1_796_178_938_037,
+        job: "job-000412".into(),
+        need: Amount {
+            cpus: 12_500_000,
+            cards: 2_000_000,
+        },
+        is_gang: true,
+    }
+}
+
+#[test]
+fn forecast_summary_record_keeps_its_json() {
+    let mut trace = Trace::default();
+    let key = || outlook_key("millstone-0");
+    trace.add("no field set", key(), &ForecastSummaryRecord::default());
+    let plain = ForecastSummaryRecord {
+        kinds: [("m4".to_owned(), Outlook::default())].into(),
+        ..ForecastSummaryRecord::default()
+    };
+    trace.add("a kind with no field set", key(), &plain);
+    let kind = Outlook {
+        late_now: 0.5,
+        counted_now: 19.75,
+        late_next: 1.25,
+        counted_next: 8.0,
+        running: 1.5,
+        waiting: 122,
+        startup: 2,
+        booting: 3,
+        wanted: 4.5,
+        wanted_spot: 2.5,
+        wanted_else: [("g8".to_owned(), 0.75)].into(),
+        arrived: 5,
+        finished: 6,
+        held: vec![Held {
+            name: "vm-000005".into(),
+            remaining_hold_s: -12.5,
+        }],
+        idle: vec!["vm-000006".into(), "vm-000007".into()],
+    };
+    let full = ForecastSummaryRecord {
+        at_ms: 1_796_178_943_111,
+        puts_per_s: 3.9563055831410505,
+        unwritten: 0.25,
+        fallen: true,
+        kinds: [("m4".to_owned(), kind)].into(),
+        blocked: [("film".to_owned(), gang())].into(),
+    };
+    trace.add("all fields set", key(), &full);
+    insta::assert_snapshot!("forecast_summary_record", trace.0);
+}
+
+#[test]
+fn allotments_record_keeps_its_json() {
+    let mut trace = Trace::default();
+    let limit = Amount {
+        cpus: 64_000_000,
+        cards: 8_000_000,
+    };
+    let frozen = AllotmentRecord::frozen(31, limit);
+    trace.add("frozen", allotment_key("film"), &frozen);
+    let half = Amount {
+        cpus: 32_000_000,
+        cards: 0,
+    };
+    let members = [("millstone-0", half), ("millstone-1", half)];
+    let divided = AllotmentRecord {
+        allotments: members.map(|(name, part)| (name.to_owned(), part)).into(),
+        ..frozen
+    };
+    trace.add("divided", allotment_key("film"), &divided);
+    insta::assert_snapshot!("allotments_record", trace.0);
+}
+
+/// Records of an earlier version, and of a later one that added a field.
+#[test]
+fn fields_that_are_missing_or_unknown_do_not_keep_a_record_from_being_read() {
+    let presence = json!({"incarnation": 7, "lease": 8, "added_later": true});
+    let read: PresenceRecord = serde_json::from_value(presence).unwrap();
+    let expected = PresenceRecord {
+        incarnation: 7,
+        lease: 8,
+        forms: 0,
+    };
+    assert_eq!(read, expected);
+    let summary = json!({"at_ms": 9, "kinds": {}, "added_later": [1]});
+    let read: ForecastSummaryRecord = serde_json::from_value(summary).unwrap();
+    let expected = ForecastSummaryRecord {
+        at_ms: 9,
+        ..ForecastSummaryRecord::default()
+    };
+    assert_eq!(read, expected);
+    // A use of a machine that is not known yet counts as the last one: nothing starts there.
+    let rental = json!({"kind": "m4", "zone": "a", "spot": true, "count": 1, "hired_ms": 5,
+        "added_later": null, "owners": [["millstone-0", 3]], "machines": [["vm-1", 0, 9, 7]]});
+    let read: Rental = serde_json::from_value(rental).unwrap();
+    assert!(!read.open);
+    assert_eq!(read.machines[0].state, Use::Closing);
+    assert_eq!(read.machines[0].owner.name, "millstone-0");
+}
--- /dev/null
+++ b/src/testing/compatibility/frames.rs
@@ -0,0 +1,86 @@
+//! What a controller answers over the mesh, byte for byte.
+
+use super::trace::hex;
+use crate::mesh;
+use crate::node::Node;
+use crate::policy::Policy;
+use crate::settings::Settings;
+use serde_json::json;
+use std::sync::Arc;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+
+fn node() -> Node {
+    let settings = json!({"member": "millstone-0", "site": "a", "api_addr": "127.0.0.1:1",
+        "mesh_addr": "127.0.0.1:1", "known": [],
+        "endpoints": {"cloud": "127.0.0.1:1", "state": "127.0.0.1:1"},
+        "params": {"size": 1, "zones": ["a"], "teams": [],
+            "workers": {"report_s": 0.3, "lease_s": 8.0, "gang_wait_s": 5.0, "gang_peer_s": 2.0,
+                "cancel_s": 20.0},
+            "state": {"rps": 1000.0, "write_rps": 500.0, "value_kb": 8.0, "txn_ops": 24, "next": null},
+            "cloud": {"rps": 50.0, "list_lag_s": 1.0},
+            "limits": {"core_share": 1.0, "mem_mb": 10000.0, "sockets": 500},
+            "skew_ms": 25.0}});
+    let settings = Settings::parse(&settings.to_string(), "test").unwrap();
+    let mut node = Node::new(0, settings, Policy::default());
+    node.me.incarnation = 1_170_161_245_356_350;
+    node
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let digits = hex.as_bytes().chunks(2);
+    digits
+        .map(|two| u8::from_str_radix(std::str::from_utf8(two).unwrap(), 16).unwrap())
+        .collect()
+}
+
+/// Questions as another controller sends them, and what this one answers: a status, an attestation of
+/// what is cancelled, and a testimony of what a cell lost.
+#[tokio::test]
+async fn questions_between_controllers_are_answered_with_the_same_bytes() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap();
+    let serving = tokio::spawn(mesh::serve(Arc::new(node()), listener));
+    let mut trace = String::new();
+    let status = mesh::Status {
+        member: "millstone-1".into(),
+        state_age_ms: Some(140),
+    };
+    let status = bitcode::encode(&status);
+    let status = format!("{:04x}{}", status.len(), hex(&status));
+    for (form, question) in [
+        ("status", status.as_str()),
+        ("attestation", "ffff"),
+        ("testimony", "fffe000000080573746f6e650609"),
+    ] {
+        let mut stream = TcpStream::connect(address).await.unwrap();
+        stream.write_all(&bytes(question)).await.unwrap();
+        let mut answer = Vec::new();
+        stream.read_to_end(&mut answer).await.unwrap();
+        trace.push_str(&format!("{form}: {question} -> {}\n", hex(&answer)));
+    }
+    serving.abort();
+    insta::assert_snapshot!("mesh_answers", trace);
+}
+
+#[test]
+fn status_frames_keep_their_bytes() {
+    let mut trace = String::new();
+    for (member, state_age_ms) in [
+        ("", None),
+        ("millstone-1", None),
+        ("millstone-1", Some(0)),
+        ("millstone-1", Some(140)),
+        ("millstone-1", Some(u64::MAX)),
+    ] {
+        let frame = bitcode::encode(&mesh::Status {
+            member: member.to_owned(),
+            state_age_ms,
+        });
+        trace.push_str(&format!("{member:?} {state_age_ms:?}: {}\n", hex(&frame)));
+        let read: mesh::Status = bitcode::decode(&frame).unwrap();
+        assert_eq!(read.member, member);
+        assert_eq!(read.state_age_ms, state_age_ms);
+    }
+    insta::assert_snapshot!("status_frames", trace);
+}
--- /dev/null
+++ b/src/testing/compatibility/job_records.rs
@@ -0,0 +1,236 @@
+//! Jobs: their record in each form, what is kept once they ended, and both encodings of progress pages.
+
+use super::trace::{Trace, written};
+use crate::jobs::{
+    Entry, Final, GivenUp, JobRecord, JobSpec, Page, PageId, Shape, Stored, Urgency,
+};
+use crate::state::{final_key, given_up_key, job_key, page_key};
+use rowanmill_cells::OwnershipVersion;
+
+const VERSION: OwnershipVersion = OwnershipVersion {
+    epoch: 3,
+    revision: 9_007_199_254_740_993,
+};
+
+/// A job with none of its optional fields.
+fn plain_spec() -> JobSpec {
+    JobSpec {
+        id: "job-000412".into(),
+        class: "render".into(),
+        team: "film".into(),
+        shape: Shape::Array,
+        urgency: Urgency::Standard,
+        tasks: 12,
+        cpus: 1.5,
+        gpus: 0.0,
+        memory_gb: 4.0,
+        image: "blender".into(),
+        image_gb: 2.25,
+        types: None,
+        zone: None,
+        one_zone: false,
+        spread: false,
+        spot: false,
+        estimate_s: 60.0,
+        checkpoint_s: 0.0,
+        save_s: 0.0,
+        deadline_s: None,
+    }
+}
+
+/// A job with all of its optional fields.
+fn full_spec() -> JobSpec {
+    JobSpec {
+        shape: Shape::Gang,
+        urgency: Urgency::Critical,
+        gpus: 2.0,
+        types: Some(vec!["m4".into(), "g8".into()]),
+        zone: Some("b".into()),
+        one_zone: true,
+        spread: true,
+        spot: true,
+        checkpoint_s: 30.0,
+        save_s: 1.5,
+        deadline_s: Some(900.5),
+        ..plain_spec()
+    }
+}
+
+/// A record of a job as it is accepted.
+fn accepted(spec: JobSpec) -> JobRecord {
+    JobRecord {
+        spec,
+        accepted_ms: 1_796_178_938_037,
+        cancelled: false,
+        placer: None,
+        released_ms: None,
+        ledger: None,
+        foreign: false,
+        withdrawn: false,
+    }
+}
+
+fn key() -> String {
+    job_key("job-000412")
+}
+
+#[test]
+fn open_job_record_keeps_its_json() {
+    let plain = accepted(plain_spec());
+    let mut trace = Trace::default();
+    trace.add("no optional field", key(), &Stored::Open(plain.clone()));
+    let all = JobRecord {
+        cancelled: true,
+        placer: Some("millstone-1".into()),
+        released_ms: Some(1_796_178_940_000),
+        ledger: Some(VERSION),
+        foreign: true,
+        withdrawn: true,
+        ..accepted(full_spec())
+    };
+    trace.add("all optional fields", key(), &Stored::Open(all));
+    let placer = JobRecord {
+        placer: Some("millstone-0".into()),
+        ..plain.clone()
+    };
+    trace.add("placer", key(), &Stored::Open(placer));
+    let released = JobRecord {
+        released_ms: Some(1_796_178_940_000),
+        ..plain.clone()
+    };
+    trace.add("released", key(), &Stored::Open(released));
+    let stamped = JobRecord {
+        ledger: Some(VERSION),
+        ..plain.clone()
+    };
+    trace.add("stamp of the ledger", key(), &Stored::Open(stamped));
+    let foreign = JobRecord {
+        ledger: Some(VERSION),
+        foreign: true,
+        ..plain
+    };
+    trace.add("foreign", key(), &Stored::Open(foreign));
+    insta::assert_snapshot!("open_job_record", trace.0);
+}
+
+#[test]
+fn cancelled_and_withdrawn_job_records_leave_out_what_may_be_long() {
+    let full = accepted(full_spec());
+    let mut trace = Trace::default();
+    let cancelled = full.clone().into_cancelled();
+    trace.add("cancelled", key(), &Stored::Open(cancelled));
+    let withdrawn = full.into_withdrawn(VERSION);
+    trace.add("withdrawn", key(), &Stored::Open(withdrawn));
+    insta::assert_snapshot!("cancelled_and_withdrawn_job_record", trace.0);
+}
+
+#[test]
+fn job_record_names_each_shape_and_urgency() {
+    let mut trace = Trace::default();
+    let shapes = [
+        (Shape::Array, Urgency::BestEffort),
+        (Shape::Gang, Urgency::Standard),
+        (Shape::Service, Urgency::Urgent),
+        (Shape::Array, Urgency::Critical),
+    ];
+    for (shape, urgency) in shapes {
+        let spec = JobSpec {
+            shape,
+            urgency,
+            ..plain_spec()
+        };
+        trace.add("a shape, an urgency", key(), &Stored::Open(accepted(spec)));
+    }
+    insta::assert_snapshot!("job_record_of_each_shape_and_urgency", trace.0);
+}
+
+#[test]
+fn blocked_job_record_keeps_its_json() {
+    let mut trace = Trace::default();
+    let blocked = |spec, awaits: &[&str]| Stored::Blocked {
+        record: accepted(spec),
+        awaits: awaits.iter().map(|id| (*id).to_owned()).collect(),
+    };
+    let one = blocked(plain_spec(), &["job-000411"]);
+    trace.add("no optional field", key(), &one);
+    let several = blocked(full_spec(), &["job-000410", "job-000411"]);
+    trace.add("all fields of the job", key(), &several);
+    insta::assert_snapshot!("blocked_job_record", trace.0);
+}
+
+#[test]
+fn finished_job_record_keeps_its_json() {
+    let mut trace = Trace::default();
+    for (form, outcome) in [("done", Final::Done), ("cancelled", Final::Cancelled)] {
+        trace.add(form, key(), &Stored::Finished { outcome });
+    }
+    insta::assert_snapshot!("finished_job_record", trace.0);
+}
+
+#[test]
+fn what_is_kept_of_an_ended_job_keeps_its_json() {
+    let mut trace = Trace::default();
+    let id = "job-000412";
+    trace.add("done", final_key(id), &Final::Done);
+    trace.add("cancelled", final_key(id), &Final::Cancelled);
+    trace.add("given up", given_up_key(id), &GivenUp::under(VERSION));
+    insta::assert_snapshot!("ended_job_record", trace.0);
+}
+
+fn placed(attempt: u64, machine: &str, session: u64) -> Entry {
+    Entry::Placed {
+        attempt,
+        machine: machine.into(),
+        session,
+    }
+}
+
+/// Pages with each kind of entry, and those of which an encoding leaves something out.
+fn pages() -> Vec<(&'static str, Page)> {
+    vec![
+        (
+            "each kind of entry",
+            Page(vec![
+                Entry::NEVER_STARTED,
+                Entry::Waiting { last: 7 },
+                Entry::Done,
+                placed(3, "vm-000231", 1),
+                placed(1, "vm-000017", 4),
+                placed(12, "vm-000231", 1),
+                placed(2, "vm-000017", 5),
+                placed(1_048_577, "vm-000300", 1),
+            ]),
+        ),
+        ("sessions that are all the first", {
+            let mut page = Page::default();
+            page.set(2, placed(1, "vm-000001", 1));
+            page
+        }),
+        (
+            "nothing placed",
+            Page(vec![Entry::Done, Entry::Waiting { last: 1 }]),
+        ),
+        ("no task", Page::default()),
+    ]
+}
+
+#[test]
+fn wide_progress_pages_keep_their_json() {
+    let mut trace = Trace::default();
+    for (form, page) in pages() {
+        trace.add(form, page_key("job-000412", PageId::Wide(3)), &page);
+    }
+    insta::assert_snapshot!("wide_progress_page", trace.0);
+}
+
+#[test]
+fn dense_progress_pages_keep_their_json() {
+    let mut trace = Trace::default();
+    for (form, page) in pages() {
+        let key = page_key("job-000412", PageId::Dense(3));
+        let (key, json) = written(key, &page.to_dense());
+        assert_eq!(Page::from_dense(&json).unwrap(), page, "{form}");
+        trace.add_text(form, &key, &json);
+    }
+    insta::assert_snapshot!("dense_progress_page", trace.0);
+}
--- a/src/testing/mod.rs
+++ b/src/testing/mod.rs
@@ -1,7 +1,7 @@
 //! Controllers for tests, each on a thread with its own runtime, against the stand-ins of
 //! `rowanmill-testing`.
 
-mod compatibility;
+pub mod compatibility;
 mod fault_scenarios;
 mod fleet_scale;
 mod limits;
