--- a/crates/rowanmill-cells/tests/model/ledger.rs
+++ b/crates/rowanmill-cells/tests/model/ledger.rs
@@ -1,6 +1,7 @@
 //! A ledger in memory: keys with revisions, leases and a log, at a time that is passed in.
 
 use rowanmill_cells::record::{LedgerJob, job_key};
+use rowanmill_cells::replica::Versioned;
 use rowanmill_cells::transaction::Transaction;
 use rowanmill_state::{Change, Op};
 use serde::de::DeserializeOwned;
@@ -8,112 +9,139 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-struct Held {
+/// A key's value, with the revision of its last change.
+struct Value {
     data: Box<RawValue>,
-    mark: u64,
+    revision: u64,
     lease: Option<u64>,
 }
 
+/// Why a transaction was not committed: a precondition failed, or a lease has expired.
+#[derive(Debug)]
+pub struct Rejected;
+
 #[derive(Default)]
 pub struct Ledger {
     pub revision: u64,
-    keys: BTreeMap<String, Held>,
+    values: BTreeMap<String, Value>,
+    /// Leases with their ends.
     leases: BTreeMap<u64, Instant>,
     log: Vec<Change>,
     last_lease: u64,
 }
 
 impl Ledger {
-    pub fn create_lease(&mut self, ends: Instant) -> u64 {
+    /// Length of a cell's lease.
+    pub const CELL_LEASE: Duration = Duration::from_secs(5);
+
+    pub fn create_lease(&mut self, end: Instant) -> u64 {
         self.last_lease += 1;
-        self.leases.insert(self.last_lease, ends);
+        self.leases.insert(self.last_lease, end);
         self.last_lease
     }
 
-    /// False if it is over.
-    pub fn extend_lease(&mut self, lease: u64, ends: Instant) -> bool {
-        let held = self.leases.get_mut(&lease);
-        held.is_some_and(|held| {
-            *held = ends;
-            true
-        })
+    /// False if the lease has expired.
+    pub fn extend_lease(&mut self, lease: u64, end: Instant) -> bool {
+        let Some(held) = self.leases.get_mut(&lease) else {
+            return false;
+        };
+        *held = end;
+        true
     }
 
-    pub fn end_leases(&mut self, now: Instant) {
-        self.leases.retain(|_, ends| *ends > now);
-        let keys = self.keys.iter();
-        let over =
-            keys.filter(|(_, held)| held.lease.is_some_and(|l| !self.leases.contains_key(&l)));
-        let over: Vec<String> = over.map(|(key, _)| key.clone()).collect();
-        for key in over {
+    /// Removes expired leases and the keys attached to them.
+    pub fn expire_leases(&mut self, now: Instant) {
+        self.leases.retain(|_, end| *end > now);
+        let expired: Vec<String> = self
+            .values
+            .iter()
+            .filter(|(_, value)| value.lease.is_some_and(|lease| !self.holds(lease)))
+            .map(|(key, _)| key.clone())
+            .collect();
+        for key in expired {
             self.revision += 1;
-            self.remove(&key);
+            self.delete(&key);
         }
     }
 
-    fn remove(&mut self, key: &str) {
-        if self.keys.remove(key).is_some() {
-            self.log.push(Change {
-                set: None,
-                drop: Some(key.to_owned()),
-                data: None,
-                mark: self.revision,
-            });
-        }
+    fn holds(&self, lease: u64) -> bool {
+        self.leases.contains_key(&lease)
     }
 
-    pub fn transact(&mut self, transaction: &Transaction, now: Instant) -> Result<u64, ()> {
-        self.end_leases(now);
-        let mark = |key: &str| self.keys.get(key).map_or(0, |held| held.mark);
-        let holds = transaction
+    /// Carries out a transaction; returns the revision of its changes.
+    pub fn commit(&mut self, transaction: &Transaction, now: Instant) -> Result<u64, Rejected> {
+        self.expire_leases(now);
+        let preconditions_hold = transaction
             .preconditions
             .iter()
-            .all(|g| mark(&g.k) == g.mark);
-        let is_over = |change: &Op| match change {
-            Op::Set { lease, .. } => lease.is_some_and(|l| !self.leases.contains_key(&l)),
-            Op::Drop { .. } => false,
-        };
-        if !holds || transaction.operations.iter().any(is_over) {
-            return Err(());
+            .all(|precondition| self.revision_of(&precondition.k) == precondition.mark);
+        let leases_hold = transaction
+            .operations
+            .iter()
+            .all(|operation| match operation {
+                Op::Set { lease, .. } => lease.is_none_or(|lease| self.holds(lease)),
+                Op::Drop { .. } => true,
+            });
+        if !preconditions_hold || !leases_hold {
+            return Err(Rejected);
         }
         self.revision += 1;
-        for change in &transaction.operations {
-            match change {
-                Op::Set { set, data, lease } => {
-                    self.log.push(Change {
-                        set: Some(set.clone()),
-                        drop: None,
-                        data: Some(data.clone()),
-                        mark: self.revision,
-                    });
-                    let held = Held {
-                        data: data.clone(),
-                        mark: self.revision,
-                        lease: *lease,
-                    };
-                    self.keys.insert(set.clone(), held);
-                }
-                Op::Drop { drop } => self.remove(drop),
+        for operation in &transaction.operations {
+            match operation {
+                Op::Set { set, data, lease } => self.put(set, data, *lease),
+                Op::Drop { drop } => self.delete(drop),
             }
         }
         Ok(self.revision)
     }
 
-    pub fn since(&self, revision: u64) -> Vec<Change> {
-        let log = self.log.iter().filter(|change| change.mark > revision);
-        log.cloned().collect()
+    /// The revision of a key's last change; 0 if it has no value.
+    fn revision_of(&self, key: &str) -> u64 {
+        self.values.get(key).map_or(0, |value| value.revision)
+    }
+
+    fn put(&mut self, key: &str, data: &RawValue, lease: Option<u64>) {
+        let revision = self.revision;
+        self.log.push(Change {
+            set: Some(key.to_owned()),
+            drop: None,
+            data: Some(data.to_owned()),
+            mark: revision,
+        });
+        let value = Value {
+            data: data.to_owned(),
+            revision,
+            lease,
+        };
+        self.values.insert(key.to_owned(), value);
+    }
+
+    fn delete(&mut self, key: &str) {
+        if self.values.remove(key).is_some() {
+            self.log.push(Change {
+                set: None,
+                drop: Some(key.to_owned()),
+                data: None,
+                mark: self.revision,
+            });
+        }
+    }
+
+    pub fn changes_since(&self, revision: u64) -> Vec<Change> {
+        let newer = self.log.iter().filter(|change| change.mark > revision);
+        newer.cloned().collect()
     }
 
     pub fn read<T: DeserializeOwned>(&self, key: &str) -> Option<T> {
-        let held = self.keys.get(key)?;
-        serde_json::from_str(held.data.get()).ok()
+        let value = self.values.get(key)?;
+        serde_json::from_str(value.data.get()).ok()
     }
 
-    pub fn job(&self, id: &str) -> Option<(LedgerJob, u64)> {
+    pub fn job(&self, id: &str) -> Option<Versioned<LedgerJob>> {
         let key = job_key(id);
-        Some((self.read(&key)?, self.keys[&key].mark))
+        Some(Versioned {
+            record: self.read(&key)?,
+            revision: self.revision_of(&key),
+        })
     }
-
-    /// How long a cell's lease is.
-    pub const CELL_LEASE: Duration = Duration::from_secs(5);
 }
