--- a/crates/rowanmill-limits/src/holder.rs
+++ b/crates/rowanmill-limits/src/holder.rs
@@ -1,196 +1,175 @@
-//! A controller's side of its allotments: what it may start, the starts whose outcome it does not know,
-//! and what it gives to others.
+//! A controller's side of quota allocations: its headroom, its transactions in doubt, and the changes that
+//! it makes to the teams' records.
 
-use crate::amount::{Amount, Limit};
+use crate::amount::ResourceAmount;
 use crate::config::LimitsConfig;
-use crate::demand::MemberDemand;
-use crate::record::{AllotmentRecord, Versioned};
-use crate::transfer::{Parts, is_short};
+use crate::in_doubt::InDoubtTransaction;
+use crate::record::{AllocationRecord, Versioned};
+use crate::transfer::TransferPlan;
+use crate::view::TeamView;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// What a controller's replica says of one team.
-#[derive(Debug, Clone, Copy)]
-pub struct TeamView<'a> {
-    /// The team's limit by the settings.
-    pub limit: Limit,
-    /// The record of its allotments.
-    pub record: Option<Versioned<&'a AllotmentRecord>>,
-    /// The revision of the assignment of jobs.
-    pub assignment: u64,
-    /// All changes up to this revision have been read.
-    pub revision: u64,
-    /// What each controller's jobs use and wait for.
-    pub members: &'a [MemberDemand],
-}
-
-impl<'a> TeamView<'a> {
-    fn valid_record(&self) -> Option<Versioned<&'a AllotmentRecord>> {
-        let valid =
-            |kept: &Versioned<&AllotmentRecord>| kept.record.is_valid(self.assignment, &self.limit);
-        self.record.filter(valid)
-    }
-}
-
-/// Starts or a transfer whose transaction got no answer: it may have been carried out, or may be yet. The
-/// room that either takes is not free before that is known: what was started in it and what was given
-/// away would be used twice.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Unanswered {
-    amount: Amount,
-    /// The revisions that the transaction requires.
-    record: u64,
-    assignment: u64,
-}
-
-impl Unanswered {
-    /// Once either record has changed, the transaction fails from then on; and once all changes up to
-    /// that one are read, what it did before is in the replica.
-    fn is_settled(&self, view: &TeamView) -> bool {
-        let record = view.record.map_or(0, |kept| kept.revision);
-        let changed_at = |then: u64, now: u64| now > then && view.revision >= now;
-        changed_at(self.record, record) || changed_at(self.assignment, view.assignment)
-    }
-}
-
 /// Why a controller changes a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ChangeKind {
-    /// It gives some of its own to others.
+pub enum RecordChangeKind {
+    /// It moves some of its own allocation to others.
     Transfer,
-    /// It puts the same record again, so that what got no answer fails from then on.
+    /// It writes the same record again: transactions in doubt require the revision before and fail from
+    /// then on.
     Fence,
 }
 
-/// A change of a team's record, to be put under the guard of its revision.
+/// A change of a team's record, to be written on condition that the record still has `base_revision`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Change {
-    /// The record as it should be.
-    pub record: AllotmentRecord,
-    /// The revision that it follows from.
-    pub follows: u64,
-    /// What the controller gives away by it.
-    pub given: Amount,
-    /// Why.
-    pub kind: ChangeKind,
+pub struct RecordChange {
+    /// The record after the change.
+    pub record: AllocationRecord,
+    /// The revision of the record that was changed.
+    pub base_revision: u64,
+    /// What the controller hands to others.
+    pub transferred: ResourceAmount,
+    /// The reason for the change.
+    pub kind: RecordChangeKind,
 }
 
+/// What a controller remembers of one team beside the records.
 #[derive(Debug, Default)]
-struct Team {
-    unanswered: Vec<Unanswered>,
-    changed_at: Option<Instant>,
-    /// Since when it has had room that its waiting work does not take.
+struct TeamState {
+    in_doubt: Vec<InDoubtTransaction>,
+    /// When the controller last changed the team's record.
+    last_change: Option<Instant>,
+    /// Since when the controller has had headroom that its waiting work does not use.
     idle_since: Option<Instant>,
 }
 
-impl Team {
-    /// For how long it has had room to spare that its waiting work does not take: that waits for machines,
-    /// and not for the limit. What a gang collects is not idle.
-    fn is_idle_for(&mut self, parts: &Parts, charged: Amount, now: Instant) -> Duration {
-        let spare = parts.record.of(parts.me).minus(charged);
-        if parts.collects || is_short(spare, parts.step, parts.waiting) {
+impl TeamState {
+    /// Updates how long the controller has had headroom that its waiting work does not use, and returns it.
+    fn observe_idle(
+        &mut self,
+        plan: &TransferPlan,
+        charged: ResourceAmount,
+        now: Instant,
+    ) -> Duration {
+        if !plan.has_idle_headroom(charged) {
             self.idle_since = None;
             return Duration::ZERO;
         }
         let since = *self.idle_since.get_or_insert(now);
         now.saturating_duration_since(since)
     }
+
+    fn changed_within(&self, interval: Duration, now: Instant) -> bool {
+        self.last_change
+            .is_some_and(|at| now.saturating_duration_since(at) < interval)
+    }
 }
 
-/// A controller's state: what its records do not say.
+/// A controller's quota state of all teams: what its records do not say.
 #[derive(Debug, Default)]
-pub struct Holder {
+pub struct QuotaHolder {
     config: LimitsConfig,
-    me: String,
-    teams: BTreeMap<String, Team>,
+    /// The controller's name, as the records use it.
+    member: String,
+    teams: BTreeMap<String, TeamState>,
 }
 
-impl Holder {
-    /// A controller that knows nothing yet.
-    pub fn new(config: LimitsConfig, me: &str) -> Self {
+impl QuotaHolder {
+    /// A controller without transactions in doubt.
+    pub fn new(config: LimitsConfig, member: &str) -> Self {
         Self {
             config,
-            me: me.to_owned(),
+            member: member.to_owned(),
             teams: BTreeMap::new(),
         }
     }
 
-    /// Starts or a transfer of so much got no answer, under these revisions.
-    pub fn note_unanswered(&mut self, team: &str, amount: Amount, record: u64, assignment: u64) {
-        let team = self.teams.entry(team.to_owned()).or_default();
-        team.unanswered.push(Unanswered {
-            amount,
-            record,
-            assignment,
-        });
+    /// Charges a transaction without an answer to a team until its outcome is known.
+    pub fn record_in_doubt(&mut self, team: &str, transaction: InDoubtTransaction) {
+        let state = self.teams.entry(team.to_owned()).or_default();
+        state.in_doubt.push(transaction);
     }
 
-    /// Forgets what the replica now shows the outcome of.
-    pub fn settle(&mut self, team: &str, view: &TeamView) {
-        let Some(state) = self.teams.get_mut(team) else {
-            return;
-        };
-        state.unanswered.retain(|start| !start.is_settled(view));
+    /// Forgets the team's transactions in doubt whose outcome the replica shows.
+    pub fn resolve_in_doubt(&mut self, team: &str, view: &TeamView) {
+        if let Some(state) = self.teams.get_mut(team) {
+            state
+                .in_doubt
+                .retain(|transaction| !transaction.is_resolved(view));
+        }
     }
 
-    /// What starts and transfers without an answer may come to take.
-    pub fn unanswered(&self, team: &str) -> Amount {
-        let starts = self.teams.get(team).into_iter().flat_map(|t| &t.unanswered);
-        starts.map(|start| start.amount).sum()
+    /// What the team's transactions in doubt take if all of them were applied.
+    pub fn in_doubt_amount(&self, team: &str) -> ResourceAmount {
+        self.teams.get(team).map_or(ResourceAmount::ZERO, |state| {
+            let amounts = state.in_doubt.iter().map(|transaction| transaction.amount);
+            amounts.sum()
+        })
     }
 
-    /// What its tasks may use in all. Nothing without a record that holds.
-    pub fn allotment(&self, view: &TeamView) -> Amount {
-        let record = view.valid_record();
-        record.map_or(Amount::ZERO, |kept| kept.record.of(&self.me))
+    /// What the controller's tasks of a team may use in all: zero without a valid record.
+    pub fn allocation(&self, view: &TeamView) -> ResourceAmount {
+        view.valid_record()
+            .map_or(ResourceAmount::ZERO, |versioned| {
+                versioned.record.allocation_of(&self.member)
+            })
     }
 
-    /// What it may start now beside `charged`, which its tasks use or are planned to. Less than its
-    /// allotment leaves where another controller is held up and should have a part of it.
-    pub fn room(&self, team: &str, view: &TeamView, charged: Amount) -> Amount {
-        let mut most = self.allotment(view);
-        if let Some(kept) = view.valid_record() {
-            let parts = Parts::new(&self.config, view, kept.record, &self.me);
-            most = most.least(parts.most_to_use());
+    /// What the controller may start now beside `charged`, which its tasks use or are planned to use. Less
+    /// than its allocation leaves while another controller is held up and should have a part of it.
+    pub fn headroom(&self, team: &str, view: &TeamView, charged: ResourceAmount) -> ResourceAmount {
+        let mut usable = self.allocation(view);
+        if let Some(versioned) = view.valid_record() {
+            let plan = TransferPlan::new(&self.config, view, versioned.record, &self.member);
+            usable = usable.componentwise_min(plan.usage_cap());
         }
-        most.minus(charged.plus(self.unanswered(team)))
+        usable.saturating_sub(charged.saturating_add(self.in_doubt_amount(team)))
     }
 
-    /// What it should change of a team's record now, if anything.
+    /// The change that the controller should make to a team's record now, if any: a transfer, or a fence
+    /// while transactions are in doubt. At most one is returned in the configured interval, and none without
+    /// a valid record. `charged` is as for [`QuotaHolder::headroom`].
     pub fn next_change(
         &mut self,
         team: &str,
         view: &TeamView,
-        charged: Amount,
+        charged: ResourceAmount,
         now: Instant,
-    ) -> Option<Change> {
-        let kept = view.valid_record()?;
-        let charged = charged.plus(self.unanswered(team));
+    ) -> Option<RecordChange> {
+        let base = view.valid_record()?;
+        let charged = charged.saturating_add(self.in_doubt_amount(team));
         let state = self.teams.entry(team.to_owned()).or_default();
-        let mut parts = Parts::new(&self.config, view, kept.record, &self.me);
-        if state.is_idle_for(&parts, charged, now) >= self.config.idle_after() {
-            parts.leave_idle(charged, view.members);
+        let mut plan = TransferPlan::new(&self.config, view, base.record, &self.member);
+        if state.observe_idle(&plan, charged, now) >= self.config.idle_timeout() {
+            plan.release_idle_headroom(charged);
         }
-        let every = self.config.change_every();
-        if state
-            .changed_at
-            .is_some_and(|at| now.saturating_duration_since(at) < every)
-        {
+        if state.changed_within(self.config.change_interval(), now) {
             return None;
         }
-        let change = match parts.transfer(charged) {
-            Some(record) => (record, ChangeKind::Transfer),
-            None if state.unanswered.is_empty() => return None,
-            None => (kept.record.clone(), ChangeKind::Fence),
-        };
-        state.changed_at = Some(now);
-        let (record, kind) = change;
-        let given = kept.record.of(&self.me).minus(record.of(&self.me));
-        Some(Change {
-            record,
-            follows: kept.revision,
-            given,
-            kind,
-        })
+        let has_in_doubt = !state.in_doubt.is_empty();
+        let change = transfer_or_fence(&plan, base, charged, has_in_doubt)?;
+        state.last_change = Some(now);
+        Some(change)
     }
 }
+
+fn transfer_or_fence(
+    plan: &TransferPlan,
+    base: Versioned<&AllocationRecord>,
+    charged: ResourceAmount,
+    has_in_doubt: bool,
+) -> Option<RecordChange> {
+    let (record, kind) = match plan.apply(charged) {
+        Some(record) => (record, RecordChangeKind::Transfer),
+        None if has_in_doubt => (base.record.clone(), RecordChangeKind::Fence),
+        None => return None,
+    };
+    let before = base.record.allocation_of(plan.member());
+    let after = record.allocation_of(plan.member());
+    Some(RecordChange {
+        record,
+        base_revision: base.revision,
+        transferred: before.saturating_sub(after),
+        kind,
+    })
+}
--- a/crates/rowanmill-limits/src/record.rs
+++ b/crates/rowanmill-limits/src/record.rs
@@ -1,15 +1,16 @@
-//! The record of a team's allotments.
+//! The record of a team's quota allocations, as the state service holds it.
 
-use crate::amount::{Amount, Limit};
+use crate::amount::ResourceAmount;
+use crate::limit::TeamLimit;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A record with the revision of its last change.
+/// A record with the revision of its last modification.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Versioned<T> {
     /// The record.
     pub record: T,
-    /// The state service's number of its last change.
+    /// The state service's revision of its last modification.
     pub revision: u64,
 }
 
@@ -19,95 +20,87 @@
     /// It is not JSON, or of another shape.
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
-    /// Its allotments are more than the limit that they divide.
-    #[error("allotments of {allotted:?} divide a limit of {limit:?}")]
+    /// Its allocations exceed the limit that they divide.
+    #[error("allotments of {allocated:?} divide a limit of {limit:?}")]
     OverLimit {
-        /// What the allotments add up to.
-        allotted: Amount,
+        /// The sum of the allocations.
+        allocated: ResourceAmount,
         /// The limit that the record names.
-        limit: Amount,
+        limit: ResourceAmount,
     },
 }
 
-/// A team's name as a part of a key, where spaces and slashes have no place.
-pub fn key_part(team: &str) -> String {
-    let mut part = String::with_capacity(team.len());
-    for byte in team.bytes() {
-        match byte {
-            b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'-' | b'_' | b'.' => part.push(byte.into()),
-            _ => part.push_str(&format!("~{byte:02x}")),
-        }
-    }
-    part
-}
-
-/// The team that a part of a key names; none if it is no such part.
-pub fn team_of(part: &str) -> Option<String> {
-    let mut bytes = Vec::with_capacity(part.len());
-    let mut rest = part.bytes();
-    while let Some(byte) = rest.next() {
-        if byte != b'~' {
-            bytes.push(byte);
-            continue;
-        }
-        let digits = [rest.next()?, rest.next()?];
-        let digits = std::str::from_utf8(&digits).ok()?;
-        bytes.push(u8::from_str_radix(digits, 16).ok()?);
-    }
-    String::from_utf8(bytes).ok()
-}
-
 /// How a team's limit is divided among the controllers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AllotmentRecord {
-    /// The revision of the assignment of jobs under which it holds. Under any other it allows nothing.
-    pub assignment: u64,
-    /// The limit that it divides, with zero for a resource that has none.
-    pub limit: Amount,
+pub struct AllocationRecord {
+    /// The revision of the assignment of jobs under which the record is valid. Under any other it permits
+    /// nothing.
+    #[serde(rename = "assignment")]
+    pub assignment_revision: u64,
+    /// The limit that is divided, with zero for a resource that has none.
+    pub limit: ResourceAmount,
     /// What each controller's tasks may use. Empty while the record is frozen.
-    pub allotments: BTreeMap<String, Amount>,
+    #[serde(rename = "allotments")]
+    pub allocations: BTreeMap<String, ResourceAmount>,
 }
 
-impl AllotmentRecord {
-    /// A record under which nobody may start anything.
-    pub fn frozen(assignment: u64, limit: Amount) -> Self {
+impl AllocationRecord {
+    /// A record under which no controller may start anything.
+    pub fn frozen(assignment_revision: u64, limit: ResourceAmount) -> Self {
         Self {
-            assignment,
+            assignment_revision,
             limit,
-            allotments: BTreeMap::new(),
+            allocations: BTreeMap::new(),
         }
     }
 
-    /// Reads a record, and refuses one that would allow more than its limit.
+    /// Parses a record's JSON.
+    ///
+    /// # Errors
+    /// If the text is malformed, or the allocations would permit more than the limit.
     pub fn parse(text: &str) -> Result<Self, RecordError> {
         let record: Self = serde_json::from_str(text)?;
-        let allotted = record.allotted();
-        if !allotted.fits(record.limit) {
+        let allocated = record.total_allocated();
+        if !allocated.fits_within(record.limit) {
             return Err(RecordError::OverLimit {
-                allotted,
+                allocated,
                 limit: record.limit,
             });
         }
         Ok(record)
     }
 
-    /// What all allotments add up to.
-    pub fn allotted(&self) -> Amount {
-        self.allotments.values().copied().sum()
+    /// The sum of all allocations.
+    pub fn total_allocated(&self) -> ResourceAmount {
+        self.allocations.values().copied().sum()
     }
 
-    /// Whether nobody may start anything under it.
+    /// Whether no controller may start anything under the record.
     pub fn is_frozen(&self) -> bool {
-        self.allotments.is_empty()
+        self.allocations.is_empty()
     }
 
-    /// Whether it holds under this assignment, for a team with this limit.
-    pub fn is_valid(&self, assignment: u64, limit: &Limit) -> bool {
-        self.assignment == assignment && self.limit == limit.amount() && !self.is_frozen()
+    /// Whether the record permits starts under this revision of the assignment, for a team with this limit.
+    pub fn is_valid(&self, assignment_revision: u64, limit: &TeamLimit) -> bool {
+        self.assignment_revision == assignment_revision
+            && self.limit == limit.as_amount()
+            && !self.is_frozen()
     }
 
-    /// What a controller's tasks may use.
-    pub fn of(&self, member: &str) -> Amount {
-        self.allotments.get(member).copied().unwrap_or_default()
+    /// What the tasks of the controller `member` may use; zero if it has no allocation.
+    pub fn allocation_of(&self, member: &str) -> ResourceAmount {
+        self.allocations.get(member).copied().unwrap_or_default()
+    }
+
+    /// Moves `amount` from one controller's allocation to another's. The sum of all allocations stays the
+    /// same as long as `from` has that much.
+    pub(crate) fn transfer(&mut self, from: &str, to: &str, amount: ResourceAmount) {
+        if amount.is_zero() || from == to {
+            return;
+        }
+        let reduced = self.allocation_of(from).saturating_sub(amount);
+        let increased = self.allocation_of(to).saturating_add(amount);
+        self.allocations.insert(from.to_owned(), reduced);
+        self.allocations.insert(to.to_owned(), increased);
     }
 }
--- /dev/null
+++ b/crates/rowanmill-limits/src/teams.rs
@@ -0,0 +1,81 @@
+//! Validation of the teams' limits and guarantees in the platform's settings.
+
+use crate::config::ConfigError;
+use crate::limit::TeamLimit;
+use std::collections::BTreeSet;
+
+/// CPUs and GPUs as the platform's settings give them, with 0 for none.
+#[derive(Debug, Clone, Copy)]
+pub struct SettingAmount {
+    /// CPUs.
+    pub cpus: f64,
+    /// GPUs.
+    pub gpus: f64,
+}
+
+/// A team's amounts in the platform's settings.
+#[derive(Debug, Clone, Copy)]
+pub struct TeamSettings<'a> {
+    /// The team.
+    pub name: &'a str,
+    /// What the team is guaranteed.
+    pub guarantee: SettingAmount,
+    /// The most that the team may use.
+    pub limit: SettingAmount,
+}
+
+/// The longest name of a team, in bytes: the key of its record takes up to three bytes for each of them.
+const MAX_NAME_BYTES: usize = 60;
+
+/// Checks that every team's limit can be divided and that its guarantee can be met; `shown_path` names the
+/// settings file in messages.
+///
+/// # Errors
+/// If a team's name is too long, empty or repeated, or an amount is invalid or contradicts another.
+pub fn validate_teams<'a>(
+    teams: impl Iterator<Item = TeamSettings<'a>>,
+    shown_path: &str,
+) -> Result<(), ConfigError> {
+    let mut names = BTreeSet::new();
+    for team in teams {
+        let mut problem = problem_with(&team);
+        if problem.is_none() && !names.insert(team.name) {
+            problem = Some("is named twice".to_owned());
+        }
+        if let Some(problem) = problem {
+            return Err(ConfigError::Invalid {
+                path: shown_path.to_owned(),
+                field: "params.teams",
+                reason: format!("team `{}` {problem}", team.name),
+            });
+        }
+    }
+    Ok(())
+}
+
+/// What is wrong with a team on its own, as the rest of a sentence that its name begins.
+fn problem_with(team: &TeamSettings) -> Option<String> {
+    if team.name.is_empty() || team.name.len() > MAX_NAME_BYTES {
+        return Some(format!("needs a name of 1 to {MAX_NAME_BYTES} bytes"));
+    }
+    let limit = match TeamLimit::from_settings(team.limit.cpus, team.limit.gpus) {
+        Ok(limit) => limit,
+        Err(error) => return Some(format!("has a limit of which {error}")),
+    };
+    let guarantee = match TeamLimit::from_settings(team.guarantee.cpus, team.guarantee.gpus) {
+        Ok(guarantee) => guarantee,
+        Err(error) => return Some(format!("has a guarantee of which {error}")),
+    };
+    if exceeds(guarantee.micro_cpus, limit.micro_cpus) {
+        return Some("is guaranteed more CPUs than its limit".to_owned());
+    }
+    if exceeds(guarantee.micro_gpus, limit.micro_gpus) {
+        return Some("is guaranteed more cards than its limit".to_owned());
+    }
+    None
+}
+
+/// Whether a guarantee of one resource is larger than its limit.
+fn exceeds(guarantee: Option<u64>, limit: Option<u64>) -> bool {
+    limit.is_some() && guarantee > limit
+}
--- a/crates/rowanmill-limits/src/transfer.rs
+++ b/crates/rowanmill-limits/src/transfer.rs
@@ -1,223 +1,291 @@
-//! What a controller gives to others of its allotment, and what it leaves for them to have.
+//! What a controller hands of its allocation to others, and how much of it it should use meanwhile. This
+//! only plans: a transfer takes effect when the changed record is written.
 
-use crate::amount::Amount;
+use crate::amount::ResourceAmount;
 use crate::config::LimitsConfig;
-use crate::demand::{MemberDemand, WaitingUnit, all_fits, targets};
-use crate::holder::TeamView;
-use crate::record::AllotmentRecord;
+use crate::demand::{MemberDemand, WaitingUnit, total_demand_fits};
+use crate::record::AllocationRecord;
+use crate::targets::allocation_targets;
+use crate::view::TeamView;
 
-/// Whether an amount is a step or more of any limited resource.
-fn reaches(amount: Amount, step: Amount) -> bool {
-    (step.cpus > 0 && amount.cpus >= step.cpus) || (step.cards > 0 && amount.cards >= step.cards)
+/// Whether `amount` has at least `step` of any limited resource.
+fn reaches_step(amount: ResourceAmount, step: ResourceAmount) -> bool {
+    (step.micro_cpus > 0 && amount.micro_cpus >= step.micro_cpus)
+        || (step.micro_gpus > 0 && amount.micro_gpus >= step.micro_gpus)
 }
 
-/// Whether less than a step is free of anything that is waited for.
-pub(crate) fn is_short(free: Amount, step: Amount, waiting: Amount) -> bool {
-    (waiting.cpus > 0 && free.cpus < step.cpus) || (waiting.cards > 0 && free.cards < step.cards)
+/// Whether less than `step` is free of any resource that waiting work needs.
+fn is_constrained(free: ResourceAmount, step: ResourceAmount, waiting: ResourceAmount) -> bool {
+    (waiting.micro_cpus > 0 && free.micro_cpus < step.micro_cpus)
+        || (waiting.micro_gpus > 0 && free.micro_gpus < step.micro_gpus)
 }
 
-/// One controller beside another, as far as a transfer goes.
-struct Receiver<'a> {
+/// What a controller's allocation leaves beside what its tasks use, by the records.
+fn free_at(record: &AllocationRecord, demand: &MemberDemand) -> ResourceAmount {
+    record
+        .allocation_of(&demand.member)
+        .saturating_sub(demand.used)
+}
+
+/// Another controller that should have more than its allocation.
+struct Recipient<'a> {
     demand: &'a MemberDemand,
-    lack: Amount,
-    /// Its oldest waiting job does not fit beside what runs there.
+    shortfall: ResourceAmount,
+    /// Its oldest waiting unit does not fit into what its allocation leaves.
     is_blocked: bool,
 }
 
-/// What each controller has and should have.
-pub(crate) struct Parts<'a> {
-    pub record: &'a AllotmentRecord,
-    pub me: &'a str,
+/// Another controller that may have what is too little here for the oldest waiting unit.
+struct RemainderRecipient<'a> {
+    demand: &'a MemberDemand,
+    shortfall: ResourceAmount,
+}
+
+/// One controller's allocation of a team beside what it and the others should have.
+pub(crate) struct TransferPlan<'a> {
+    record: &'a AllocationRecord,
+    members: &'a [MemberDemand],
+    /// The controller that plans.
+    member: &'a str,
     /// Less than this is not worth a change of the record.
-    pub step: Amount,
-    target: Amount,
-    /// A gang of its own waits for the limit.
-    pub collects: bool,
-    /// What its oldest waiting job takes to start, and what all its waiting tasks would use.
-    unit: Amount,
-    pub waiting: Amount,
-    receivers: Vec<Receiver<'a>>,
-    /// Who may have what is too little here for the oldest waiting job, and how much of it.
-    remainder_for: Option<(&'a MemberDemand, Amount)>,
+    step: ResourceAmount,
+    /// What the controller's allocation should come to.
+    target: ResourceAmount,
+    /// A gang of the controller's own waits for the limit and accumulates headroom.
+    accumulates_for_gang: bool,
+    /// What the controller's oldest waiting unit needs to start.
+    oldest_need: ResourceAmount,
+    /// What all its waiting tasks would use.
+    waiting: ResourceAmount,
+    /// In the order of their oldest waiting units.
+    recipients: Vec<Recipient<'a>>,
+    remainder_recipient: Option<RemainderRecipient<'a>>,
 }
 
-impl<'a> Parts<'a> {
+impl<'a> TransferPlan<'a> {
+    /// Compares the allocations in `record` with the targets that follow from the team's demand.
     pub fn new(
         config: &LimitsConfig,
         view: &TeamView<'a>,
-        record: &'a AllotmentRecord,
-        me: &'a str,
+        record: &'a AllocationRecord,
+        member: &'a str,
     ) -> Self {
-        let step = config.step_of(record.limit);
-        let targets = targets(record.limit, view.members);
-        let mine = view.members.iter().position(|m| m.member == *me);
-        let target = mine.map_or(Amount::ZERO, |at| targets[at]);
-        let oldest = mine.and_then(|at| view.members[at].oldest.as_ref());
-        let collects = oldest.is_some_and(|unit| unit.is_gang);
-        let others = view.members.iter().zip(targets);
-        let others = others.filter(|(demand, _)| demand.member != *me);
-        let all_fits = all_fits(record.limit, view.members);
-        let mut receivers: Vec<Receiver> = others
-            .filter_map(|(demand, target)| receiver(record, step, all_fits, demand, target))
-            .collect();
-        receivers.sort_by(|a, b| a.demand.oldest.cmp(&b.demand.oldest));
+        let members = view.members;
+        let targets = allocation_targets(record.limit, members);
+        let own_index = members.iter().position(|demand| demand.member == *member);
+        let own = own_index.map(|index| &members[index]);
+        let oldest = own.and_then(|demand| demand.oldest.as_ref());
+        let step = config.min_transfer(record.limit);
         Self {
             record,
-            me,
+            members,
+            member,
             step,
-            target,
-            collects,
-            unit: oldest.map_or(Amount::ZERO, |unit| unit.need),
-            waiting: mine.map_or(Amount::ZERO, |at| view.members[at].waiting),
-            receivers,
-            remainder_for: remainder_receiver(record, view.members),
+            target: own_index.map_or(ResourceAmount::ZERO, |index| targets[index]),
+            accumulates_for_gang: oldest.is_some_and(|unit| unit.is_gang),
+            oldest_need: oldest.map_or(ResourceAmount::ZERO, |unit| unit.need),
+            waiting: own.map_or(ResourceAmount::ZERO, |demand| demand.waiting),
+            recipients: recipients(record, step, members, targets, member),
+            remainder_recipient: remainder_recipient(record, members),
         }
     }
 
-    /// It needs no more than it uses and a step beyond, or what its oldest job takes. Whoever uses what it
-    /// has and waits for more may have an equal part of the rest, whatever it should have otherwise.
-    pub fn leave_idle(&mut self, charged: Amount, members: &'a [MemberDemand]) {
-        let kept = charged.plus(self.step.most(self.unit));
-        self.target = self.target.least(kept);
-        let spare = self.record.of(self.me).minus(kept);
-        let held_up = |demand: &&MemberDemand| {
-            let free = self.record.of(&demand.member).minus(demand.used);
-            let is_short = is_short(free, self.step, demand.waiting);
-            demand.member != self.me && is_short && !demand.waiting.fits(free)
-        };
-        let held_up: Vec<&MemberDemand> = members.iter().filter(held_up).collect();
-        let count = held_up.len().max(1) as u64;
-        let each = spare.zip(spare, |spare, _| spare / count);
-        for demand in held_up {
-            let free = self.record.of(&demand.member).minus(demand.used);
-            let lack = demand.waiting.minus(free).least(each);
-            let known = self
-                .receivers
-                .iter_mut()
-                .find(|r| r.demand.member == demand.member);
-            match known {
-                Some(receiver) => receiver.lack = receiver.lack.most(lack),
-                None => self.receivers.push(Receiver {
-                    demand,
-                    lack,
-                    is_blocked: false,
-                }),
+    /// The controller that plans.
+    pub fn member(&self) -> &'a str {
+        self.member
+    }
+
+    fn own_allocation(&self) -> ResourceAmount {
+        self.record.allocation_of(self.member)
+    }
+
+    /// Whether the controller has headroom beside `charged` that its waiting work does not use, because that
+    /// waits for machines and not for the limit. What a gang accumulates is not idle.
+    pub fn has_idle_headroom(&self, charged: ResourceAmount) -> bool {
+        let spare = self.own_allocation().saturating_sub(charged);
+        !self.accumulates_for_gang && !is_constrained(spare, self.step, self.waiting)
+    }
+
+    /// Lowers the target to what is in use and one step, or what the oldest waiting unit needs. Controllers
+    /// that use what they have and wait for more may have an equal share of the rest, whatever their targets
+    /// are.
+    pub fn release_idle_headroom(&mut self, charged: ResourceAmount) {
+        let retained = charged.saturating_add(self.step.componentwise_max(self.oldest_need));
+        self.target = self.target.componentwise_min(retained);
+        let released = self.own_allocation().saturating_sub(retained);
+        let constrained: Vec<&MemberDemand> = self
+            .members
+            .iter()
+            .filter(|demand| demand.member != self.member && self.waits_for_allocation(demand))
+            .collect();
+        let count = constrained.len().max(1) as u64;
+        let share = released.zip_with(released, |units, _| units / count);
+        for demand in constrained {
+            let free = free_at(self.record, demand);
+            let shortfall = demand.waiting.saturating_sub(free).componentwise_min(share);
+            self.raise_shortfall(demand, shortfall);
+        }
+    }
+
+    fn waits_for_allocation(&self, demand: &MemberDemand) -> bool {
+        let free = free_at(self.record, demand);
+        is_constrained(free, self.step, demand.waiting) && !demand.waiting.fits_within(free)
+    }
+
+    fn raise_shortfall(&mut self, demand: &'a MemberDemand, shortfall: ResourceAmount) {
+        let known = self
+            .recipients
+            .iter_mut()
+            .find(|recipient| recipient.demand.member == demand.member);
+        match known {
+            Some(recipient) => {
+                recipient.shortfall = recipient.shortfall.componentwise_max(shortfall);
             }
+            None => self.recipients.push(Recipient {
+                demand,
+                shortfall,
+                is_blocked: false,
+            }),
         }
     }
 
-    /// While another is held up, no more than its own part, so that what ends is there to be given.
-    pub fn most_to_use(&self) -> Amount {
-        if self.receivers.is_empty() {
+    /// The most that the controller should use now. While another is held up that is its target, so that
+    /// what its ending tasks free can be handed on.
+    pub fn usage_cap(&self) -> ResourceAmount {
+        if self.recipients.is_empty() {
             return self.record.limit;
         }
-        match self.receivers.iter().any(|r| r.is_blocked) {
-            true => self.target,
-            false => self.target.plus(self.step),
+        if self.recipients.iter().any(|recipient| recipient.is_blocked) {
+            return self.target;
         }
+        self.target.saturating_add(self.step)
     }
 
-    /// The record after it gave what it neither uses nor should have to those who lack it, in the order
-    /// of their oldest waiting jobs.
-    pub fn transfer(&self, charged: Amount) -> Option<AllotmentRecord> {
+    /// The record after the controller handed what it neither uses nor should have to the recipients, in the
+    /// order of their oldest waiting units; `None` if nothing is worth a transfer.
+    pub fn apply(&self, charged: ResourceAmount) -> Option<AllocationRecord> {
         let mut record = self.record.clone();
-        if let Some((demand, lack)) = self.remainder_for {
-            let part = lack.least(self.remainder(charged));
-            give(&mut record, self.me, &demand.member, part);
+        if let Some(recipient) = &self.remainder_recipient {
+            let amount = recipient
+                .shortfall
+                .componentwise_min(self.unusable_remainder(charged));
+            record.transfer(self.member, &recipient.demand.member, amount);
         }
-        for receiver in &self.receivers {
-            let spare = record.of(self.me).minus(charged.most(self.target));
-            let part = receiver.lack.least(spare);
-            if !part.is_zero() && self.is_worth(receiver, part) {
-                give(&mut record, self.me, &receiver.demand.member, part);
+        for recipient in &self.recipients {
+            let spare = record
+                .allocation_of(self.member)
+                .saturating_sub(charged.componentwise_max(self.target));
+            let amount = recipient.shortfall.componentwise_min(spare);
+            if !amount.is_zero() && self.is_worth_transfer(recipient, amount) {
+                record.transfer(self.member, &recipient.demand.member, amount);
             }
         }
         (record != *self.record).then_some(record)
     }
 
-    /// What it has free, if that is too little for its own oldest waiting job. A gang collects it.
-    fn remainder(&self, charged: Amount) -> Amount {
-        let free = self.record.of(self.me).minus(charged);
-        match self.collects || self.unit.fits(free) {
-            true => Amount::ZERO,
-            false => free,
+    /// What the controller has free, if that is too little for its own oldest waiting unit. For a gang it is
+    /// accumulated instead.
+    fn unusable_remainder(&self, charged: ResourceAmount) -> ResourceAmount {
+        let free = self.own_allocation().saturating_sub(charged);
+        if self.accumulates_for_gang || self.oldest_need.fits_within(free) {
+            return ResourceAmount::ZERO;
         }
+        free
     }
 
-    /// All that is lacked or a whole step of it. Anything for one whose oldest job cannot start: several
-    /// may have a little too much each, which only together is enough.
-    fn is_worth(&self, receiver: &Receiver, part: Amount) -> bool {
-        let enough = |lack: u64, step: u64, part: u64| part > 0 && part >= lack.min(step.max(1));
-        receiver.is_blocked
-            || enough(receiver.lack.cpus, self.step.cpus, part.cpus)
-            || enough(receiver.lack.cards, self.step.cards, part.cards)
+    /// Whether `amount` covers the recipient's shortfall or a whole step of it. Any amount is worth it for a
+    /// blocked recipient: several controllers may each have too little for its unit that is enough together.
+    fn is_worth_transfer(&self, recipient: &Recipient, amount: ResourceAmount) -> bool {
+        let is_enough = |shortfall: u64, step: u64, units: u64| {
+            units > 0 && units >= shortfall.min(step.max(1))
+        };
+        let ResourceAmount {
+            micro_cpus,
+            micro_gpus,
+        } = recipient.shortfall;
+        recipient.is_blocked
+            || is_enough(micro_cpus, self.step.micro_cpus, amount.micro_cpus)
+            || is_enough(micro_gpus, self.step.micro_gpus, amount.micro_gpus)
     }
 }
 
-/// A controller that its allotment holds up and that should have more.
-fn receiver<'a>(
-    record: &AllotmentRecord,
-    step: Amount,
-    all_fits: bool,
+/// The controllers besides `member` that should have more, in the order of their oldest waiting units.
+fn recipients<'a>(
+    record: &AllocationRecord,
+    step: ResourceAmount,
+    members: &'a [MemberDemand],
+    targets: Vec<ResourceAmount>,
+    member: &str,
+) -> Vec<Recipient<'a>> {
+    let demand_fits = total_demand_fits(record.limit, members);
+    let mut recipients: Vec<Recipient> = members
+        .iter()
+        .zip(targets)
+        .filter(|(demand, _)| demand.member != member)
+        .filter_map(|(demand, target)| recipient(record, step, demand_fits, demand, target))
+        .collect();
+    recipients.sort_by(|a, b| a.demand.oldest.cmp(&b.demand.oldest));
+    recipients
+}
+
+/// The controller of `demand` as a recipient, if its allocation holds it up and it should have more.
+/// `demand_fits`: the limit is enough for the demand of all controllers.
+fn recipient<'a>(
+    record: &AllocationRecord,
+    step: ResourceAmount,
+    demand_fits: bool,
     demand: &'a MemberDemand,
-    target: Amount,
-) -> Option<Receiver<'a>> {
-    let has = record.of(&demand.member);
-    let lack = target.minus(has);
-    let free = has.minus(demand.used);
-    let blocked = |oldest: &WaitingUnit| !oldest.need.fits(free);
-    let is_blocked = demand.oldest.as_ref().is_some_and(blocked);
-    // What has room and waits all the same waits for machines.
-    let uses_its_own = is_short(free, step, demand.waiting);
-    let waits_for_more = !demand.waiting.fits(free);
-    // Nobody goes short where all that is wanted fits.
-    let is_worth_it = all_fits || (uses_its_own && reaches(lack, step));
-    let is_held_up = is_blocked || (waits_for_more && is_worth_it);
-    // What does not let its oldest job start would be of no use there.
-    let helps = |oldest: &WaitingUnit| oldest.need.fits(free.plus(lack));
-    let is_helped = demand.oldest.as_ref().is_none_or(helps);
-    (is_held_up && is_helped && !lack.is_zero()).then_some(Receiver {
+    target: ResourceAmount,
+) -> Option<Recipient<'a>> {
+    let shortfall = target.saturating_sub(record.allocation_of(&demand.member));
+    let free = free_at(record, demand);
+    let is_blocked = |oldest: &WaitingUnit| !oldest.need.fits_within(free);
+    let is_blocked = demand.oldest.as_ref().is_some_and(is_blocked);
+    // Work that waits beside free headroom waits for machines.
+    let uses_its_allocation = is_constrained(free, step, demand.waiting);
+    let waits_for_more = !demand.waiting.fits_within(free);
+    // Where all demand fits, no controller loses by a transfer.
+    let is_worthwhile = demand_fits || (uses_its_allocation && reaches_step(shortfall, step));
+    let is_held_up = is_blocked || (waits_for_more && is_worthwhile);
+    // An amount with which its oldest unit still cannot start would be of no use there.
+    let enables = |oldest: &WaitingUnit| oldest.need.fits_within(free.saturating_add(shortfall));
+    let enables_oldest = demand.oldest.as_ref().is_none_or(enables);
+    (is_held_up && enables_oldest && !shortfall.is_zero()).then_some(Recipient {
         demand,
-        lack,
+        shortfall,
         is_blocked,
     })
 }
 
-/// Moves a part of one controller's allotment to another.
-fn give(record: &mut AllotmentRecord, from: &str, to: &str, part: Amount) {
-    if part.is_zero() || from == to {
-        return;
-    }
-    let left = record.of(from).minus(part);
-    let grown = record.of(to).plus(part);
-    record.allotments.insert(from.to_owned(), left);
-    record.allotments.insert(to.to_owned(), grown);
-}
-
-/// Of the controllers whose oldest waiting job does not fit what they have left, the first in the order of
-/// these jobs that could start with what all of them have left together, and what it lacks. Where each
-/// kept its own, a limit of eight CPUs over three controllers let seven tasks of one CPU run.
-fn remainder_receiver<'a>(
-    record: &AllotmentRecord,
+/// Of the controllers whose oldest waiting unit does not fit into what they have left, the first in the order
+/// of these units that could start with what all of them have left together. If each kept its own remainder,
+/// a limit of eight CPUs over three controllers would let only seven tasks of one CPU run.
+fn remainder_recipient<'a>(
+    record: &AllocationRecord,
     members: &'a [MemberDemand],
-) -> Option<(&'a MemberDemand, Amount)> {
-    let free = |member: &MemberDemand| record.of(&member.member).minus(member.used);
-    let blocked = members.iter().filter_map(|member| {
-        let unit = member.oldest.as_ref()?;
-        (!unit.need.fits(free(member))).then_some((unit, member))
-    });
-    let mut blocked: Vec<(&WaitingUnit, &MemberDemand)> = blocked.collect();
+) -> Option<RemainderRecipient<'a>> {
+    let mut blocked: Vec<(&WaitingUnit, &MemberDemand)> = members
+        .iter()
+        .filter_map(|demand| Some((demand.oldest.as_ref()?, demand)))
+        .filter(|(unit, demand)| !unit.need.fits_within(free_at(record, demand)))
+        .collect();
     blocked.sort_by_key(|(unit, _)| *unit);
-    let remainders = blocked.iter().filter(|(unit, _)| !unit.is_gang);
-    let all: Amount = remainders.map(|(_, member)| free(member)).sum();
-    let mut blocked = blocked.into_iter();
-    let (unit, member) = blocked.find(|(unit, member)| {
+    let remainders: ResourceAmount = blocked
+        .iter()
+        .filter(|(unit, _)| !unit.is_gang)
+        .map(|(_, demand)| free_at(record, demand))
+        .sum();
+    let can_start = |(unit, demand): &(&WaitingUnit, &MemberDemand)| {
         let own = if unit.is_gang {
-            free(member)
+            free_at(record, demand)
         } else {
-            Amount::ZERO
+            ResourceAmount::ZERO
         };
-        unit.need.fits(all.plus(own))
-    })?;
-    Some((member, unit.need.minus(free(member))))
+        unit.need.fits_within(remainders.saturating_add(own))
+    };
+    let (unit, demand) = blocked.into_iter().find(can_start)?;
+    Some(RemainderRecipient {
+        demand,
+        shortfall: unit.need.saturating_sub(free_at(record, demand)),
+    })
 }
--- a/crates/rowanmill-limits/tests/config.rs
+++ b/crates/rowanmill-limits/tests/config.rs
@@ -1,10 +1,10 @@
-//! Files and settings that are refused, by name.
+//! Invalid files and settings are refused with a message that names the field.
 
 use rowanmill_limits::LimitsConfig;
-use rowanmill_limits::config::{TeamAmounts, check_teams};
+use rowanmill_limits::teams::{SettingAmount, TeamSettings, validate_teams};
 
 #[test]
-fn what_is_left_out_is_the_default_and_what_is_wrong_is_named() {
+fn omitted_fields_are_defaults_and_invalid_ones_are_named() {
     assert_eq!(
         LimitsConfig::parse("{}", "f").unwrap(),
         LimitsConfig::default()
@@ -21,31 +21,36 @@
 }
 
 #[test]
-fn teams_whose_amounts_cannot_be_are_named() {
-    let team = |name, guarantee, limit| TeamAmounts {
+fn invalid_teams_are_named() {
+    let amount = |(cpus, gpus)| SettingAmount { cpus, gpus };
+    let team = |name, guarantee, limit| TeamSettings {
         name,
-        guarantee,
-        limit,
+        guarantee: amount(guarantee),
+        limit: amount(limit),
     };
-    let fine = [
+    let valid = [
         team("a", (1.0, 0.0), (2.0, 0.0)),
         team("b", (9.0, 0.0), (0.0, 0.0)),
     ];
-    assert!(check_teams(fine.into_iter(), "f").is_ok());
-    let long = "x".repeat(61);
-    let bad = [
+    assert!(validate_teams(valid.into_iter(), "f").is_ok());
+    let too_long = "x".repeat(61);
+    let invalid = [
         vec![team("a", (3.0, 0.0), (2.0, 0.0))],
         vec![team("a", (0.0, 2.0), (0.0, 1.0))],
         vec![team("a", (0.0, 0.0), (f64::INFINITY, 0.0))],
         vec![team("a", (-1.0, 0.0), (0.0, 0.0))],
         vec![team("a", (0.0, 0.0), (1e9, 0.0))],
         vec![team("", (0.0, 0.0), (1.0, 0.0))],
-        vec![team(&long, (0.0, 0.0), (1.0, 0.0))],
+        vec![team(&too_long, (0.0, 0.0), (1.0, 0.0))],
         vec![
             team("a", (0.0, 0.0), (1.0, 0.0)),
             team("a", (0.0, 0.0), (1.0, 0.0)),
         ],
     ];
-    let messages = bad.map(|teams| check_teams(teams.into_iter(), "f").unwrap_err().to_string());
+    let messages = invalid.map(|teams| {
+        validate_teams(teams.into_iter(), "f")
+            .unwrap_err()
+            .to_string()
+    });
     insta::assert_snapshot!(messages.join("\n"));
 }
--- a/crates/rowanmill-limits/tests/records.rs
+++ b/crates/rowanmill-limits/tests/records.rs
@@ -1,22 +1,25 @@
-//! The record of a team's allotments and its part of a key as text, which no later change of names may
-//! alter.
+//! The record of a team's quota allocations and the encoding of its name in keys, as text that no change of
+//! names may alter.
 
-use rowanmill_limits::record::{key_part, team_of};
-use rowanmill_limits::{AllotmentRecord, Amount, WaitingUnit};
+use rowanmill_limits::key::{decode_team, encode_team};
+use rowanmill_limits::{AllocationRecord, ResourceAmount, WaitingUnit};
 
-const LIMIT: Amount = Amount {
-    cpus: 64_000_000,
-    cards: 8_000_000,
+const LIMIT: ResourceAmount = ResourceAmount {
+    micro_cpus: 64_000_000,
+    micro_gpus: 8_000_000,
 };
 
 #[test]
-fn allotment_records_keep_their_json() {
-    let frozen = AllotmentRecord::frozen(31, LIMIT);
-    let part = |cpus, cards| Amount { cpus, cards };
-    let divided = AllotmentRecord {
-        allotments: [
-            ("millstone-0".to_owned(), part(48_000_000, 8_000_000)),
-            ("millstone-1".to_owned(), part(16_000_000, 0)),
+fn allocation_records_keep_their_json() {
+    let frozen = AllocationRecord::frozen(31, LIMIT);
+    let amount = |micro_cpus, micro_gpus| ResourceAmount {
+        micro_cpus,
+        micro_gpus,
+    };
+    let divided = AllocationRecord {
+        allocations: [
+            ("millstone-0".to_owned(), amount(48_000_000, 8_000_000)),
+            ("millstone-1".to_owned(), amount(16_000_000, 0)),
         ]
         .into(),
         ..frozen.clone()
@@ -24,7 +27,7 @@
     let mut trace = String::new();
     for (form, record) in [("frozen", frozen), ("divided", divided)] {
         let json = serde_json::to_string(&record).unwrap();
-        assert_eq!(AllotmentRecord::parse(&json).unwrap(), record, "{form}");
+        assert_eq!(AllocationRecord::parse(&json).unwrap(), record, "{form}");
         trace.push_str(&format!("# {form}\n{json}\n"));
     }
     insta::assert_snapshot!("allotment_record", trace);
@@ -48,12 +51,12 @@
 }
 
 #[test]
-fn team_names_keep_their_part_of_a_key() {
+fn team_names_keep_their_encoding_in_keys() {
     let mut trace = String::new();
     for team in ["film", "Ö l/~ 1.a_B-", ""] {
-        let part = key_part(team);
-        assert_eq!(team_of(&part).as_deref(), Some(team));
-        trace.push_str(&format!("{team:?}: {part}\n"));
+        let encoded = encode_team(team);
+        assert_eq!(decode_team(&encoded).as_deref(), Some(team));
+        trace.push_str(&format!("{team:?}: {encoded}\n"));
     }
     insta::assert_snapshot!("team_in_a_key", trace);
 }
--- a/crates/rowanmill-limits/tests/schedules.rs
+++ b/crates/rowanmill-limits/tests/schedules.rs
@@ -1,32 +1,32 @@
-//! Schedules of several controllers over one team's limit: seeded ones, and one for each guard that only
-//! a rare order of events needs.
+//! Schedules of several controllers over one team's limit: seeded ones, and a scripted one for each safeguard
+//! that only a rare order of events needs.
 
 mod model;
 
-use model::{CONTROLLERS, Fate, Model, Without};
+use model::{CONTROLLERS, Model, Omission, Outcome};
 
-/// Schedules that CI plays; `more_schedules` plays many more.
+/// Schedules that CI runs; `more_schedules` runs many more.
 const SCHEDULES: u64 = 2000;
 const STEPS: usize = 400;
-/// Rounds after the last trouble within which all that waits has started: each round ends one task, there
-/// are at most 19 jobs of 12 tasks, and a transfer or a division takes a few rounds.
-const ROUNDS: usize = 19 * 12 + 60;
+/// Rounds after the last fault within which all that waits has started: each round ends one task, there are
+/// at most 19 jobs of 12 tasks, and a transfer or an allocation takes a few rounds.
+const MAX_ROUNDS: usize = 19 * 12 + 60;
 
-/// Rounds, of a tenth of a second each, within which a free slot is used: a division, or several transfers
-/// of half a second each at most, and a reading between any two of them.
-const IDLE_ROUNDS: usize = 12;
+/// Rounds, of a tenth of a second each, within which a free slot is used: an allocation, or several transfers
+/// of half a second each at most, and a read between any two of them.
+const MAX_IDLE_ROUNDS: usize = 12;
 
-fn play(seeds: std::ops::Range<u64>) {
+fn run_schedules(seeds: std::ops::Range<u64>) {
     let (mut starts, mut transfers, mut longest_idle) = (0, 0, 0);
     for seed in seeds {
-        let mut model = Model::new(seed, Without::Nothing);
+        let mut model = Model::new(seed, Omission::Nothing);
         model.run(STEPS);
         model.recover();
-        let all_started = model.rounds(ROUNDS, true);
+        let all_started = model.run_rounds(MAX_ROUNDS, true);
         assert_eq!(model.overshoots, Vec::<String>::new(), "seed {seed}");
         assert!(all_started, "seed {seed}: work waits beside a free limit");
         assert!(
-            model.longest_idle <= IDLE_ROUNDS,
+            model.longest_idle <= MAX_IDLE_ROUNDS,
             "seed {seed}: a slot was free for {} rounds",
             model.longest_idle
         );
@@ -35,128 +35,137 @@
         transfers += model.transfers;
     }
     println!("{starts} starts, {transfers} transfers, a slot free for {longest_idle} rounds");
-    assert!(starts > 0 && transfers > 0, "the schedules do something");
+    assert!(
+        starts > 0 && transfers > 0,
+        "the schedules start and transfer"
+    );
 }
 
 #[test]
 fn no_order_of_events_puts_a_team_over_its_limit() {
-    play(0..SCHEDULES);
+    run_schedules(0..SCHEDULES);
 }
 
 /// Outside CI: `cargo test --release -p rowanmill-limits -- --ignored more_schedules`.
 #[test]
 #[ignore = "longer search"]
 fn more_schedules() {
-    play(SCHEDULES..100_000);
+    run_schedules(SCHEDULES..100_000);
 }
 
-/// The checker and the schedules are worth something only if they see each guard missing.
+/// The schedules and their check are worth something only if they detect that a safeguard is missing.
 #[test]
-fn seeded_schedules_miss_each_common_guard() {
-    let guards = [
-        Without::RecordGuard,
-        Without::Unanswered,
-        Without::ReadBeforeSettling,
-        Without::ReadBeforeDividing,
+fn seeded_schedules_detect_each_commonly_needed_safeguard_missing() {
+    let safeguards = [
+        Omission::RecordPrecondition,
+        Omission::InDoubtStarts,
+        Omission::ReadBeforeResolving,
+        Omission::ReadBeforeAllocating,
     ];
-    let broken = |without: Without| {
+    let count_broken = |omission: Omission| {
         let overshoots = |seed: &u64| {
-            let mut model = Model::new(*seed, without);
+            let mut model = Model::new(*seed, omission);
             model.run(STEPS);
             !model.overshoots.is_empty()
         };
         (0..SCHEDULES).filter(overshoots).count()
     };
-    let broken: Vec<_> = guards.iter().map(|guard| (guard, broken(*guard))).collect();
+    let broken: Vec<_> = safeguards
+        .iter()
+        .map(|omission| (omission, count_broken(*omission)))
+        .collect();
     println!("of {SCHEDULES} schedules: {broken:?}");
     assert!(broken.iter().all(|(_, count)| *count > 0), "{broken:?}");
 }
 
-/// What `Model::of_small_tasks` allows, and each controller's part of it.
+/// The limit of `Model::with_small_tasks` in CPUs, and each controller's equal share of it.
 const LIMIT: u64 = 12;
-const EACH: u64 = LIMIT / CONTROLLERS as u64;
+const SHARE: u64 = LIMIT / CONTROLLERS as u64;
 
-fn start_each(model: &mut Model, tasks: u64) {
-    for at in 0..CONTROLLERS {
-        (0..tasks).for_each(|_| model.start(at));
-    }
+fn start_tasks(model: &mut Model, controller: usize, tasks: u64) {
+    (0..tasks).for_each(|_| model.start(controller));
+}
+
+fn start_tasks_at_each(model: &mut Model, tasks: u64) {
+    (0..CONTROLLERS).for_each(|controller| start_tasks(model, controller, tasks));
 }
 
-/// A start on its way while another controller leaves: the leader has read what is in use, the start
-/// comes, and the limit is divided. Whether the limit was overshot.
-fn start_amid_a_change_of_controllers(without: Without) -> bool {
-    let mut model = Model::of_small_tasks(without);
-    start_each(&mut model, EACH - 1);
-    (0..2).for_each(|at| model.start(at));
-    model.fate = Some(Fate::Late);
+/// A start is delayed while its controller leaves: the leader has read what is in use, then the start is
+/// applied, and the limit is divided. Returns whether the limit was overshot.
+fn overshoots_on_delayed_start_of_leaving_controller(omission: Omission) -> bool {
+    let mut model = Model::with_small_tasks(omission);
+    start_tasks_at_each(&mut model, SHARE - 1);
+    (0..2).for_each(|controller| model.start(controller));
+    model.outcome = Some(Outcome::Delayed);
     model.start(2);
-    model.fate = Some(Fate::Answered);
+    model.outcome = Some(Outcome::Answered);
     assert_eq!(model.cpus_in_use(), LIMIT - 1);
-    model.end(2);
+    model.end_controller(2);
     model.read(0);
     model.lead(0);
     model.read(0);
-    model.deliver_late();
+    model.deliver_delayed();
     model.lead(0);
-    model.rounds(20, false);
+    model.run_rounds(20, false);
     assert!(model.cpus_in_use() >= LIMIT - 1, "the limit is used");
     !model.overshoots.is_empty()
 }
 
 #[test]
-fn a_start_under_an_assignment_that_is_over_fails() {
-    assert!(!start_amid_a_change_of_controllers(Without::Nothing));
-    assert!(start_amid_a_change_of_controllers(Without::AssignmentGuard));
+fn a_start_under_a_superseded_assignment_fails() {
+    let overshoots = overshoots_on_delayed_start_of_leaving_controller;
+    assert!(!overshoots(Omission::Nothing));
+    assert!(overshoots(Omission::AssignmentPrecondition));
 }
 
-/// A controller that has not heard of a lower limit starts a task after the leader has read what is in
-/// use. Whether the lower limit was overshot.
-fn start_amid_a_lower_limit(without: Without) -> bool {
-    let mut model = Model::of_small_tasks(without);
-    start_each(&mut model, EACH - 2);
-    model.set_cpus(LIMIT - 2);
+/// A controller that has not read a lowered limit starts a task after the leader has read what is in use.
+/// Returns whether the lowered limit was overshot.
+fn overshoots_on_lowered_limit(omission: Omission) -> bool {
+    let mut model = Model::with_small_tasks(omission);
+    start_tasks_at_each(&mut model, SHARE - 2);
+    model.set_limit_cpus(LIMIT - 2);
     model.read(0);
-    for at in [1, 1, 2, 2] {
-        model.start(at);
+    for controller in [1, 1, 2, 2] {
+        model.start(controller);
     }
     assert_eq!(model.cpus_in_use(), LIMIT - 2);
     model.lead(0);
-    model.rounds(20, false);
+    model.run_rounds(20, false);
     !model.overshoots.is_empty()
 }
 
 #[test]
 fn a_limit_is_lowered_without_an_overshoot() {
-    assert!(!start_amid_a_lower_limit(Without::Nothing));
-    assert!(start_amid_a_lower_limit(Without::Freeze));
+    assert!(!overshoots_on_lowered_limit(Omission::Nothing));
+    assert!(overshoots_on_lowered_limit(Omission::Freeze));
 }
 
-/// A controller with little work gives away a part of its own and gets no answer. More work comes to it,
-/// is started in that part, and the rest of it is cancelled; then the transfer comes. Whether the limit
-/// was overshot.
-fn late_transfer(without: Without) -> bool {
-    let mut model = Model::of_small_tasks(without);
-    for at in [1, 2] {
-        (0..EACH).for_each(|_| model.start(at));
+/// A controller with little work transfers a part of its allocation and gets no answer. More work is
+/// submitted to it and started in that part, and the rest of the work is cancelled; then the transfer is
+/// applied. Returns whether the limit was overshot.
+fn overshoots_on_delayed_transfer(omission: Omission) -> bool {
+    let mut model = Model::with_small_tasks(omission);
+    for controller in [1, 2] {
+        start_tasks(&mut model, controller, SHARE);
     }
     model.set_waiting(0, 1);
     model.set_waiting(3, 0);
     model.read(0);
-    model.fate = Some(Fate::Late);
+    model.outcome = Some(Outcome::Delayed);
     model.change(0);
-    model.fate = Some(Fate::Answered);
+    model.outcome = Some(Outcome::Answered);
     model.set_waiting(0, 20);
     model.read(0);
-    (0..EACH).for_each(|_| model.start(0));
+    start_tasks(&mut model, 0, SHARE);
     model.set_waiting(0, 0);
-    assert!(model.deliver_late(), "the transfer is carried out");
-    model.rounds(20, false);
+    assert!(model.deliver_delayed(), "the transfer is applied");
+    model.run_rounds(20, false);
     assert!(model.cpus_in_use() >= LIMIT - 1, "the limit is used");
     !model.overshoots.is_empty()
 }
 
 #[test]
-fn what_is_given_away_without_an_answer_is_not_used() {
-    assert!(!late_transfer(Without::Nothing));
-    assert!(late_transfer(Without::UnansweredTransfers));
+fn a_transfer_in_doubt_stays_charged() {
+    assert!(!overshoots_on_delayed_transfer(Omission::Nothing));
+    assert!(overshoots_on_delayed_transfer(Omission::InDoubtTransfers));
 }
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -11,7 +11,7 @@
 use crate::settings::Team;
 use crate::state::{Guard, Op, TxnError, final_key, job_key};
 use hyper::StatusCode;
-use rowanmill_limits::{Amount, Limit};
+use rowanmill_limits::{ResourceAmount, TeamLimit};
 use rowanmill_state::Need;
 use serde::Serialize;
 use std::collections::BTreeSet;
@@ -435,9 +435,10 @@
 /// counted: what is accepted must be able to start.
 fn may_ever_start(team: &Team, spec: &JobSpec) -> bool {
     let at_once = if spec.is_gang() { spec.tasks } else { 1 };
-    let limit = Limit::of_settings(team.cpus_max, team.gpus_max).unwrap_or_default();
-    let amount = Amount::of_tasks(spec.cpus, spec.gpus, at_once);
-    !limit.is_limited() || amount.is_ok_and(|amount| limit.counted(amount).fits(limit.amount()))
+    let limit = TeamLimit::from_settings(team.cpus_max, team.gpus_max).unwrap_or_default();
+    let amount = ResourceAmount::for_tasks(spec.cpus, spec.gpus, at_once);
+    !limit.is_limited()
+        || amount.is_ok_and(|amount| limit.limited_part_of(amount).fits_within(limit.as_amount()))
 }
 
 /// Whether a job whose tasks must not all be in one zone may use two.
--- a/src/client/limits.rs
+++ b/src/client/limits.rs
@@ -2,7 +2,7 @@
 //! during a takeover too.
 
 use super::{ClientError, Output, SHARE, line};
-use crate::limits::{self, TeamLimits};
+use crate::limits::{self, TeamQuotas};
 use crate::node::Core;
 use crate::settings::Settings;
 use crate::state::{LIVE, StateClient, final_key};
@@ -62,14 +62,14 @@
         if core.replica.assignment.is_none() {
             return Err(ClientError::NoAssignment);
         }
-        core.limits = TeamLimits::of_settings(LimitsConfig::default(), &self.settings);
-        limits::refresh(&mut core);
+        core.limits = TeamQuotas::from_settings(LimitsConfig::default(), &self.settings);
+        limits::refresh_usage(&mut core);
         Ok(core)
     }
 
     async fn status(&self) -> Result<StatusReport, ClientError> {
         let core = self.records().await?;
-        let teams = core.limits.reports(&core);
+        let teams = core.limits.team_reports(&core);
         Ok(StatusReport {
             format: FORMAT,
             teams,
--- a/src/jobs/writer.rs
+++ b/src/jobs/writer.rs
@@ -8,7 +8,7 @@
 use super::plans::Changes;
 use super::{Entry, Page, PageId};
 use crate::fleet::Use;
-use crate::limits::{self, Charge};
+use crate::limits::{self, QuotaCharge};
 use crate::membership::assignment::Member;
 use crate::metrics::CpuAccount;
 use crate::node::{Core, Node};
@@ -54,7 +54,7 @@
     /// Where it starts tasks.
     machines: BTreeSet<String>,
     /// What the starts are charged to, if their team's limit is divided.
-    charge: Option<Charge>,
+    charge: Option<QuotaCharge>,
     gang: bool,
     /// No start was put off that does not fit a value or a transaction's guards.
     whole: bool,
@@ -176,7 +176,7 @@
                 tracing::debug!(%error, "a record was not written");
                 if matches!(error, TxnError::Unknown) {
                     let charges = batch.iter().filter_map(|d| d.charge.as_ref());
-                    charges.for_each(|charge| core.limits.note_unanswered(charge));
+                    charges.for_each(|charge| core.limits.record_in_doubt(charge));
                 }
                 // Not executed, or unknown: starts are planned anew from what then stands. One
                 // that is still under way carries the page's old mark, and loses to the next.
@@ -195,7 +195,7 @@
     // that is over must be forgotten before it is written under the next one's mark.
     core.note_ownership(&node.me, now);
     withdraw_unstartable(core, &node.me);
-    limits::withdraw_uncovered(core);
+    limits::withdraw_uncovered_starts(core);
     withdraw_broken_gangs(core);
     let most_guards = node.settings.max_transaction_operations() * 4;
     let at_ease = node.state.writes_at_ease() >= 0.98;
@@ -286,7 +286,10 @@
     let mut bytes = page.bytes(number);
     let mut whole = true;
     let under: Vec<Guard> = under(core, id, job, number);
-    let is_divided = core.limits.divided(core, &job.record.spec.team).is_some();
+    let is_divided = core
+        .limits
+        .divided_team(core, &job.record.spec.team)
+        .is_some();
     let fixed_guards = FIXED_GUARDS + usize::from(is_divided) + under.len();
     let mut rentals: BTreeSet<Guard> = BTreeSet::new();
     let mut changed = false;
@@ -341,7 +344,7 @@
         return None;
     }
     let starts = !machines.is_empty();
-    let charge = core.limits.charge(core, id, started).filter(|_| starts);
+    let charge = core.limits.charge_for(core, id, started).filter(|_| starts);
     let mut guards = vec![
         Guard {
             k: job_key(id),
@@ -360,7 +363,7 @@
             mark,
         });
     }
-    guards.extend(charge.iter().map(Charge::guard));
+    guards.extend(charge.iter().map(QuotaCharge::precondition));
     guards.extend(under);
     guards.extend(rentals);
     let key = page_key(id, number);
--- /dev/null
+++ b/src/limits/blocked.rs
@@ -0,0 +1,70 @@
+//! Gangs of this controller that only their team's limit keeps from starting: headroom is reserved for them
+//! here, and other controllers learn of the oldest.
+
+use super::{DividedTeam, TeamQuotas, usage};
+use crate::node::Core;
+use crate::placement::Need;
+use rowanmill_limits::WaitingUnit;
+use std::collections::BTreeMap;
+
+/// The most blocked gangs that a controller publishes: its record must fit into a value.
+const MAX_PUBLISHED: usize = 4;
+/// The most bytes that one of them takes in a record.
+const MAX_BYTES_EACH: usize = 200;
+/// The most bytes that published gangs take in a record.
+pub const MAX_PUBLISHED_BYTES: usize = MAX_PUBLISHED * MAX_BYTES_EACH;
+
+/// Headroom that is reserved for a blocked gang.
+pub struct GangReservation<'a> {
+    pub job: &'a str,
+    pub amount: Need,
+}
+
+/// Records which of `jobs`, gangs in the order of their urgency, are blocked by their team's limit: the first
+/// of each divided team.
+pub fn record_blocked_gangs(core: &mut Core, jobs: Vec<String>) {
+    let mut blocked = BTreeMap::new();
+    for id in jobs {
+        if let Some((team, unit)) = blocked_gang(core, &id) {
+            blocked.entry(team).or_insert(unit);
+        }
+    }
+    if blocked != core.limits.blocked_gangs {
+        tracing::debug!(?blocked, "gangs blocked by team limits");
+    }
+    core.limits.blocked_gangs = blocked;
+}
+
+/// The team of a waiting gang and what it needs, if the team's limit is divided.
+fn blocked_gang(core: &Core, id: &str) -> Option<(String, WaitingUnit)> {
+    let job = core.replica.jobs.get(id)?;
+    let team = core.limits.divided_team(core, &job.record.spec.team)?;
+    let unit = usage::waiting_gang(&team.limit, id, job)?;
+    Some((team.name.to_owned(), unit))
+}
+
+impl TeamQuotas {
+    /// The blocked gangs that this controller publishes, by team: the oldest.
+    pub fn published_gangs(&self) -> BTreeMap<String, WaitingUnit> {
+        let mut blocked: Vec<_> = self.blocked_gangs.iter().collect();
+        blocked.sort_by_key(|(_, unit)| *unit);
+        blocked
+            .into_iter()
+            .take(MAX_PUBLISHED)
+            .map(|(team, unit)| (team.clone(), unit.clone()))
+            .collect()
+    }
+
+    /// The part of a team's headroom that is reserved for a blocked gang, if there is one.
+    pub fn gang_reservation(&self, team: &DividedTeam) -> Option<GangReservation<'_>> {
+        let unit = self.blocked_gangs.get(team.name)?;
+        Some(GangReservation {
+            job: &unit.job,
+            amount: Need {
+                cpus: unit.need.cpus(),
+                gpus: unit.need.gpus(),
+                memory_gb: 0.0,
+            },
+        })
+    }
+}
--- /dev/null
+++ b/src/limits/leader.rs
@@ -0,0 +1,133 @@
+//! The leader's side of team limits: it allocates them to the controllers, and deletes records of teams
+//! without a limit.
+
+use super::{DividedTeam, refresh_usage};
+use crate::node::{Core, Node};
+use crate::state::{ASSIGNMENT_KEY, Guard, LEADER_KEY, Op, allotment_key};
+use rowanmill_limits::{AllocationDecision, AllocationRecord, LeaderView, decide_allocation};
+use std::sync::Arc;
+
+/// Makes every divided team's record valid under the present assignment and limit, as far as one
+/// transaction goes. `leader_revision` is the revision under which this node leads.
+pub async fn allocate_limits(node: &Arc<Node>, leader_revision: u64) {
+    if !has_work(&mut node.core()) {
+        return;
+    }
+    // What is in use is known once all changes up to the assignment's and the records' are applied.
+    let is_behind = is_behind(&node.core());
+    if is_behind && !node.sync().await {
+        return;
+    }
+    let max_records = node.settings.max_transaction_operations();
+    let transaction = {
+        let mut core = node.core();
+        refresh_usage(&mut core);
+        AllocationTransaction::build(&core, leader_revision, max_records)
+    };
+    if transaction.writes.is_empty() {
+        return;
+    }
+    let AllocationTransaction {
+        preconditions,
+        writes,
+    } = transaction;
+    match node.state.transact(&preconditions, &writes).await {
+        Ok(revision) => {
+            tracing::info!(teams = writes.len(), "team limits divided");
+            node.core().apply(writes, revision);
+        }
+        Err(error) => tracing::debug!(%error, "division of team limits failed"),
+    }
+}
+
+fn has_work(core: &mut Core) -> bool {
+    refresh_usage(core);
+    let is_valid = |team: DividedTeam| team.view().valid_record().is_some();
+    !core.limits.divided_teams(core).all(is_valid) || obsolete_records(core).next().is_some()
+}
+
+/// Whether the replica may lack starts that were recorded under a team's previous record.
+fn is_behind(core: &Core) -> bool {
+    core.limits
+        .divided_teams(core)
+        .any(|team| team.applied_revision < team.assignment_revision.max(team.record_revision()))
+}
+
+/// The records, with their revisions, of teams that have no limit in the settings.
+fn obsolete_records(core: &Core) -> impl Iterator<Item = (&String, u64)> {
+    let stored = core.replica.allotments.iter();
+    stored
+        .filter(|(team, _)| !core.limits.limits.contains_key(*team))
+        .map(|(team, stored)| (team, stored.mark))
+}
+
+/// Changes of teams' records that only the leader may make, under the present assignment.
+struct AllocationTransaction {
+    preconditions: Vec<Guard>,
+    writes: Vec<Op>,
+}
+
+impl AllocationTransaction {
+    /// Deletes obsolete records first, then allocates limits; at most `max_records` records in all.
+    fn build(core: &Core, leader_revision: u64, max_records: usize) -> Self {
+        let assignment = core.replica.assignment.as_ref();
+        let mut transaction = Self {
+            preconditions: vec![
+                Guard {
+                    k: LEADER_KEY.into(),
+                    mark: leader_revision,
+                },
+                Guard {
+                    k: ASSIGNMENT_KEY.into(),
+                    mark: assignment.map_or(0, |assignment| assignment.mark),
+                },
+            ],
+            writes: Vec::new(),
+        };
+        for (team, revision) in obsolete_records(core).take(max_records) {
+            let delete = Op::drop(allotment_key(team));
+            transaction.add(team, revision, delete);
+        }
+        let left = max_records - transaction.writes.len();
+        let records = core
+            .limits
+            .divided_teams(core)
+            .filter_map(|team| Some((next_record(&team)?, team)));
+        for (record, team) in records.take(left) {
+            let put = Op::set(allotment_key(team.name), &record);
+            transaction.add(team.name, team.record_revision(), put);
+        }
+        transaction
+    }
+
+    /// Adds a write of a team's record on condition that it still has `revision`.
+    fn add(&mut self, team: &str, revision: u64, write: Op) {
+        self.preconditions.push(Guard {
+            k: allotment_key(team),
+            mark: revision,
+        });
+        self.writes.push(write);
+    }
+}
+
+/// The record that should replace a team's present one, if any.
+fn next_record(team: &DividedTeam) -> Option<AllocationRecord> {
+    if team.is_unreadable() {
+        // A controller of another version may be able to read it and start tasks under it. Once it is
+        // frozen none may, and the limit can be divided.
+        let limit = team.limit.as_amount();
+        return Some(AllocationRecord::frozen(team.assignment_revision, limit));
+    }
+    let view = LeaderView {
+        limit: team.limit,
+        record: team.record(),
+        assignment_revision: team.assignment_revision,
+        applied_revision: team.applied_revision,
+        members: team.members(),
+        unowned: team.unowned(),
+    };
+    match decide_allocation(&view) {
+        AllocationDecision::Keep => None,
+        AllocationDecision::Freeze(record) | AllocationDecision::Allocate(record) => Some(record),
+    }
+}
--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -1,22 +1,25 @@
 use super::*;
+use crate::jobs::Entry;
 use crate::jobs::pages::tests::wide;
+use rowanmill_limits::ResourceAmount;
 use serde_json::{Value, json};
 use std::time::Instant;
 
 const ME: &str = "n-0";
 
-/// A controller of two, of which the other places nothing; a team with a limit of so many CPUs.
-fn core(cpus: f64, allotted: u64) -> Core {
+/// One of two controllers, of which the other places nothing, and team `t` with a limit of `cpus` CPUs, of
+/// which `micro_cpus` millionths are allocated to this controller.
+fn core(cpus: f64, micro_cpus: u64) -> Core {
     let mut core = Core::new(wide(8), Instant::now());
-    let limit = Limit::of_settings(cpus, 0.0).unwrap();
+    let limit = TeamLimit::from_settings(cpus, 0.0).unwrap();
     let limits = BTreeMap::from([("t".to_owned(), limit)]);
-    core.limits = TeamLimits::new(LimitsConfig::default(), ME, limits);
+    core.limits = TeamQuotas::new(LimitsConfig::default(), ME, limits);
     let members = json!([{"name": ME, "incarnation": 1}, {"name": "n-1", "incarnation": 1}]);
     let assignment = json!({"members": members, "teams": {}, "gangs": [0], "had_gangs": false,
         "slots": [0]});
     put(&mut core, "r/shares", assignment, 5);
-    let limit = limit.amount();
-    let record = json!({"assignment": 5, "limit": limit, "allotments": {ME: [allotted, 0]}});
+    let limit = limit.as_amount();
+    let record = json!({"assignment": 5, "limit": limit, "allotments": {ME: [micro_cpus, 0]}});
     put(&mut core, "r/a/t", record, 6);
     core
 }
@@ -47,30 +50,33 @@
     core.plans.all().map(|(_, changes)| changes.len()).sum()
 }
 
-/// The record may have changed since starts were planned: what it no longer covers is taken back, gangs as
-/// a whole, and what is planned is charged to it.
+/// The record may have changed since starts were planned: those that it no longer covers are withdrawn, gangs
+/// as a whole, and the others are charged to it.
 #[test]
-fn starts_that_the_allotment_does_not_cover_are_taken_back() {
+fn starts_that_the_allocation_does_not_cover_are_withdrawn() {
     let mut core = core(10.0, 5_000_000);
     job(&mut core, "job-1", "array", 4);
     job(&mut core, "job-2", "group", 3);
     (0..4).for_each(|task| plan_start(&mut core, "job-1", task));
     (0..3).for_each(|task| plan_start(&mut core, "job-2", task));
     core.plans.rank(["job-1", "job-2"].into_iter());
-    withdraw_uncovered(&mut core);
+    withdraw_uncovered_starts(&mut core);
     assert_eq!(planned(&core), 4, "the gang does not fit beside the array");
-    let charge = core.limits.charge(&core, "job-1", 4).unwrap();
-    assert_eq!((charge.amount.cpus, charge.record), (4_000_000, 6));
-    assert_eq!(charge.guard().k, "r/a/t");
+    let charge = core.limits.charge_for(&core, "job-1", 4).unwrap();
+    assert_eq!(
+        (charge.amount.micro_cpus, charge.record_revision),
+        (4_000_000, 6)
+    );
+    assert_eq!(charge.precondition().k, "r/a/t");
     let smaller =
         json!({"assignment": 5, "limit": [10_000_000, 0], "allotments": {ME: [2_500_000, 0]}});
     put(&mut core, "r/a/t", smaller, 8);
-    withdraw_uncovered(&mut core);
+    withdraw_uncovered_starts(&mut core);
     assert_eq!(planned(&core), 2);
 }
 
 #[test]
-fn nothing_starts_without_a_record_that_holds() {
+fn nothing_starts_without_a_valid_record() {
     for (key, data) in [
         (
             "r/a/t",
@@ -95,89 +101,97 @@
         job(&mut core, "job-1", "array", 1);
         plan_start(&mut core, "job-1", 0);
         put(&mut core, key, data.clone(), 9);
-        withdraw_uncovered(&mut core);
+        withdraw_uncovered_starts(&mut core);
         assert_eq!(planned(&core), 0, "{data}");
     }
 }
 
-/// A start without an answer holds its room until the record has moved on and that was read.
+/// A start in doubt stays charged until the record has changed and all changes up to then were applied.
 #[test]
-fn a_start_without_an_answer_is_charged_until_its_outcome_is_known() {
+fn a_start_in_doubt_is_charged_until_its_outcome_is_known() {
     let mut core = core(10.0, 4_000_000);
     job(&mut core, "job-1", "array", 8);
-    let charge = core.limits.charge(&core, "job-1", 3).unwrap();
-    core.limits.note_unanswered(&charge);
-    refresh(&mut core);
-    let room = |core: &Core| core.limits.divided(core, "t").unwrap().room().cpus;
-    assert_eq!(room(&core), 1.0);
+    let charge = core.limits.charge_for(&core, "job-1", 3).unwrap();
+    core.limits.record_in_doubt(&charge);
+    refresh_usage(&mut core);
+    let headroom_cpus = |core: &Core| core.limits.divided_team(core, "t").unwrap().headroom().cpus;
+    assert_eq!(headroom_cpus(&core), 1.0);
     let again =
         json!({"assignment": 5, "limit": [10_000_000, 0], "allotments": {ME: [4_000_000, 0]}});
     put(&mut core, "r/a/t", again, 9);
-    refresh(&mut core);
+    refresh_usage(&mut core);
     assert_eq!(
-        room(&core),
+        headroom_cpus(&core),
         1.0,
         "our own change is no proof of what came before it"
     );
     core.replica.take(Vec::new(), 9);
-    refresh(&mut core);
-    assert_eq!(room(&core), 4.0);
+    refresh_usage(&mut core);
+    assert_eq!(headroom_cpus(&core), 4.0);
 }
 
-/// Rule `quota`, found on the bench: a start was seen absent and its room used again; before the absence was
-/// recorded the machine went to another controller, which started the task by the record.
+/// Rule `quota`, found on the bench: a task was seen absent and its headroom used again; before the absence was
+/// recorded its machine was reassigned to another controller, which started the task by the record.
 #[test]
-fn only_what_completed_frees_its_room_before_that_is_recorded() {
+fn only_completed_tasks_free_headroom_before_that_is_recorded() {
     let mut core = core(10.0, 3_000_000);
     job(&mut core, "job-1", "array", 8);
     let placed = json!([[1, "vm-1", 1], [1, "vm-1", 1], [1, "vm-1", 1]]);
     put(&mut core, "r/p/job-1/0", placed, 8);
-    let room = |core: &mut Core| {
-        refresh(core);
-        core.limits.divided(core, "t").unwrap().room().cpus
+    let headroom_cpus = |core: &mut Core| {
+        refresh_usage(core);
+        core.limits.divided_team(core, "t").unwrap().headroom().cpus
     };
-    assert_eq!(room(&mut core), 0.0);
+    assert_eq!(headroom_cpus(&mut core), 0.0);
     core.plan(&("job-1".into(), 0), Entry::Waiting { last: 1 });
     assert_eq!(
-        room(&mut core),
+        headroom_cpus(&mut core),
         0.0,
         "an absence that is not recorded may become void"
     );
     core.plan(&("job-1".into(), 1), Entry::Done);
-    assert_eq!(room(&mut core), 1.0);
+    assert_eq!(headroom_cpus(&mut core), 1.0);
 }
 
-/// What the records and the messages of 200 limited teams take, on a fleet of 4,000 machines' work.
+/// The size of the records of 200 limited teams with 2,000 jobs.
 #[test]
 fn records_of_200_teams_stay_small() {
     let members = 5;
-    let mut record = AllotmentRecord::frozen(u64::MAX >> 12, Amount::from((4 << 40, 4 << 40)));
+    let mut record =
+        AllocationRecord::frozen(u64::MAX >> 12, ResourceAmount::from((4 << 40, 4 << 40)));
     for member in 0..members {
         let name = format!("millstone-{member:06}");
-        let most = Amount::from((1 << 40, 1 << 40));
-        record.allotments.insert(name, most);
+        let allocation = ResourceAmount::from((1 << 40, 1 << 40));
+        record.allocations.insert(name, allocation);
     }
     let bytes = serde_json::to_vec(&record).unwrap().len();
     assert!(bytes <= 512, "{bytes} bytes a team");
     let mut core = core(10.0, 0);
-    let limit = Limit::of_settings(1000.0, 0.0).unwrap();
+    let limit = TeamLimit::from_settings(1000.0, 0.0).unwrap();
     let teams = (0..200).map(|team| (format!("team-{team}"), limit));
-    core.limits = TeamLimits::new(LimitsConfig::default(), ME, teams.collect());
+    core.limits = TeamQuotas::new(LimitsConfig::default(), ME, teams.collect());
     for number in 0..2000 {
         let id = format!("job-{number}");
         job(&mut core, &id, "array", 20);
     }
-    refresh(&mut core);
-    assert_eq!(core.limits.all_divided(&core).count(), 200);
+    refresh_usage(&mut core);
+    assert_eq!(core.limits.divided_teams(&core).count(), 200);
     for team in 0..200 {
         let unit = WaitingUnit {
             since_ms: u64::MAX >> 12,
             job: "job-000000000".into(),
-            need: Amount::from((1 << 40, 1 << 40)),
+            need: ResourceAmount::from((1 << 40, 1 << 40)),
             is_gang: true,
         };
-        core.limits.blocked.insert(format!("{team:060}"), unit);
+        core.limits
+            .blocked_gangs
+            .insert(format!("{team:060}"), unit);
     }
-    let published = serde_json::to_vec(&core.limits.to_publish()).unwrap().len();
-    assert!(published <= PUBLISHED_BYTES, "{published} bytes published");
+    let published = serde_json::to_vec(&core.limits.published_gangs())
+        .unwrap()
+        .len();
+    assert!(
+        published <= MAX_PUBLISHED_BYTES,
+        "{published} bytes published"
+    );
 }
--- /dev/null
+++ b/src/limits/transfer.rs
@@ -0,0 +1,90 @@
+//! Writes this controller's own changes to the teams' records: transfers to other controllers, and fences
+//! against transactions in doubt.
+
+use super::{QuotaCharge, refresh_usage};
+use crate::node::{Core, Node};
+use crate::state::{Guard, Op, TxnError, allotment_key};
+use rowanmill_limits::{RecordChange, RecordChangeKind};
+use rowanmill_state::Need;
+use std::sync::Arc;
+use std::time::Instant;
+
+/// The most records that a controller changes of its own accord in a scheduling cycle. Transfers must not
+/// keep starts from being recorded.
+const MAX_CHANGES_PER_CYCLE: usize = 4;
+
+/// Transfers to other controllers what this one should not have, and fences transactions in doubt, as long
+/// as writes are left in the state service's budget.
+pub async fn change_own_allocations(node: &Arc<Node>, now: Instant) {
+    let changes = next_changes(&mut node.core(), now);
+    for (team, change) in changes {
+        if node.state.writes_left(Need::Own) == 0 {
+            return;
+        }
+        write_change(node, &team, change).await;
+    }
+}
+
+/// The changes that are due, by team.
+fn next_changes(core: &mut Core, now: Instant) -> Vec<(String, RecordChange)> {
+    refresh_usage(core);
+    let mut holder = std::mem::take(&mut core.limits.holder);
+    let mut changes = Vec::new();
+    for team in core.limits.divided_teams(core) {
+        if changes.len() == MAX_CHANGES_PER_CYCLE {
+            break;
+        }
+        let change = holder.next_change(team.name, &team.view(), team.charged(), now);
+        changes.extend(change.map(|change| (team.name.to_owned(), change)));
+    }
+    core.limits.holder = holder;
+    changes
+}
+
+/// Writes one change on condition that the record is still the one it was derived from.
+async fn write_change(node: &Arc<Node>, team: &str, change: RecordChange) {
+    let key = allotment_key(team);
+    let precondition = Guard {
+        k: key.clone(),
+        mark: change.base_revision,
+    };
+    let write = Op::set(key, &change.record);
+    let outcome = node
+        .state
+        .transact(&[precondition], std::slice::from_ref(&write))
+        .await;
+    let mut core = node.core();
+    match outcome {
+        Ok(revision) => {
+            let RecordChange { kind, record, .. } = change;
+            count_change(&mut core, kind);
+            tracing::debug!(team, ?kind, ?record, "quota allocation changed");
+            core.apply(vec![write], revision);
+        }
+        Err(error) => {
+            tracing::debug!(%error, team, "quota allocation change failed");
+            if matches!(error, TxnError::Unknown) {
+                record_in_doubt(&mut core, team, &change);
+            }
+        }
+    }
+}
+
+fn count_change(core: &mut Core, kind: RecordChangeKind) {
+    match kind {
+        RecordChangeKind::Transfer => core.metrics.quota_transfers += 1,
+        RecordChangeKind::Fence => core.metrics.fence_writes += 1,
+    }
+}
+
+/// Charges what a change without an answer transfers until its outcome is known.
+fn record_in_doubt(core: &mut Core, team: &str, change: &RecordChange) {
+    let assignment = core.replica.assignment.as_ref();
+    let charge = QuotaCharge {
+        team: team.to_owned(),
+        amount: change.transferred,
+        record_revision: change.base_revision,
+        assignment_revision: assignment.map_or(0, |assignment| assignment.mark),
+    };
+    core.limits.record_in_doubt(&charge);
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -25,7 +25,7 @@
 use client::ClientCommand;
 use rowanmill_cells::CellsConfig;
 use rowanmill_limits::LimitsConfig;
-use rowanmill_limits::config::{TeamAmounts, check_teams};
+use rowanmill_limits::teams::{SettingAmount, TeamSettings, validate_teams};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -194,13 +194,19 @@
 /// Reads the limits' file, and checks it against a controller's settings.
 fn load_limits(path: &Path, settings: &settings::Settings) -> Result<LimitsConfig, String> {
     let config = LimitsConfig::load(path).map_err(|e| e.to_string())?;
-    let teams = settings.params.teams.iter().map(|team| TeamAmounts {
+    let teams = settings.params.teams.iter().map(|team| TeamSettings {
         name: &team.name,
-        guarantee: (team.cpus, team.gpus),
-        limit: (team.cpus_max, team.gpus_max),
+        guarantee: SettingAmount {
+            cpus: team.cpus,
+            gpus: team.gpus,
+        },
+        limit: SettingAmount {
+            cpus: team.cpus_max,
+            gpus: team.gpus_max,
+        },
     });
     let shown = path.display().to_string();
-    check_teams(teams, &shown).map_err(|e| e.to_string())?;
+    validate_teams(teams, &shown).map_err(|e| e.to_string())?;
     Ok(config)
 }
 
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -116,7 +116,7 @@
     log_counters(&core, &totals, now);
     log_processor_time(&core.metrics.at_period_start, &totals);
     log_oldest_jobs(node, &core);
-    limits::service::log_teams(&core);
+    limits::log_team_quotas(&core);
     core.metrics = Metrics {
         at_period_start: totals,
         ..Metrics::new(now)
--- a/src/node.rs
+++ b/src/node.rs
@@ -4,7 +4,7 @@
 use crate::jobs::plans::Plans;
 use crate::jobs::runtime_estimate::{Failures, RuntimeEstimate};
 use crate::jobs::{Entry, JobSpec, Layout};
-use crate::limits::TeamLimits;
+use crate::limits::TeamQuotas;
 use crate::membership::Standing;
 use crate::membership::assignment::Member;
 use crate::membership::schema_versions::CAN_DIVIDE_LIMITS;
@@ -35,7 +35,7 @@
     pub loaded: bool,
     pub standing: Standing,
     pub plans: Plans,
-    pub limits: TeamLimits,
+    pub limits: TeamQuotas,
     pub workers: Workers,
     pub runtime_estimates: HashMap<String, RuntimeEstimate>,
     pub failures: HashMap<String, Failures>,
@@ -108,7 +108,7 @@
             }
             None => LimitsConfig::default(),
         };
-        self.core().limits = TeamLimits::of_settings(config, &self.settings);
+        self.core().limits = TeamQuotas::from_settings(config, &self.settings);
         self
     }
 
@@ -226,7 +226,7 @@
             loaded: false,
             standing: Standing::default(),
             plans: Plans::default(),
-            limits: TeamLimits::default(),
+            limits: TeamQuotas::default(),
             workers: Workers::default(),
             runtime_estimates: HashMap::new(),
             failures: HashMap::new(),
--- a/src/placement/service.rs
+++ b/src/placement/service.rs
@@ -48,7 +48,7 @@
     membership::note_lead(node, lead_mark);
     if let Some(mark) = lead_mark {
         membership::assign_work(node, mark).await;
-        limits::service::lead(node, mark).await;
+        limits::allocate_limits(node, mark).await;
     }
     let began = Instant::now();
     if !plan_changes(node, began) {
@@ -56,7 +56,7 @@
     }
     let worked = began.elapsed();
     note_cycle(&mut node.core().metrics, worked);
-    limits::service::change_own(node, began).await;
+    limits::change_own_allocations(node, began).await;
     writer::write(node, lead_mark.is_some()).await;
     worked
 }
@@ -99,7 +99,7 @@
     clear_gone(node, core);
     cache::refresh_pulls(node, core, now);
     core.metrics.rebuilt_snapshots += cache::refresh(core, &node.me, now, now_ms);
-    limits::refresh(core);
+    limits::refresh_usage(core);
     Some(views::build(node, core, now, now_ms))
 }
 
@@ -110,7 +110,7 @@
         let startup = node.policy.startup_count;
         let limits = now::Limits {
             rooms: &views.rooms,
-            reserve_after: core.limits.reserve_after_s(),
+            reserve_after: core.limits.gang_reservation_delay_s(),
         };
         now::place(
             &views.jobs,
@@ -124,7 +124,7 @@
     core.metrics.machines_examined += placing.steps;
     core.metrics.task_starts += placing.starts.len() as u64;
     let blocked = placing.blocked.iter().map(|at| views.jobs[*at].id.clone());
-    limits::note_blocked(core, blocked.collect());
+    limits::record_blocked_gangs(core, blocked.collect());
     plan(core, views, &placing.starts);
     make_room(node, core, views, &placing.waits, now);
 }
--- a/src/placement/views.rs
+++ b/src/placement/views.rs
@@ -165,7 +165,7 @@
             add(&id.0);
         }
     }
-    // An absence that is not recorded may become void, see `limits::TeamUse`.
+    // An absence that is not recorded may become void, see `limits::usage`.
     for (job, changes) in core.plans.all() {
         for (task, entry) in changes {
             let is_placed = matches!(core.replica.entry(job, *task), Entry::Placed { .. });
@@ -381,11 +381,11 @@
     for team in &node.settings.params.teams {
         let number = team
             .is_limited()
-            .then(|| match core.limits.divided(core, &team.name) {
+            .then(|| match core.limits.divided_team(core, &team.name) {
                 Some(divided) => {
-                    let number = rooms.add(divided.room(), divided.whole());
-                    if let Some((job, part)) = core.limits.kept_for(&divided) {
-                        rooms.keep_for(number, job, part);
+                    let number = rooms.add(divided.headroom(), divided.full_limit());
+                    if let Some(reservation) = core.limits.gang_reservation(&divided) {
+                        rooms.keep_for(number, reservation.job, reservation.amount);
                     }
                     number
                 }
--- a/src/renting/decide.rs
+++ b/src/renting/decide.rs
@@ -6,7 +6,7 @@
 };
 use crate::cells::protection;
 use crate::fleet::{Machine, Use};
-use crate::limits::PUBLISHED_BYTES;
+use crate::limits::MAX_PUBLISHED_BYTES;
 use crate::membership::assignment::Member;
 use crate::node::{Core, Node, age_s};
 use crate::placement::batch_order;
@@ -77,7 +77,7 @@
         unwritten: core.plans.unwritten(),
         fallen: false,
         kinds: outlooks(node, core, views, &mapping),
-        blocked: core.limits.to_publish(),
+        blocked: core.limits.published_gangs(),
     };
     for (kind, outlook) in &mut record.kinds {
         outlook.booting = booting(core, &node.me, kind);
@@ -149,7 +149,7 @@
     if now.saturating_duration_since(*at) < EARLY {
         return false;
     }
-    if record.blocked != core.limits.to_publish() {
+    if record.blocked != core.limits.published_gangs() {
         return true;
     }
     let published: u32 = record.kinds.values().map(|o| o.startup).sum();
@@ -470,8 +470,8 @@
     // The record must fit its value; the rest goes with the next event.
     held.sort_by(|a, b| a.remaining_hold_s.total_cmp(&b.remaining_hold_s));
     let kinds = core.kinds.len().max(1);
-    let published = match core.limits.are_divided(core) {
-        true => PUBLISHED_BYTES,
+    let published = match core.limits.has_divided_teams(core) {
+        true => MAX_PUBLISHED_BYTES,
         false => 0,
     };
     let value_bytes = node.settings.max_value_bytes().saturating_sub(published);
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -37,7 +37,7 @@
 /// The allotments of a team's limit. Keys take no spaces: what is not plain in a name is written in
 /// hexadecimal, so that two names never share a key.
 pub fn allotment_key(team: &str) -> String {
-    format!("{ALLOTMENTS}{}", rowanmill_limits::record::key_part(team))
+    format!("{ALLOTMENTS}{}", rowanmill_limits::key::encode_team(team))
 }
 const ALLOTMENTS: &str = "r/a/";
 /// What all controllers can do; see `membership::schema_versions`.
--- a/src/state/replica.rs
+++ b/src/state/replica.rs
@@ -5,8 +5,7 @@
 mod records;
 
 use crate::jobs::{Entry, Final, JobRecord, Layout, Page, PageId, Stored};
-use crate::limits::KeptAllotment;
-use crate::limits::service::read_record;
+use crate::limits::{StoredAllocations, parse_allocations};
 use crate::membership::assignment::{Assignment, Member};
 use crate::membership::schema_versions::SchemaVersions;
 use crate::pipelines::{Need, Pipelines};
@@ -38,7 +37,7 @@
     pub leader: Option<Versioned<LeaderRecord>>,
     pub assignment: Option<Versioned<Assignment>>,
     /// How the limit of each team is divided.
-    pub allotments: BTreeMap<String, KeptAllotment>,
+    pub allotments: BTreeMap<String, StoredAllocations>,
     /// What each controller published last.
     pub outlooks: BTreeMap<String, Versioned<ForecastSummaryRecord>>,
     /// Pages whose job is not there (any more).
@@ -196,11 +195,11 @@
     }
 
     fn put_allotments(&mut self, key: &str, name: &str, data: &str, mark: u64) {
-        let Some(team) = rowanmill_limits::record::team_of(name) else {
+        let Some(team) = rowanmill_limits::key::decode_team(name) else {
             return;
         };
         if self.allotments.get(&team).is_none_or(|a| a.mark < mark) {
-            let record = read_record(key, data);
+            let record = parse_allocations(key, data);
             self.allotments.insert(team, Versioned { record, mark });
         }
     }
@@ -466,7 +465,7 @@
                 self.presence.remove(name);
             }
             "a" => {
-                let team = rowanmill_limits::record::team_of(name).unwrap_or_default();
+                let team = rowanmill_limits::key::decode_team(name).unwrap_or_default();
                 if self.allotments.get(&team).is_some_and(|a| a.mark < mark) {
                     self.allotments.remove(&team);
                 }
--- a/src/testing/compatibility/cluster_records.rs
+++ b/src/testing/compatibility/cluster_records.rs
@@ -10,7 +10,7 @@
 use crate::state::{
     ASSIGNMENT_KEY, FORMS_KEY, LEADER_KEY, allotment_key, outlook_key, presence_key, rental_key,
 };
-use rowanmill_limits::{AllotmentRecord, Amount, WaitingUnit};
+use rowanmill_limits::{AllocationRecord, ResourceAmount, WaitingUnit};
 use serde_json::json;
 
 fn member(number: u64) -> Member {
@@ -132,9 +132,9 @@
     WaitingUnit {
         since_ms: 1_796_178_938_037,
         job: "job-000412".into(),
-        need: Amount {
-            cpus: 12_500_000,
-            cards: 2_000_000,
+        need: ResourceAmount {
+            micro_cpus: 12_500_000,
+            micro_gpus: 2_000_000,
         },
         is_gang: true,
     }
@@ -185,19 +185,19 @@
 #[test]
 fn allotments_record_keeps_its_json() {
     let mut trace = Trace::default();
-    let limit = Amount {
-        cpus: 64_000_000,
-        cards: 8_000_000,
+    let limit = ResourceAmount {
+        micro_cpus: 64_000_000,
+        micro_gpus: 8_000_000,
     };
-    let frozen = AllotmentRecord::frozen(31, limit);
+    let frozen = AllocationRecord::frozen(31, limit);
     trace.add("frozen", allotment_key("film"), &frozen);
-    let half = Amount {
-        cpus: 32_000_000,
-        cards: 0,
+    let half = ResourceAmount {
+        micro_cpus: 32_000_000,
+        micro_gpus: 0,
     };
     let members = [("millstone-0", half), ("millstone-1", half)];
-    let divided = AllotmentRecord {
-        allotments: members.map(|(name, part)| (name.to_owned(), part)).into(),
+    let divided = AllocationRecord {
+        allocations: members.map(|(name, part)| (name.to_owned(), part)).into(),
         ..frozen
     };
     trace.add("divided", allotment_key("film"), &divided);
