--- a/crates/rowanmill-cells/tests/file_format.rs
+++ b/crates/rowanmill-cells/tests/file_format.rs
@@ -1,6 +1,7 @@
 //! The operators' file of the cells, as read: the names of its fields are an interface.
 
 use rowanmill_cells::CellsConfig;
+use rowanmill_cells::ranking::Candidate;
 use serde_json::{Value, json};
 use std::fmt::Write;
 
@@ -101,3 +102,15 @@
     }
     insta::assert_snapshot!(trace);
 }
+
+/// What an operator's script is given to choose from.
+#[test]
+fn a_script_sees_cells_under_the_names_of_the_documented_fields() {
+    let candidate = Candidate {
+        name: "hanoi".to_owned(),
+        free_cpus: 40.5,
+        can_rent: true,
+    };
+    let shown = serde_json::to_string(&candidate).unwrap();
+    insta::assert_snapshot!(shown, @r#"{"name":"hanoi","free_cpus":40.5,"can_rent":true}"#);
+}
--- a/src/testing/compatibility/interfaces.rs
+++ b/src/testing/compatibility/interfaces.rs
@@ -123,7 +123,11 @@
     /// On a busy machine the last reading may be old: that is another test's subject.
     fn wait_for_contact(&self) {
         let end = Instant::now() + Duration::from_secs(40);
-        while !self.node.has_state(Duration::from_millis(1500)) {
+        let recently = Duration::from_millis(1500);
+        let cells = self.node.cells.as_ref();
+        while !self.node.has_state(recently)
+            || cells.is_some_and(|cells| !cells.ledger_responded_within(recently))
+        {
             assert!(Instant::now() < end, "no reading of the log");
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -165,12 +169,16 @@
     }
 }
 
-/// A state service, and a node that follows it.
-async fn with_state() -> (Served, SocketAddr) {
+async fn state_service() -> (State, SocketAddr) {
+    let state = State::default();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let state_addr = listener.local_addr().unwrap();
-    tokio::spawn(serve(listener, State::default().handler()));
-    let node = Node::new(1, settings(1, state_addr), Policy::default());
+    let addr = listener.local_addr().unwrap();
+    tokio::spawn(serve(listener, state.handler()));
+    (state, addr)
+}
+
+/// Serves a node that follows its state service and knows two machine types.
+async fn following(node: Node) -> Served {
     node.core().kinds = vec![kind("c4", 4.0, &["a"]), kind("c8", 8.0, &["a", "b"])];
     let mut served = Served::start(node).await;
     served.follows = true;
@@ -178,7 +186,20 @@
     tokio::spawn(crate::state::follow::serve_syncs(served.node.clone()));
     let node = served.node.clone();
     until("the records are read", async || node.core().loaded).await;
-    (served, state_addr)
+    served
+}
+
+/// A state service, and a node that follows it.
+async fn with_state() -> (Served, SocketAddr) {
+    let (_state, addr) = state_service().await;
+    let node = Node::new(1, settings(1, addr), Policy::default());
+    (following(node).await, addr)
+}
+
+/// The record that all controllers can do what this one can.
+fn begun(served: &Served) -> Value {
+    let layout = serde_json::to_value(served.node.settings.page_layout()).unwrap();
+    json!({"seen": ["millstone-0"], "layout": layout})
 }
 
 async fn store(state: SocketAddr, key: &str, data: Value) {
@@ -218,9 +239,7 @@
         "one that waits, before all controllers can",
         &needs("job-4", "job-2"),
     );
-    let layout = serde_json::to_value(served.node.settings.page_layout()).unwrap();
-    let begun = json!({"seen": ["millstone-0"], "layout": layout});
-    store(state, "r/forms", begun).await;
+    store(state, "r/forms", begun(&served)).await;
     let node = served.node.clone();
     until("all can", async || node.core().replica.has_begun()).await;
     served.submit(
@@ -366,16 +385,20 @@
     insta::assert_snapshot!(served.trace);
 }
 
-#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn without_the_ledger_users_of_cells_are_sent_away_with_a_time() {
-    let settings = settings(1, NOWHERE.parse().unwrap());
+fn cells_config(ledger: SocketAddr) -> CellsConfig {
     let cells = json!({
         "cells": [{"name": "hanoi", "controllers": ["127.0.0.1:2"]},
             {"name": "danang", "controllers": ["127.0.0.1:5"]}],
-        "ledger": {"addr": "127.0.0.1:6", "rps": 200.0, "write_rps": 80.0, "value_kb": 8.0,
+        "ledger": {"addr": ledger, "rps": 2000.0, "write_rps": 800.0, "value_kb": 8.0,
             "txn_ops": 24},
         "cell_lease_s": 30.0, "renew_without_ledger_s": 15.0, "takeover_after_s": 45.0});
-    let cells = CellsConfig::parse(&cells.to_string(), "cells.json").unwrap();
+    CellsConfig::parse(&cells.to_string(), "cells.json").unwrap()
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn without_the_ledger_users_of_cells_are_sent_away_with_a_time() {
+    let settings = settings(1, NOWHERE.parse().unwrap());
+    let cells = cells_config("127.0.0.1:6".parse().unwrap());
     let node = Node::new(1, settings, Policy::default()).in_cell(cells, "hanoi");
     node.core().kinds = vec![kind("c4", 4.0, &["a"])];
     let mut served = Served::start(node).await;
@@ -388,6 +411,61 @@
     insta::assert_snapshot!(served.trace);
 }
 
+/// A job in the ledger of the cells.
+fn ledger_job(id: &str, owner: &str, cancelled: bool) -> Value {
+    json!({"owner": owner, "epoch": 1, "home": owner, "cancelled": cancelled, "accepted_ms": 1000,
+        "description": job(id)})
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn users_of_cells_are_answered_by_the_ledger() {
+    let (_state, state_addr) = state_service().await;
+    let (_ledger, ledger_addr) = state_service().await;
+    for (key, data) in [
+        ("c/l/j/job-1", ledger_job("job-1", "hanoi", false)),
+        ("c/l/j/job-2", ledger_job("job-2", "danang", false)),
+        ("c/l/j/job-3", ledger_job("job-3", "danang", true)),
+        ("c/e/job-4", json!("done")),
+        ("c/e/job-5", json!("cancelled")),
+    ] {
+        store(ledger_addr, key, data).await;
+    }
+    let cells = cells_config(ledger_addr);
+    let node = Node::new(1, settings(1, state_addr), Policy::default()).in_cell(cells, "hanoi");
+    let mut served = following(node).await;
+    crate::cells::start(&served.node);
+    let coordinator = served.node.cells.clone().unwrap();
+    let is_read = async || coordinator.ledger_responded_within(Duration::from_millis(1500));
+    until("the ledger is read", is_read).await;
+    served.poll("this cell's", "job-1");
+    served.submit("a repeat of it", &job("job-1"));
+    served.poll("another cell's", "job-2");
+    served.submit("a repeat of it", &job("job-2"));
+    served.poll(
+        "another cell's whose cancellation is not confirmed",
+        "job-3",
+    );
+    served.submit("a repeat of it", &job("job-3"));
+    served.poll("a job that is done", "job-4");
+    served.submit("a repeat of it", &job("job-4"));
+    served.abort("its cancellation", "job-4");
+    served.poll("a job that ended cancelled", "job-5");
+    served.poll("a job that nobody submitted", "job-99");
+    served.abort("its cancellation", "job-99");
+    let needs = with(job("job-6"), json!({"awaits": ["job-98"]}));
+    store(state_addr, "r/forms", begun(&served)).await;
+    let node = served.node.clone();
+    until("all can", async || node.core().replica.has_begun()).await;
+    served.submit("one that waits for none that the cells know", &needs);
+    served.submit("a new job", &job("job-7"));
+    served.submit("the same again", &job("job-7"));
+    served.submit(
+        "one that can never run",
+        &with(job("job-8"), json!({"cpus": 16.0})),
+    );
+    insta::assert_snapshot!(served.trace);
+}
+
 fn report(tally: u64, warrant: u64, sacks: Value) -> Value {
     json!({"millstone": "vm-1", "endpoint": "10.1.0.232:9000", "stone": "c4", "yard": "a",
         "borrowed": false, "shift": 1, "tally": tally, "warrant": warrant, "recallS": null,
