--- a/crates/rowanmill-limits/src/record.rs
+++ b/crates/rowanmill-limits/src/record.rs
@@ -21,7 +21,7 @@
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
     /// Its allocations exceed the limit that they divide.
-    #[error("allotments of {allocated:?} divide a limit of {limit:?}")]
+    #[error("allocations of {allocated:?} exceed the limit of {limit:?}")]
     OverLimit {
         /// The sum of the allocations.
         allocated: ResourceAmount,
