--- a/crates/rowanmill-cells/src/replica/final_states.rs
+++ b/crates/rowanmill-cells/src/replica/final_states.rs
@@ -15,10 +15,12 @@
 }
 
 impl FinalStateCache {
+    /// A job's final state, if it is in memory.
     pub(super) fn get(&self, id: &str) -> Option<FinalState> {
         self.states.get(id).copied()
     }
 
+    /// Inserts a job's final state, and drops the oldest if there are too many.
     pub(super) fn insert(&mut self, id: &str, state: FinalState) {
         if self.states.insert(id.to_owned(), state).is_some() {
             return;
--- a/crates/rowanmill-cells/src/service.rs
+++ b/crates/rowanmill-cells/src/service.rs
@@ -29,9 +29,9 @@
 /// Pause before a request to the ledger is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What a controller's tasks have read, behind one lock.
+/// A controller's view of the ledger, and of its own part in it.
 #[derive(Debug, Default)]
-struct Shared {
+struct LedgerView {
     replica: LedgerReplica,
     contact: LedgerContact,
     /// The replica holds a whole listing, and all changes since.
@@ -43,14 +43,14 @@
 
 /// One controller's part in the cells.
 ///
-/// Where both locks are taken, `shared` is taken before `planner`.
+/// Where both locks are taken, `view` is taken before `planner`.
 pub struct CellCoordinator {
     config: CellsConfig,
     cell: String,
     controller: String,
     incarnation: u64,
     ledger: StateClient,
-    shared: Mutex<Shared>,
+    view: Mutex<LedgerView>,
     planner: Mutex<Planner>,
     barrier_waiters: Mutex<Vec<oneshot::Sender<bool>>>,
     barrier_requested: Notify,
@@ -68,9 +68,9 @@
             controller: controller.to_owned(),
             incarnation,
             ledger: StateClient::new(config.ledger.addr, share, share),
-            shared: Mutex::new(Shared {
+            view: Mutex::new(LedgerView {
                 replica: LedgerReplica::new(names),
-                ..Shared::default()
+                ..LedgerView::default()
             }),
             planner: Mutex::new(Planner::new(cell, &config)),
             barrier_waiters: Mutex::default(),
@@ -105,47 +105,47 @@
 
     /// The last contact with the ledger.
     pub fn contact(&self) -> LedgerContact {
-        self.shared().contact.clone()
+        self.view().contact.clone()
     }
 
     /// Whether tasks of the ledger's jobs may be started.
     pub fn permits_starts(&self, now: Instant) -> bool {
-        self.shared().contact.permits_starts(now)
+        self.view().contact.permits_starts(now)
     }
 
     /// Whether the leases of workers with tasks of the ledger's jobs may be renewed.
     pub fn permits_renewals(&self, now: Instant) -> bool {
         let limit = self.config.renew_without_ledger();
-        self.shared().contact.permits_renewals(limit, now)
+        self.view().contact.permits_renewals(limit, now)
     }
 
     /// Whether the ledger answered a request that was sent at most `limit` ago.
     pub fn ledger_responded_within(&self, limit: Duration) -> bool {
         let now = Instant::now();
-        self.shared().contact.responded_within(limit, now)
+        self.view().contact.responded_within(limit, now)
     }
 
     /// Which of these jobs of the cell's records it must not run, by the ledger or by attestations.
     pub fn halted_among(&self, tracked: &[TrackedJob]) -> BTreeSet<String> {
-        let shared = self.shared();
+        let view = self.view();
         let planner = self.planner.lock().unwrap();
-        let mut halted = planner.halted_jobs(&shared.replica, tracked);
+        let mut halted = planner.halted_jobs(&view.replica, tracked);
         let attested = tracked
             .iter()
-            .filter(|job| shared.contact.halted.contains(&job.id));
+            .filter(|job| view.contact.halted.contains(&job.id));
         halted.extend(attested.map(|job| job.id.clone()));
         halted
     }
 
     /// Whether an open record or the final state of the job is in memory.
     pub fn is_cached(&self, id: &str) -> bool {
-        let shared = self.shared();
-        shared.replica.jobs.contains_key(id) || shared.replica.final_state(id).is_some()
+        let view = self.view();
+        view.replica.jobs.contains_key(id) || view.replica.final_state(id).is_some()
     }
 
     /// How a job ended, if that is in memory. It never changes.
     pub fn final_state(&self, id: &str) -> Option<FinalState> {
-        self.shared().replica.final_state(id)
+        self.view().replica.final_state(id)
     }
 
     /// Requests a reconcile round, because the cell's own records or the ledger changed.
@@ -153,12 +153,12 @@
         self.round_requested.notify_one();
     }
 
-    fn shared(&self) -> MutexGuard<'_, Shared> {
-        self.shared.lock().unwrap()
+    fn view(&self) -> MutexGuard<'_, LedgerView> {
+        self.view.lock().unwrap()
     }
 
     fn open_job(&self, id: &str) -> Option<Versioned<LedgerJob>> {
-        self.shared().replica.jobs.get(id).cloned()
+        self.view().replica.jobs.get(id).cloned()
     }
 
     /// Sends a transaction; returns the ledger's revision of its changes.
@@ -171,7 +171,7 @@
     }
 }
 
-/// The controller's share of the ledger's limits. Requests are shared by all controllers. Nearly all writes
+/// The controller's share of the ledger's limits. Requests are view by all controllers. Nearly all writes
 /// are acceptances and the leader's: each cell's controllers share its part of them.
 fn ledger_share(config: &CellsConfig) -> StateShare {
     let cells = config.cells.iter();
--- a/crates/rowanmill-cells/src/service/presence.rs
+++ b/crates/rowanmill-cells/src/service/presence.rs
@@ -24,7 +24,7 @@
     let lease = coordinator.config.cell_lease();
     let interval = (lease / RENEWALS_PER_LEASE).min(PUBLISH_INTERVAL / RENEWALS_PER_PUBLICATION);
     loop {
-        let is_loaded = coordinator.shared().is_loaded;
+        let is_loaded = coordinator.view().is_loaded;
         if is_loaded
             && scheduler.is_leader()
             && let Some(lease) = coordinator.renew_lease().await
@@ -38,13 +38,13 @@
 impl CellCoordinator {
     /// Renews the cell's lease, or creates one; `None` if it has none now or the ledger gave no answer.
     async fn renew_lease(&self) -> Option<u64> {
-        let held = self.shared().lease;
+        let held = self.view().lease;
         let lease = match held {
             Some(lease) => match self.ledger.extend_lease(lease).await {
                 Ok(()) => lease,
                 Err(ReadError::Gone) => {
                     tracing::info!(cell = self.cell, "cell lease expired");
-                    self.shared().lease = None;
+                    self.view().lease = None;
                     return None;
                 }
                 Err(_) => return None,
@@ -54,7 +54,7 @@
                 created.ok()?
             }
         };
-        self.shared().lease = Some(lease);
+        self.view().lease = Some(lease);
         Some(lease)
     }
 
@@ -69,20 +69,20 @@
             return;
         };
         match self.commit(&transaction).await {
-            Ok(_) => self.shared().presence_published_at = Some(Instant::now()),
-            Err(TxnError::NoLease) => self.shared().lease = None,
+            Ok(_) => self.view().presence_published_at = Some(Instant::now()),
+            Err(TxnError::NoLease) => self.view().lease = None,
             Err(error) => tracing::debug!(%error, "cell presence not written"),
         }
     }
 
     fn presence_transaction(&self, presence: &CellPresence, lease: u64) -> Option<Transaction> {
-        let shared = self.shared();
-        let cell = shared.replica.cells.get(&self.cell);
+        let view = self.view();
+        let cell = view.replica.cells.get(&self.cell);
         let held = cell.and_then(|cell| cell.presence.as_ref());
         let is_own = |held: &&Versioned<CellPresence>| {
             held.record.controller == self.controller && held.record.incarnation == self.incarnation
         };
-        let is_recent = shared
+        let is_recent = view
             .presence_published_at
             .is_some_and(|at| at.elapsed() < PUBLISH_INTERVAL);
         match held.filter(is_own) {
@@ -92,7 +92,7 @@
             )),
             None => {
                 tracing::info!(cell = self.cell, "registering cell");
-                let replica = &shared.replica;
+                let replica = &view.replica;
                 Some(transaction::register(replica, &self.cell, presence, lease))
             }
         }
--- a/crates/rowanmill-cells/src/service/reconcile.rs
+++ b/crates/rowanmill-cells/src/service/reconcile.rs
@@ -27,7 +27,7 @@
         // A round begins either way: requested, or by the interval.
         let _ = tokio::time::timeout(RECONCILE_INTERVAL, requested).await;
         let now = Instant::now();
-        if !coordinator.shared().is_loaded {
+        if !coordinator.view().is_loaded {
             continue;
         }
         coordinator.update_halted(&*scheduler);
@@ -64,8 +64,8 @@
 impl CellCoordinator {
     fn plan_round<S: Scheduler>(&self, scheduler: &S, now: Instant) -> Vec<Action> {
         let owned = {
-            let shared = self.shared();
-            self.planner.lock().unwrap().owned_jobs(&shared.replica)
+            let view = self.view();
+            self.planner.lock().unwrap().owned_jobs(&view.replica)
         };
         let states = scheduler.local_job_states(&owned);
         let local_jobs = LocalJobs {
@@ -73,9 +73,9 @@
             tracked: scheduler.tracked_jobs(),
         };
         let runnable = self.runnable_takeover_candidates(scheduler, now);
-        let shared = self.shared();
+        let view = self.view();
         let mut planner = self.planner.lock().unwrap();
-        planner.plan(&shared.replica, &local_jobs, now, &runnable)
+        planner.plan(&view.replica, &local_jobs, now, &runnable)
     }
 
     fn runnable_takeover_candidates<S: Scheduler>(
@@ -84,11 +84,9 @@
         now: Instant,
     ) -> BTreeSet<String> {
         let candidates: Vec<(String, LedgerJob)> = {
-            let shared = self.shared();
+            let view = self.view();
             let planner = self.planner.lock().unwrap();
-            let candidates = planner
-                .takeover_candidates(&shared.replica, now)
-                .into_iter();
+            let candidates = planner.takeover_candidates(&view.replica, now).into_iter();
             candidates
                 .map(|(id, job)| (id.clone(), job.clone()))
                 .collect()
@@ -157,7 +155,7 @@
     async fn change_ledger(&self, action: &Action) {
         let max_operations = self.config.ledger.txn_ops;
         let change =
-            LedgerChange::for_action(&self.shared().replica, &self.cell, action, max_operations);
+            LedgerChange::for_action(&self.view().replica, &self.cell, action, max_operations);
         let Some(change) = change.filter(|change| !change.transaction.operations.is_empty()) else {
             return;
         };
@@ -173,8 +171,8 @@
     }
 
     fn apply_committed(&self, change: LedgerChange, revision: u64) {
-        let mut shared = self.shared();
-        let replica = &mut shared.replica;
+        let mut view = self.view();
+        let replica = &mut view.replica;
         for (id, record) in change.updated_jobs {
             replica.apply_own_write(&id, record, revision, Instant::now());
         }
--- a/crates/rowanmill-cells/src/service/requests.rs
+++ b/crates/rowanmill-cells/src/service/requests.rs
@@ -18,8 +18,8 @@
         }
         match self.commit(&transaction::publish(id, job)).await {
             Ok(revision) => {
-                let mut shared = self.shared();
-                let replica = &mut shared.replica;
+                let mut view = self.view();
+                let replica = &mut view.replica;
                 replica.apply_own_write(id, job.clone(), revision, Instant::now());
                 PublishOutcome::Accepted(OwnershipVersion {
                     epoch: job.epoch,
@@ -51,14 +51,14 @@
 
     /// State of a job by the replica; `None` if only the record of its final state can tell.
     fn replicated_job_state(&self, id: &str) -> Option<LedgerJobState> {
-        let shared = self.shared();
-        let Some(held) = shared.replica.jobs.get(id) else {
+        let view = self.view();
+        let Some(held) = view.replica.jobs.get(id) else {
             let is_contradicted =
-                shared.replica.is_unreadable(id) || shared.contact.halted.contains(id);
+                view.replica.is_unreadable(id) || view.contact.halted.contains(id);
             return is_contradicted.then_some(LedgerJobState::Indeterminate);
         };
         let owned_here = held.record.owner == self.cell;
-        let is_effective = shared.replica.is_cancellation_effective(id, Instant::now());
+        let is_effective = view.replica.is_cancellation_effective(id, Instant::now());
         Some(if is_effective {
             LedgerJobState::Cancelled
         } else if held.record.cancelled {
@@ -121,8 +121,8 @@
     async fn update_job(&self, id: &str, revision: u64, record: LedgerJob) -> Result<(), TxnError> {
         let transaction = transaction::update_job(id, revision, &record);
         let committed = self.commit(&transaction).await?;
-        let mut shared = self.shared();
-        let replica = &mut shared.replica;
+        let mut view = self.view();
+        let replica = &mut view.replica;
         replica.apply_own_write(id, record, committed, Instant::now());
         Ok(())
     }
@@ -133,7 +133,7 @@
             return Ok(None);
         };
         let final_state = serde_json::from_value(value).map_err(|_| ReadError::Failed)?;
-        self.shared().replica.record_final_state(id, final_state);
+        self.view().replica.record_final_state(id, final_state);
         Ok(Some(final_state))
     }
 }
--- a/crates/rowanmill-cells/src/service/watch.rs
+++ b/crates/rowanmill-cells/src/service/watch.rs
@@ -1,6 +1,6 @@
 //! Reads of the ledger: watching its log, read barriers, and attestations in place of a read.
 
-use super::{CellCoordinator, LedgerLossAttestation, RETRY_DELAY, Shared};
+use super::{CellCoordinator, LedgerLossAttestation, LedgerView, RETRY_DELAY};
 use crate::record::LIVE_PREFIX;
 use crate::scheduler::Scheduler;
 use rowanmill_state::{Followed, ReadError};
@@ -31,41 +31,41 @@
 
     /// What this controller attests to one of `cell` that has read the ledger up to `revision`.
     pub fn attest_ledger_loss(&self, cell: &str, revision: u64) -> LedgerLossAttestation {
-        let shared = self.shared();
-        let Some(mut revoked_jobs) = shared.replica.revoked_since(cell, revision) else {
+        let view = self.view();
+        let Some(mut revoked_jobs) = view.replica.revoked_since(cell, revision) else {
             return LedgerLossAttestation::default();
         };
         // What others attested to this controller is passed on: who confirmed it may be out of the
         // querying controller's reach.
-        revoked_jobs.extend(shared.contact.halted.iter().cloned());
+        revoked_jobs.extend(view.contact.halted.iter().cloned());
         LedgerLossAttestation {
-            is_disconnected: shared.has_lost_ledger(),
+            is_disconnected: view.has_lost_ledger(),
             revoked_jobs,
         }
     }
 
     /// Reads the log once, waiting up to `hold` for a change.
     async fn read_log<S: Scheduler>(&self, scheduler: &S, hold: Duration) -> Result<(), ReadError> {
-        let from = self.shared().replica.revision;
+        let from = self.view().replica.revision;
         let sent = Instant::now();
         let body = self.ledger.follow(LIVE_PREFIX, from, hold).await?;
         let followed = Followed::decode(&body)?;
         let has_changes = !followed.log.is_empty();
         {
-            let mut shared = self.shared();
-            let Shared {
+            let mut view = self.view();
+            let LedgerView {
                 replica, contact, ..
-            } = &mut *shared;
+            } = &mut *view;
             replica.apply_changes(followed.log, followed.ledger, Instant::now());
             contact.last_response_at = contact.last_response_at.max(Some(sent));
         }
         self.update_halted(scheduler);
         {
-            let mut shared = self.shared();
+            let mut view = self.view();
             // The read counts only once what it forbids is in force.
-            if shared.replica.is_present(&self.cell) {
-                shared.contact.last_read_at = shared.contact.last_read_at.max(Some(sent));
-                shared.contact.last_attestation_at = None;
+            if view.replica.is_present(&self.cell) {
+                view.contact.last_read_at = view.contact.last_read_at.max(Some(sent));
+                view.contact.last_attestation_at = None;
             }
         }
         if has_changes {
@@ -77,19 +77,19 @@
     /// Updates which jobs of the cell's records must not run.
     pub(super) fn update_halted<S: Scheduler>(&self, scheduler: &S) {
         let tracked = scheduler.tracked_jobs();
-        let mut shared = self.shared();
+        let mut view = self.view();
         let halted = {
             let planner = self.planner.lock().unwrap();
-            planner.halted_jobs(&shared.replica, &tracked)
+            planner.halted_jobs(&view.replica, &tracked)
         };
-        if *shared.contact.halted != halted {
-            shared.contact.halted = Arc::new(halted);
+        if *view.contact.halted != halted {
+            view.contact.halted = Arc::new(halted);
         }
     }
 
     async fn load<S: Scheduler>(&self, scheduler: &S) -> Result<(), ReadError> {
         let (pairs, revision) = self.ledger.list_all(LIVE_PREFIX).await?;
-        self.shared()
+        self.view()
             .replica
             .reload_from_snapshot(pairs, revision, Instant::now());
         self.read_log(scheduler, Duration::ZERO).await
@@ -98,33 +98,33 @@
     /// Obtains the attestations of all other controllers in place of a read. False if one is missing.
     async fn obtain_attestations<S: Scheduler>(&self, scheduler: &S) -> bool {
         let revision = {
-            let shared = self.shared();
-            if !shared.has_lost_ledger() {
+            let view = self.view();
+            if !view.has_lost_ledger() {
                 return false;
             }
-            shared.replica.revision
+            view.replica.revision
         };
         let asked_at = Instant::now();
         let attested = scheduler.collect_attestations(&self.cell, revision).await;
         let Some(revoked_jobs) = attested else {
             return false;
         };
-        let mut shared = self.shared();
-        if shared.replica.revision != revision {
+        let mut view = self.view();
+        if view.replica.revision != revision {
             return false; // it has contact again
         }
         if !revoked_jobs.is_empty() {
-            let mut halted = (*shared.contact.halted).clone();
+            let mut halted = (*view.contact.halted).clone();
             halted.extend(revoked_jobs);
-            shared.contact.halted = Arc::new(halted);
+            view.contact.halted = Arc::new(halted);
         }
-        let contact = &mut shared.contact;
+        let contact = &mut view.contact;
         contact.last_attestation_at = contact.last_attestation_at.max(Some(asked_at));
         true
     }
 }
 
-impl Shared {
+impl LedgerView {
     /// Whether the records were loaded, and the ledger has not answered since for too long.
     fn has_lost_ledger(&self) -> bool {
         let has_contact = self
@@ -146,9 +146,9 @@
             tokio::time::sleep(RETRY_DELAY).await;
             continue;
         }
-        coordinator.shared().is_loaded = true;
+        coordinator.view().is_loaded = true;
         watch_until_compacted(&coordinator, &*scheduler, hold).await;
-        coordinator.shared().is_loaded = false;
+        coordinator.view().is_loaded = false;
         tracing::info!("ledger log compacted before the last read revision, reloading");
     }
 }
@@ -181,7 +181,7 @@
         if waiters.is_empty() {
             continue;
         }
-        let is_loaded = coordinator.shared().is_loaded;
+        let is_loaded = coordinator.view().is_loaded;
         let has_read = is_loaded
             && (coordinator
                 .read_log(&*scheduler, Duration::ZERO)
--- a/crates/rowanmill-cells/tests/model/cell.rs
+++ b/crates/rowanmill-cells/tests/model/cell.rs
@@ -16,7 +16,7 @@
     lease_end: Instant,
 }
 
-/// What a machine is told, or notices, about one of its tasks.
+/// What becomes of a task when its machine reports.
 enum TaskFate {
     Completed,
     Stopped,
--- a/crates/rowanmill-cells/tests/model/records.rs
+++ b/crates/rowanmill-cells/tests/model/records.rs
@@ -7,7 +7,7 @@
 /// A change of a cell's own records, with its precondition.
 #[derive(Clone)]
 pub enum RecordChange {
-    /// Puts a job there, unless it is there, has ended, or was relinquished after `relinquished_revision`.
+    /// Inserts a job, unless it is open, has ended, or was relinquished after `relinquished_revision`.
     Adopt {
         id: String,
         ownership: OwnershipVersion,
