--- a/src/testing/compatibility/mod.rs
+++ b/src/testing/compatibility/mod.rs
@@ -12,4 +12,5 @@
 mod job_records;
 mod keys;
 mod observability;
+mod recorded_run;
 pub mod trace;
--- /dev/null
+++ b/src/testing/compatibility/recorded_run.rs
@@ -0,0 +1,174 @@
+//! All records of one run, as the state service held them: three cells on loopback, one of them stored
+//! here, with jobs that ran, waited, ended, were cancelled and changed cells.
+
+use super::trace::written;
+use crate::jobs::{GivenUp, Layout, PageId, Stored};
+use crate::state::replica::Job;
+use crate::state::{
+    ASSIGNMENT_KEY, FORMS_KEY, LEADER_KEY, LIVE, Replica, allotment_key, final_key, given_up_key,
+    job_key, outlook_key, page_key, presence_key, rental_key,
+};
+use rowanmill_state::Pair;
+use serde::Serialize;
+use serde_json::{Value, json};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// One pair a line, as the state service lists them.
+const RECORDS: &str = include_str!("records.json");
+
+/// Keys with their JSON and revision.
+type Records = BTreeMap<String, (Value, u64)>;
+
+fn stored() -> Records {
+    let lines = RECORDS.lines().map(|line| {
+        let mut pair: Value = serde_json::from_str(line).unwrap();
+        let key = pair["k"].as_str().unwrap().to_owned();
+        let revision = pair["mark"].as_u64().unwrap();
+        (key, (pair["data"].take(), revision))
+    });
+    lines.collect()
+}
+
+fn live(records: Records) -> Records {
+    let of_replica = |key: &String| key.starts_with(LIVE);
+    records
+        .into_iter()
+        .filter(|(key, _)| of_replica(key))
+        .collect()
+}
+
+fn loaded() -> Replica {
+    let pairs = RECORDS
+        .lines()
+        .map(|line| serde_json::from_str::<Pair>(line).unwrap());
+    let mut replica = Replica::new(Layout {
+        wide: 170,
+        dense: 170,
+        value_bytes: 8192,
+    });
+    replica.reset(pairs.collect(), u64::MAX);
+    replica
+}
+
+/// Records as a replica would write them again.
+#[derive(Default)]
+struct Rewritten(Records);
+
+impl Rewritten {
+    fn add(&mut self, key: String, record: &impl Serialize, revision: u64) {
+        let (key, json) = written(key, record);
+        let value = serde_json::from_str(&json).unwrap();
+        let before = self.0.insert(key.clone(), (value, revision));
+        assert!(before.is_none(), "{key} is held once");
+    }
+
+    fn add_job(&mut self, id: &str, job: &Job) {
+        let record = Stored::Open(job.record.clone());
+        self.add(job_key(id), &record, job.mark);
+        for (page, kept) in &job.pages {
+            self.add_page(id, *page, &kept.record, kept.mark);
+        }
+    }
+
+    fn add_page(&mut self, id: &str, page: PageId, record: &crate::jobs::Page, revision: u64) {
+        let key = page_key(id, page);
+        match page {
+            PageId::Wide(_) => self.add(key, record, revision),
+            PageId::Dense(_) => self.add(key, &record.to_dense(), revision),
+        }
+    }
+
+    fn add_jobs(&mut self, replica: &Replica) {
+        for (id, job) in &replica.jobs {
+            self.add_job(id, job);
+        }
+        for ((id, page), kept) in &replica.orphans {
+            self.add_page(id, *page, &kept.record, kept.mark);
+        }
+        for (id, blocked) in replica.pipelines.all() {
+            let record = Stored::Blocked {
+                record: blocked.record.clone(),
+                awaits: blocked.awaits.clone(),
+            };
+            self.add(job_key(id), &record, blocked.mark);
+        }
+        for (id, revision) in &replica.closed {
+            let outcome = replica.ended(id).unwrap();
+            self.add(job_key(id), &Stored::Finished { outcome }, *revision);
+        }
+    }
+
+    fn add_cluster(&mut self, replica: &Replica) {
+        for (name, kept) in &replica.fleet.rentals {
+            self.add(rental_key(name), &kept.record, kept.mark);
+        }
+        for (name, kept) in &replica.presence {
+            self.add(presence_key(name), &kept.record, kept.mark);
+        }
+        for (name, kept) in &replica.outlooks {
+            self.add(outlook_key(name), &kept.record, kept.mark);
+        }
+        for (team, kept) in &replica.allotments {
+            let record = kept.record.as_ref().unwrap();
+            self.add(allotment_key(team), record, kept.mark);
+        }
+        let forms = replica.forms.as_ref().unwrap();
+        self.add(FORMS_KEY.into(), &forms.record, forms.mark);
+        let leader = replica.leader.as_ref().unwrap();
+        self.add(LEADER_KEY.into(), &leader.record, leader.mark);
+        let assignment = replica.assignment.as_ref().unwrap();
+        self.add(ASSIGNMENT_KEY.into(), &assignment.record, assignment.mark);
+    }
+}
+
+fn rewritten(replica: &Replica) -> Records {
+    let mut records = Rewritten::default();
+    records.add_jobs(replica);
+    records.add_cluster(replica);
+    records.0
+}
+
+#[test]
+fn records_of_a_run_come_out_of_the_replica_as_they_were_written() {
+    let replica = loaded();
+    assert_eq!(rewritten(&replica), live(stored()));
+}
+
+/// What lies outside the replica: final states, and that jobs were given up to other cells.
+#[test]
+fn records_of_ended_jobs_of_a_run_read_back_as_they_were_written() {
+    let mut replica = loaded();
+    let (mut ended, mut given_up) = (0, 0);
+    for (key, (value, _)) in stored() {
+        let again = match key.split_once('/').unwrap() {
+            ("e", id) => {
+                ended += 1;
+                replica.remember_ended(id, serde_json::from_value(value.clone()).unwrap());
+                written(final_key(id), &replica.ended(id).unwrap())
+            }
+            ("x", id) => {
+                given_up += 1;
+                let record: GivenUp = serde_json::from_value(value.clone()).unwrap();
+                written(given_up_key(id), &record)
+            }
+            _ => continue,
+        };
+        assert_eq!((again.0, json!(again.1)), (key, json!(value.to_string())));
+    }
+    assert!(ended > 0 && given_up > 0);
+}
+
+/// The fixture has a record of each kind, so that the traces above leave none out.
+#[test]
+fn records_of_a_run_are_of_every_kind() {
+    let kind = |key: &String| {
+        let parts: Vec<&str> = key.split('/').collect();
+        match parts[..] {
+            ["r", kind, ..] => format!("r/{kind}"),
+            _ => parts[0].to_owned(),
+        }
+    };
+    let kinds: BTreeSet<String> = stored().keys().map(kind).collect();
+    let kinds: Vec<String> = kinds.into_iter().collect();
+    insta::assert_snapshot!("kinds_of_records", kinds.join("\n"));
+}
