--- a/crates/rowanmill-cells/src/config.rs
+++ b/crates/rowanmill-cells/src/config.rs
@@ -6,42 +6,11 @@
 mod validation;
 
 use crate::ranking::{Ranking, Script};
+use rowanmill_config::{ConfigFile, InvalidField};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use validation::FieldProblem;
-
-/// Why a file was refused. Each message is one line and names the field.
-#[derive(Debug, thiserror::Error)]
-pub enum ConfigError {
-    /// The file cannot be read.
-    #[error("cells {path}: cannot be read: {source}")]
-    Unreadable {
-        /// The file.
-        path: String,
-        /// The system's error.
-        source: std::io::Error,
-    },
-    /// It is not JSON, or a field is missing or of another type.
-    #[error("cells {path}: {source}")]
-    Malformed {
-        /// The file.
-        path: String,
-        /// The error and its position.
-        source: serde_json::Error,
-    },
-    /// A value is out of its range, or contradicts another.
-    #[error("cells {path}: field `{field}`: {reason}")]
-    Invalid {
-        /// The file.
-        path: String,
-        /// The field, with dots between the levels.
-        field: String,
-        /// What is wrong with it.
-        reason: String,
-    },
-}
 
 /// One cell.
 #[derive(Debug, Clone, Deserialize)]
@@ -139,44 +108,24 @@
 /// Bytes of a KiB.
 const KIB: f64 = 1024.0;
 
-impl CellsConfig {
-    /// Reads and checks a file, and the script that it names.
-    pub fn load(path: &Path) -> Result<Self, ConfigError> {
-        let shown_path = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Unreadable {
-            path: shown_path.clone(),
-            source,
-        })?;
-        let mut config = Self::parse(&text, &shown_path)?;
-        if let Some(script) = &config.spill.ranking {
-            let directory = path.parent().unwrap_or(Path::new("."));
-            let script = load_script(&directory.join(script)).map_err(invalid_in(&shown_path))?;
-            config.ranking = Ranking::new(Some(script));
-        }
-        Ok(config)
-    }
+impl ConfigFile for CellsConfig {
+    const KIND: &'static str = "cells";
 
-    /// Reads and checks a text. Errors name `shown_path` as its source.
-    pub fn parse(text: &str, shown_path: &str) -> Result<Self, ConfigError> {
-        let config: Self = serde_json::from_str(text).map_err(|source| ConfigError::Malformed {
-            path: shown_path.to_owned(),
-            source,
-        })?;
-        config.validate().map_err(invalid_in(shown_path))?;
-        Ok(config)
+    fn validate(&self) -> Result<(), InvalidField> {
+        self.validate_by_itself()
     }
 
-    /// Checks the file against one cell's own settings.
-    pub fn check_cell(
-        &self,
-        cell: &str,
-        timing: &WorkerTiming,
-        shown_path: &str,
-    ) -> Result<(), ConfigError> {
-        self.validate_cell(cell, timing)
-            .map_err(invalid_in(shown_path))
+    /// Reads the script that ranks the cells.
+    fn load_referenced(&mut self, folder: &Path) -> Result<(), InvalidField> {
+        if let Some(script) = &self.spill.ranking {
+            let script = load_script(&folder.join(script))?;
+            self.ranking = Ranking::new(Some(script));
+        }
+        Ok(())
     }
+}
 
+impl CellsConfig {
     /// Length of a cell's lease.
     pub fn cell_lease(&self) -> Duration {
         Duration::from_secs_f64(self.cell_lease_s)
@@ -204,22 +153,11 @@
     }
 }
 
-fn load_script(path: &Path) -> Result<Script, FieldProblem> {
-    let refused = |reason: String| FieldProblem {
-        field: "spill.ranking".to_owned(),
-        reason,
-    };
+fn load_script(path: &Path) -> Result<Script, InvalidField> {
+    let refused = |reason: String| InvalidField::new("spill.ranking", reason);
     let text = std::fs::read_to_string(path).map_err(|error| refused(error.to_string()))?;
     Script::parse(&text).map_err(|error| refused(error.to_string()))
 }
 
-fn invalid_in(shown_path: &str) -> impl Fn(FieldProblem) -> ConfigError + '_ {
-    move |problem| ConfigError::Invalid {
-        path: shown_path.to_owned(),
-        field: problem.field,
-        reason: problem.reason,
-    }
-}
-
 #[cfg(test)]
 pub(crate) mod tests;
--- a/crates/rowanmill-cells/src/config/tests.rs
+++ b/crates/rowanmill-cells/src/config/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use rowanmill_config::ConfigError;
 use serde_json::{Value, json};
 
 pub fn valid_file() -> Value {
@@ -24,7 +25,8 @@
 
 fn check(file: &Value) -> Result<(), ConfigError> {
     let config = CellsConfig::parse(&file.to_string(), "cells.json")?;
-    config.check_cell("hanoi", &worker_timing(), "cells.json")
+    let checked = config.check_cell("hanoi", &worker_timing());
+    checked.map_err(|problem| CellsConfig::error("cells.json", problem))
 }
 
 /// A value that would let two cells run a job, or that makes no sense, is refused by the name of its field.
--- a/crates/rowanmill-cells/src/config/validation.rs
+++ b/crates/rowanmill-cells/src/config/validation.rs
@@ -2,6 +2,7 @@
 //! name of its field.
 
 use super::{CellsConfig, LedgerConfig, SpillConfig, WorkerTiming};
+use rowanmill_config::InvalidField;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -18,23 +19,13 @@
 /// Time between the end of a worker's lease and the end of its tasks, in seconds.
 const LEASE_END_MARGIN_S: f64 = 1.0;
 
-/// A field whose value was refused, and why.
-#[derive(Debug)]
-pub(super) struct FieldProblem {
-    pub(super) field: String,
-    pub(super) reason: String,
-}
-
-fn refuse(field: &str, reason: impl Into<String>) -> Result<(), FieldProblem> {
-    Err(FieldProblem {
-        field: field.to_owned(),
-        reason: reason.into(),
-    })
+fn refuse(field: &'static str, reason: impl Into<String>) -> Result<(), InvalidField> {
+    Err(InvalidField::new(field, reason))
 }
 
 impl CellsConfig {
     /// Checks the file by itself.
-    pub(super) fn validate(&self) -> Result<(), FieldProblem> {
+    pub(super) fn validate_by_itself(&self) -> Result<(), InvalidField> {
         self.validate_names()?;
         self.validate_addresses()?;
         self.validate_durations()?;
@@ -42,7 +33,7 @@
         self.spill.validate()
     }
 
-    fn validate_names(&self) -> Result<(), FieldProblem> {
+    fn validate_names(&self) -> Result<(), InvalidField> {
         if self.cells.len() < 2 {
             return refuse("cells", "names fewer than two cells");
         }
@@ -62,7 +53,7 @@
         Ok(())
     }
 
-    fn validate_addresses(&self) -> Result<(), FieldProblem> {
+    fn validate_addresses(&self) -> Result<(), InvalidField> {
         let mut cell_by_address: BTreeMap<SocketAddr, &str> = BTreeMap::new();
         for cell in &self.cells {
             if cell.controllers.is_empty() {
@@ -90,7 +81,7 @@
         Ok(())
     }
 
-    fn validate_durations(&self) -> Result<(), FieldProblem> {
+    fn validate_durations(&self) -> Result<(), InvalidField> {
         let durations = [
             ("cell_lease_s", Some(self.cell_lease_s)),
             ("renew_without_ledger_s", Some(self.renew_without_ledger_s)),
@@ -110,11 +101,7 @@
     }
 
     /// Checks the file against the settings of the cell of this name.
-    pub(super) fn validate_cell(
-        &self,
-        cell: &str,
-        timing: &WorkerTiming,
-    ) -> Result<(), FieldProblem> {
+    pub fn check_cell(&self, cell: &str, timing: &WorkerTiming) -> Result<(), InvalidField> {
         if !self.cells.iter().any(|listed| listed.name == cell) {
             return refuse("cells", format!("no cell is named `{cell}`"));
         }
@@ -153,7 +140,7 @@
 }
 
 impl LedgerConfig {
-    fn validate(&self) -> Result<(), FieldProblem> {
+    fn validate(&self) -> Result<(), InvalidField> {
         let rates = [
             ("ledger.rps", self.rps),
             ("ledger.write_rps", self.write_rps),
@@ -173,7 +160,7 @@
 }
 
 impl SpillConfig {
-    fn validate(&self) -> Result<(), FieldProblem> {
+    fn validate(&self) -> Result<(), InvalidField> {
         if self.at_once == 0 {
             return refuse("spill.at_once", "must be at least 1");
         }
--- a/crates/rowanmill-cells/src/lib.rs
+++ b/crates/rowanmill-cells/src/lib.rs
@@ -28,7 +28,7 @@
 pub mod service;
 pub mod transaction;
 
-pub use config::{CellsConfig, ConfigError, WorkerTiming};
+pub use config::{CellsConfig, WorkerTiming};
 pub use record::{FinalState, LedgerJob, OwnershipVersion};
 pub use scheduler::{
     AdoptionOutcome, LocalJobState, Scheduler, TrackedJob, Unavailable, WithdrawalCondition,
--- a/crates/rowanmill-cells/src/plan/tests.rs
+++ b/crates/rowanmill-cells/src/plan/tests.rs
@@ -4,6 +4,7 @@
 use crate::config::tests::valid_file;
 use crate::record::{CapacitySummary, CellPresence, DrainRequest};
 use handover::MAX_SUMMARY_AGE;
+use rowanmill_config::ConfigFile;
 use serde_json::json;
 use trace::{trace_action, trace_state, trace_withdrawals};
 
--- a/crates/rowanmill-cells/src/service.rs
+++ b/crates/rowanmill-cells/src/service.rs
@@ -22,10 +22,14 @@
 use rowanmill_state::{StateClient, StateShare, TxnError};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
+use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify, oneshot};
 
+/// An endless task of a controller, not started yet.
+pub type BackgroundTask = Pin<Box<dyn Future<Output = ()> + Send>>;
+
 /// Pause before a request to the ledger is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
@@ -80,12 +84,21 @@
         }
     }
 
-    /// Starts the controller's tasks.
-    pub fn start<S: Scheduler>(self: &Arc<Self>, scheduler: Arc<S>) {
-        tokio::spawn(watch::watch_ledger(self.clone(), scheduler.clone()));
-        tokio::spawn(watch::serve_read_barriers(self.clone(), scheduler.clone()));
-        tokio::spawn(presence::maintain_presence(self.clone(), scheduler.clone()));
-        tokio::spawn(reconcile::reconcile(self.clone(), scheduler));
+    /// The controller's tasks, not started yet, with names for the log. None ends.
+    pub fn background_tasks<S: Scheduler>(
+        self: &Arc<Self>,
+        scheduler: &Arc<S>,
+    ) -> [(&'static str, BackgroundTask); 4] {
+        let watch = watch::watch_ledger(self.clone(), scheduler.clone());
+        let read_barriers = watch::serve_read_barriers(self.clone(), scheduler.clone());
+        let presence = presence::maintain_presence(self.clone(), scheduler.clone());
+        let reconciler = reconcile::reconcile(self.clone(), scheduler.clone());
+        [
+            ("ledger watch", Box::pin(watch)),
+            ("ledger read barriers", Box::pin(read_barriers)),
+            ("cell presence", Box::pin(presence)),
+            ("cell reconciler", Box::pin(reconciler)),
+        ]
     }
 
     /// The cell's name.
--- a/crates/rowanmill-cells/tests/file_format.rs
+++ b/crates/rowanmill-cells/tests/file_format.rs
@@ -2,6 +2,7 @@
 
 use rowanmill_cells::CellsConfig;
 use rowanmill_cells::ranking::Candidate;
+use rowanmill_config::ConfigFile;
 use serde_json::{Value, json};
 use std::fmt::Write;
 
--- a/crates/rowanmill-cells/tests/model/controller.rs
+++ b/crates/rowanmill-cells/tests/model/controller.rs
@@ -7,6 +7,7 @@
 use rowanmill_cells::replica::{LedgerReplica, Versioned};
 use rowanmill_cells::transaction::{self, Transaction};
 use rowanmill_cells::{CellsConfig, TrackedJob};
+use rowanmill_config::ConfigFile;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
--- a/crates/rowanmill-limits/src/config.rs
+++ b/crates/rowanmill-limits/src/config.rs
@@ -1,41 +1,10 @@
 //! The operators' file that enables quota allocations.
 
 use crate::amount::ResourceAmount;
+use rowanmill_config::{ConfigFile, InvalidField};
 use serde::Deserialize;
-use std::path::Path;
 use std::time::Duration;
 
-/// Why a file or a setting was refused. Each message is one line and names the field.
-#[derive(Debug, thiserror::Error)]
-pub enum ConfigError {
-    /// The file does not exist or may not be read.
-    #[error("limits {path}: cannot be read: {source}")]
-    Unreadable {
-        /// The file.
-        path: String,
-        /// The operating system's error.
-        source: std::io::Error,
-    },
-    /// The file is not JSON, or a field is unknown or of another type.
-    #[error("limits {path}: {source}")]
-    Malformed {
-        /// The file.
-        path: String,
-        /// Where and why.
-        source: serde_json::Error,
-    },
-    /// A value is out of its range.
-    #[error("limits {path}: field `{field}`: {reason}")]
-    Invalid {
-        /// The file.
-        path: String,
-        /// The field.
-        field: &'static str,
-        /// What is wrong with the value.
-        reason: String,
-    },
-}
-
 /// The contents of the file. Fields that it omits are as in [`LimitsConfig::default`].
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -71,34 +40,10 @@
 /// The longest duration that any field accepts, in seconds.
 const MAX_DURATION_S: f64 = 3600.0;
 
-impl LimitsConfig {
-    /// Reads a file and validates it.
-    ///
-    /// # Errors
-    /// If the file cannot be read, is malformed, or has a value out of its range.
-    pub fn load(path: &Path) -> Result<Self, ConfigError> {
-        let shown_path = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Unreadable {
-            path: shown_path.clone(),
-            source,
-        })?;
-        Self::parse(&text, &shown_path)
-    }
-
-    /// Parses and validates a file's text; `shown_path` names the file in messages.
-    ///
-    /// # Errors
-    /// If the text is malformed or has a value out of its range.
-    pub fn parse(text: &str, shown_path: &str) -> Result<Self, ConfigError> {
-        let config: Self = serde_json::from_str(text).map_err(|source| ConfigError::Malformed {
-            path: shown_path.to_owned(),
-            source,
-        })?;
-        config.validate(shown_path)?;
-        Ok(config)
-    }
+impl ConfigFile for LimitsConfig {
+    const KIND: &'static str = "limits";
 
-    fn validate(&self, shown_path: &str) -> Result<(), ConfigError> {
+    fn validate(&self) -> Result<(), InvalidField> {
         let ranges = [
             (
                 "change_every_s",
@@ -116,16 +61,15 @@
         for (field, value, range) in ranges {
             if !range.contains(&value) {
                 let (min, max) = (range.start(), range.end());
-                return Err(ConfigError::Invalid {
-                    path: shown_path.to_owned(),
-                    field,
-                    reason: format!("must be between {min} and {max}, is {value}"),
-                });
+                let reason = format!("must be between {min} and {max}, is {value}");
+                return Err(InvalidField::new(field, reason));
             }
         }
         Ok(())
     }
+}
 
+impl LimitsConfig {
     /// The least time between two changes of a team's record by one controller.
     pub fn change_interval(&self) -> Duration {
         Duration::from_secs_f64(self.change_every_s)
--- a/crates/rowanmill-limits/src/lib.rs
+++ b/crates/rowanmill-limits/src/lib.rs
@@ -38,7 +38,7 @@
 
 pub use allocation::{AllocationDecision, LeaderView, decide_allocation};
 pub use amount::{AmountError, ResourceAmount};
-pub use config::{ConfigError, LimitsConfig};
+pub use config::LimitsConfig;
 pub use demand::{MemberDemand, WaitingUnit};
 pub use holder::{QuotaHolder, RecordChange, RecordChangeKind};
 pub use in_doubt::InDoubtTransaction;
--- a/crates/rowanmill-limits/src/teams.rs
+++ b/crates/rowanmill-limits/src/teams.rs
@@ -1,7 +1,7 @@
 //! Validation of the teams' limits and guarantees in the platform's settings.
 
-use crate::config::ConfigError;
 use crate::limit::TeamLimit;
+use rowanmill_config::InvalidField;
 use std::collections::BTreeSet;
 
 /// CPUs and GPUs as the platform's settings give them, with 0 for none.
@@ -27,15 +27,13 @@
 /// The longest name of a team, in bytes: the key of its record takes up to three bytes for each of them.
 const MAX_NAME_BYTES: usize = 60;
 
-/// Checks that every team's limit can be divided and that its guarantee can be met; `shown_path` names the
-/// settings file in messages.
+/// Checks that every team's limit can be divided and that its guarantee can be met.
 ///
 /// # Errors
 /// If a team's name is too long, empty or repeated, or an amount is invalid or contradicts another.
 pub fn validate_teams<'a>(
     teams: impl Iterator<Item = TeamSettings<'a>>,
-    shown_path: &str,
-) -> Result<(), ConfigError> {
+) -> Result<(), InvalidField> {
     let mut names = BTreeSet::new();
     for team in teams {
         let mut problem = problem_with(&team);
@@ -43,11 +41,8 @@
             problem = Some("is named twice".to_owned());
         }
         if let Some(problem) = problem {
-            return Err(ConfigError::Invalid {
-                path: shown_path.to_owned(),
-                field: "params.teams",
-                reason: format!("team `{}` {problem}", team.name),
-            });
+            let reason = format!("team `{}` {problem}", team.name);
+            return Err(InvalidField::new("params.teams", reason));
         }
     }
     Ok(())
--- a/crates/rowanmill-limits/tests/config.rs
+++ b/crates/rowanmill-limits/tests/config.rs
@@ -1,5 +1,6 @@
 //! Invalid files and settings are refused with a message that names the field.
 
+use rowanmill_config::ConfigFile;
 use rowanmill_limits::LimitsConfig;
 use rowanmill_limits::teams::{SettingAmount, TeamSettings, validate_teams};
 
@@ -32,7 +33,7 @@
         team("a", (1.0, 0.0), (2.0, 0.0)),
         team("b", (9.0, 0.0), (0.0, 0.0)),
     ];
-    assert!(validate_teams(valid.into_iter(), "f").is_ok());
+    assert!(validate_teams(valid.into_iter()).is_ok());
     let too_long = "x".repeat(61);
     let invalid = [
         vec![team("a", (3.0, 0.0), (2.0, 0.0))],
@@ -48,9 +49,8 @@
         ],
     ];
     let messages = invalid.map(|teams| {
-        validate_teams(teams.into_iter(), "f")
-            .unwrap_err()
-            .to_string()
+        let problem = validate_teams(teams.into_iter()).unwrap_err();
+        LimitsConfig::error("f", problem).to_string()
     });
     insta::assert_snapshot!(messages.join("\n"));
 }
--- a/crates/rowanmill-limits/tests/file_format.rs
+++ b/crates/rowanmill-limits/tests/file_format.rs
@@ -1,5 +1,6 @@
 //! The operators' file of the limits, as read: the names of its fields are an interface.
 
+use rowanmill_config::ConfigFile;
 use rowanmill_limits::LimitsConfig;
 use std::fmt::Write;
 
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -435,7 +435,7 @@
 /// counted: what is accepted must be able to start.
 fn may_ever_start(team: &Team, spec: &JobSpec) -> bool {
     let at_once = if spec.is_gang() { spec.tasks } else { 1 };
-    let limit = TeamLimit::from_settings(team.cpus_max, team.gpus_max).unwrap_or_default();
+    let limit = TeamLimit::from_settings(team.max_cpus, team.max_gpus).unwrap_or_default();
     let amount = ResourceAmount::for_tasks(spec.cpus, spec.gpus, at_once);
     !limit.is_limited()
         || amount.is_ok_and(|amount| limit.limited_part_of(amount).fits_within(limit.as_amount()))
--- a/src/cells/mod.rs
+++ b/src/cells/mod.rs
@@ -16,6 +16,7 @@
 use crate::workers::Report;
 use protection::Barred;
 use rowanmill_cells::record::CapacitySummary;
+use rowanmill_cells::service::BackgroundTask;
 use rowanmill_cells::{
     AdoptionOutcome, CellCoordinator, FinalState, LedgerJob, LocalJobState, OwnershipVersion,
     Scheduler, TrackedJob, Unavailable, WithdrawalCondition, WorkerTiming,
@@ -49,11 +50,15 @@
     cells: Arc<CellCoordinator>,
 }
 
-/// Starts this controller's part in the cells, if there are any.
-pub fn start(node: &Arc<Node>) {
-    if let Some(cells) = &node.cells {
-        cells.start(Arc::new(CellScheduler::new(node, cells)));
-    }
+/// The endless tasks of this controller's part in the cells, with names for the log; none without cells.
+pub fn background_tasks(
+    node: &Arc<Node>,
+) -> impl Iterator<Item = (&'static str, BackgroundTask)> + use<> {
+    let tasks = node.cells.as_ref().map(|cells| {
+        let scheduler = Arc::new(CellScheduler::new(node, cells));
+        cells.background_tasks(&scheduler)
+    });
+    tasks.into_iter().flatten()
 }
 
 /// A job that the ledger should know, by its record.
--- a/src/client/limits.rs
+++ b/src/client/limits.rs
@@ -7,6 +7,7 @@
 use crate::settings::Settings;
 use crate::state::{LIVE, StateClient, final_key};
 use clap::{Args, Subcommand};
+use rowanmill_config::ConfigFile;
 use rowanmill_limits::LimitsConfig;
 use rowanmill_limits::report::{Explanation, FORMAT, StatusReport};
 use std::path::PathBuf;
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -10,6 +10,7 @@
 use rowanmill_cells::replica::LedgerReplica;
 use rowanmill_cells::report::{self, FORMAT, ReportedState};
 use rowanmill_cells::{CellsConfig, FinalState};
+use rowanmill_config::ConfigFile;
 use rowanmill_state::{Op, StateClient, StateShare};
 use serde::Serialize;
 use std::path::PathBuf;
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -70,7 +70,7 @@
     pub fn from_settings(config: LimitsConfig, settings: &Settings) -> Self {
         let teams = settings.params.teams.iter();
         let limits = teams.filter_map(|team| {
-            let limit = TeamLimit::from_settings(team.cpus_max, team.gpus_max).ok()?;
+            let limit = TeamLimit::from_settings(team.max_cpus, team.max_gpus).ok()?;
             limit.is_limited().then(|| (team.name.clone(), limit))
         });
         Self::new(config, &settings.member, limits.collect())
--- a/src/membership/sharing/tests.rs
+++ b/src/membership/sharing/tests.rs
@@ -3,6 +3,7 @@
 use crate::membership::schema_versions;
 use crate::policy::Policy;
 use crate::settings::Settings;
+use rowanmill_config::ConfigFile;
 use serde_json::json;
 
 /// Users that come back together, after an outage: who has most room is worked out once for all
--- a/src/placement/views.rs
+++ b/src/placement/views.rs
@@ -319,7 +319,8 @@
         .filter(|team| team.has_guarantee())
         .map(|team| {
             let wants = wants.get(team.name.as_str()).copied().unwrap_or_default();
-            let within = wants.cpus <= team.cpus + 1e-6 && wants.gpus <= team.gpus + 1e-6;
+            let within = wants.cpus <= team.guaranteed_cpus + 1e-6
+                && wants.gpus <= team.guaranteed_gpus + 1e-6;
             (team.name.clone(), within)
         })
         .collect()
@@ -336,7 +337,9 @@
     let borrowing = |team: &str| {
         let settings = node.settings.params.teams.iter().find(|t| t.name == team);
         let used = used.get(team).copied().unwrap_or_default();
-        settings.is_some_and(|t| used.cpus > t.cpus + 1e-6 || used.gpus > t.gpus + 1e-6)
+        settings.is_some_and(|t| {
+            used.cpus > t.guaranteed_cpus + 1e-6 || used.gpus > t.guaranteed_gpus + 1e-6
+        })
     };
     let Some(live) = core.workers.live.get(name) else {
         return Vec::new();
@@ -403,8 +406,8 @@
 fn room_beside(team: &Team, used: &Need) -> Need {
     let left = |max: f64, used: f64| if max > 0.0 { max - used } else { f64::INFINITY };
     Need {
-        cpus: left(team.cpus_max, used.cpus),
-        gpus: left(team.gpus_max, used.gpus),
+        cpus: left(team.max_cpus, used.cpus),
+        gpus: left(team.max_gpus, used.gpus),
         memory_gb: f64::INFINITY,
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -7,6 +7,7 @@
 use check::{Checked, Fact, Kind, Value, typed};
 use jiff::tz::TimeZone;
 use lang::{Place, Problem, problem};
+use rowanmill_config::ConfigError;
 use std::collections::BTreeMap;
 use std::path::Path;
 
@@ -117,17 +118,22 @@
     }
 }
 
+/// Why a policy was refused. The message is one line and names the file, and the line and column at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum PolicyError {
-    #[error("policy {path}: cannot be read: {source}")]
-    Unreadable {
+    #[error(transparent)]
+    Unreadable(#[from] ConfigError),
+    #[error("{FILE_KIND} {path}:{problem}")]
+    Invalid {
         path: String,
-        source: std::io::Error,
+        #[source]
+        problem: Problem,
     },
-    #[error("policy {path}:{problem}")]
-    Wrong { path: String, problem: Problem },
 }
 
+/// What messages call the file.
+const FILE_KIND: &str = "policy";
+
 /// What is known of a kind of machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MachineTypeFacts<'a> {
@@ -179,13 +185,9 @@
 
 impl Policy {
     pub fn load(path: &Path) -> Result<Self, PolicyError> {
-        let shown = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|source| PolicyError::Unreadable {
-            path: shown.clone(),
-            source,
-        })?;
-        Self::parse(&text).map_err(|problem| PolicyError::Wrong {
-            path: shown,
+        let text = rowanmill_config::read_text(FILE_KIND, path)?;
+        Self::parse(&text).map_err(|problem| PolicyError::Invalid {
+            path: path.display().to_string(),
             problem,
         })
     }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::fleet::most_hired;
 use serde_json::json;
+use std::time::Duration;
 
 fn settings(size: u32, sockets: usize, value_kb: f64, lease_s: f64, cancel_s: f64) -> String {
     json!({"member": "n", "site": "a", "api_addr": "127.0.0.1:1", "mesh_addr": "127.0.0.1:2",
@@ -18,7 +19,7 @@
 /// One controller left of three or of five carries all machines of a fleet half as large again
 /// as any yet: their connections must fit, and a takeover must end within a worker's lease.
 #[test]
-fn what_follows_from_the_settings_holds_for_a_fleet_half_as_large_again() {
+fn derived_limits_hold_for_a_fleet_half_as_large_again() {
     let mut trace = String::new();
     for (machines, size, sockets, kb, lease_s, cancel_s) in [
         (2080_usize, 3, 3663, 8.0, 31.0, 56.0),
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn what_is_impossible_is_refused_with_its_field() {
+fn impossible_values_are_refused_by_their_field() {
     let refused = |text: &str| Settings::parse(text, "s.json").unwrap_err().to_string();
     let good = settings(3, 3663, 8.0, 31.0, 56.0);
     let lines = [
--- a/src/testing/compatibility/files.rs
+++ b/src/testing/compatibility/files.rs
@@ -2,6 +2,7 @@
 
 use crate::policy::{JobFacts, MachinePoolFacts, MachineTypeFacts, Policy};
 use crate::settings::Settings;
+use rowanmill_config::ConfigFile;
 use serde_json::{Value, json};
 use std::fmt::Write;
 
@@ -75,7 +76,7 @@
     for team in &params.teams {
         let amounts = format!(
             "cpus {}, cpus_max {}, gpus {}, gpus_max {}",
-            team.cpus, team.cpus_max, team.gpus, team.gpus_max
+            team.guaranteed_cpus, team.max_cpus, team.guaranteed_gpus, team.max_gpus
         );
         show("params.teams", format!("`{}` {amounts}", team.name));
     }
--- a/src/testing/compatibility/frames.rs
+++ b/src/testing/compatibility/frames.rs
@@ -5,6 +5,7 @@
 use crate::node::Node;
 use crate::policy::Policy;
 use crate::settings::Settings;
+use rowanmill_config::ConfigFile;
 use serde_json::json;
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/src/testing/compatibility/interfaces.rs
+++ b/src/testing/compatibility/interfaces.rs
@@ -3,6 +3,7 @@
 
 use crate::api::users::{Verdict, abort, poll, refuse_for, submit};
 use crate::api::{self, Answer, Server, limit::Limit};
+use crate::background::BackgroundTasks;
 use crate::cloud::MachineType;
 use crate::fleet::{Rental, Rented, Use};
 use crate::jobs::Submission;
@@ -15,6 +16,7 @@
 use http_body_util::BodyExt;
 use hyper::Method;
 use rowanmill_cells::CellsConfig;
+use rowanmill_config::ConfigFile;
 use rowanmill_testing::exchange::exchange;
 use rowanmill_testing::state::State;
 use rowanmill_testing::{ask, serve, until};
@@ -402,7 +404,7 @@
     let node = Node::new(1, settings, Policy::default()).in_cell(cells, "hanoi");
     node.core().kinds = vec![kind("c4", 4.0, &["a"])];
     let mut served = Served::start(node).await;
-    crate::cells::start(&served.node);
+    tokio::spawn(BackgroundTasks::of_cells(&served.node).supervise());
     served.read_now();
     served.submit("submitted", &job("job-1"));
     served.submit("a body that is none", &json!({"nameId": "job-1"}));
@@ -433,7 +435,7 @@
     let cells = cells_config(ledger_addr);
     let node = Node::new(1, settings(1, state_addr), Policy::default()).in_cell(cells, "hanoi");
     let mut served = following(node).await;
-    crate::cells::start(&served.node);
+    tokio::spawn(BackgroundTasks::of_cells(&served.node).supervise());
     let coordinator = served.node.cells.clone().unwrap();
     let is_read = async || coordinator.ledger_responded_within(Duration::from_millis(1500));
     until("the ledger is read", is_read).await;
--- a/src/testing/fleet_scale.rs
+++ b/src/testing/fleet_scale.rs
@@ -6,12 +6,14 @@
 use crate::api::Server;
 use crate::api::limit::Limit;
 use crate::api::users;
+use crate::background::BackgroundTasks;
 use crate::membership::{lead_mark, schema_versions};
 use crate::metrics::memory;
 use crate::node::Node;
 use crate::policy::Policy;
 use crate::settings::Settings;
 use hyper::StatusCode;
+use rowanmill_config::ConfigFile;
 use rowanmill_testing::state::{Limits, State};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -85,7 +87,7 @@
         let mut builder = tokio::runtime::Builder::new_multi_thread();
         let runtime = builder.worker_threads(1).enable_all().build().unwrap();
         let started = node.clone();
-        runtime.spawn(async move { crate::start_duties(&started) });
+        runtime.spawn(async move { BackgroundTasks::start(&started).supervise().await });
         Self {
             node,
             runtime: Some(runtime),
--- a/src/testing/load_profile.rs
+++ b/src/testing/load_profile.rs
@@ -5,6 +5,7 @@
 use crate::api::Server;
 use crate::api::limit::Limit;
 use crate::api::users;
+use crate::background::BackgroundTasks;
 use crate::metrics::CpuAccount;
 use crate::node::Node;
 use crate::policy::Policy;
@@ -12,6 +13,7 @@
 use http_body_util::BodyExt;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
+use rowanmill_config::ConfigFile;
 use rowanmill_testing::state::State;
 use rowanmill_testing::{Asked, Reply, serve};
 use serde_json::{Value, json};
@@ -374,7 +376,7 @@
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_all().build().unwrap();
     runtime.block_on(async {
-        crate::start_duties(&node);
+        tokio::spawn(BackgroundTasks::start(&node).supervise());
         tokio::spawn(work(load, node.clone(), fleet.clone()));
         tokio::spawn(submit(load, node.clone()));
         tokio::time::sleep(LASTS).await;
--- a/src/testing/mod.rs
+++ b/src/testing/mod.rs
@@ -8,6 +8,8 @@
 mod load_profile;
 mod tests;
 
+use crate::serve::{Configuration, run_controller};
+use rowanmill_config::ConfigFile;
 use rowanmill_testing::{Times, USUAL};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -86,9 +88,11 @@
                 "limits": {"core_share": 1.0, "mem_mb": version.memory_mb, "sockets": 500},
                 "skew_ms": 25.0}});
         let settings = crate::settings::Settings::parse(&settings.to_string(), "test").unwrap();
-        let options = crate::Options {
+        let configuration = Configuration {
+            settings,
+            policy: crate::policy::Policy::default(),
+            cell: None,
             limits: version.divides_limits.then(Default::default),
-            ..crate::Options::default()
         };
         let (stop, stopped) = oneshot::channel();
         let thread = std::thread::spawn(move || {
@@ -96,7 +100,7 @@
             let runtime = builder.enable_all().build().unwrap();
             runtime.block_on(async {
                 tokio::select! {
-                    ended = crate::run_as(version.can, settings, crate::policy::Policy::default(), options) => ended.unwrap(),
+                    ended = run_controller(version.can, configuration) => ended.unwrap(),
                     _ = stopped => {}
                 }
             });
--- a/src/workers/service/tests.rs
+++ b/src/workers/service/tests.rs
@@ -5,6 +5,7 @@
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::state::{Op, rental_key};
+use rowanmill_config::ConfigFile;
 use serde_json::{Value, json};
 
 struct Scene {
