--- a/src/policy/protection/tests.rs
+++ b/src/policy/protection/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn sort<'a>(zone: &'a str, gpus: f64) -> MachinePoolFacts<'a> {
+fn pool<'a>(zone: &'a str, gpus: f64) -> MachinePoolFacts<'a> {
     MachinePoolFacts {
         machine_type: "m",
         cpus: 16.0,
@@ -19,11 +19,11 @@
     Policy::parse(text).unwrap()
 }
 
-/// The hours in which the clocks change in Los Angeles: 02:00 to 03:00 is not there in March, and 01:00 to
-/// 02:00 comes twice in November. The window holds by the clock on the wall. (Vancouver, by the time zones
-/// of this year, does not go back in November any more.)
+/// The hours in which the clocks change in Los Angeles: 02:00 to 03:00 does not exist in March, and 01:00
+/// to 02:00 occurs twice in November. The protection holds by local time. (Vancouver, by the time zones of
+/// this year, does not change its clocks in November any more.)
 #[test]
-fn a_window_follows_the_clock_on_the_wall() {
+fn a_protection_follows_local_time_when_clocks_change() {
     let policy = policy(
         "time_zone = \"America/Los_Angeles\"\nprotected = zone == \"kamloops\" and hour >= 1 and hour < 2.5",
     );
@@ -50,8 +50,8 @@
     ] {
         for time in times {
             let local = local_time(&policy.time_zone, at(time));
-            let holds = policy.is_protected(&sort("kamloops", 0.0), at(time));
-            assert!(!policy.is_protected(&sort("victoria", 0.0), at(time)));
+            let holds = policy.is_protected(&pool("kamloops", 0.0), at(time));
+            assert!(!policy.is_protected(&pool("victoria", 0.0), at(time)));
             trace.push_str(&format!(
                 "{what} {time}: {:.2} h, protected {holds}\n",
                 local.hour
@@ -70,13 +70,13 @@
     ");
 }
 
-/// Who is refused is told until when: across midnight, over a weekend, and not at all where it never ends.
+/// A refusal says until when it holds: across midnight, over a weekend, and not at all if it never ends.
 #[test]
-fn the_end_of_a_protection_is_found() {
+fn the_end_of_a_protection_is_found_up_to_the_horizon() {
     let at_night = policy(
         "time_zone = \"Asia/Ho_Chi_Minh\"\nprotected = gpus > 0 and (hour >= 22 or hour < 5.5)",
     );
-    let gpus = sort("a", 2.0);
+    let gpus = pool("a", 2.0);
     let until = |policy: &Policy, now: &str| {
         let until = policy.protection_end_ms(&gpus, at(now))?;
         let until = Timestamp::from_millisecond(until as i64).unwrap();
@@ -94,9 +94,9 @@
     );
 }
 
-/// Nothing is protected, and no clock read, unless a policy says so; and a zone that is none is refused.
+/// Nothing is protected, and no clock read, unless a policy says so; an unknown time zone is refused.
 #[test]
-fn zones_and_windows_are_checked() {
+fn wrong_time_zones_and_protections_are_refused() {
     assert!(!Policy::default().has_protection());
     let wrong = [
         "time_zone = \"Asia/Danang\"",
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -1,8 +1,14 @@
 use super::*;
 
-fn facts(kind: &str, gpus: f64, arrived: f64, usual: f64, waiting: f64) -> MachineTypeFacts<'_> {
+fn facts(
+    machine_type: &str,
+    gpus: f64,
+    arrived: f64,
+    usual: f64,
+    waiting: f64,
+) -> MachineTypeFacts<'_> {
     MachineTypeFacts {
-        machine_type: kind,
+        machine_type,
         cpus: 16.0,
         gpus,
         price: 1.0,
@@ -13,7 +19,7 @@
 }
 
 #[test]
-fn the_embedded_policy_keeps_a_zone_during_a_drop() {
+fn the_embedded_policy_keeps_a_zones_machines_while_jobs_arrive_in_bulk() {
     let policy = Policy::default();
     let mut trace = String::new();
     for (what, arrived, waiting) in [
@@ -36,9 +42,9 @@
     ");
 }
 
-/// The examples of docs/operations.md, as they stand there.
+/// The examples of docs/operations.md, as they are written there.
 #[test]
-fn the_documented_examples_hold() {
+fn the_documented_examples_are_accepted() {
     let page = include_str!("../../docs/operations.md");
     let mut blocks = Vec::new();
     let mut inside = false;
@@ -62,7 +68,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_pointed_at() {
+fn errors_name_their_line_and_column() {
     let mut trace = String::new();
     for text in [
         "beta = 0.3",
@@ -82,11 +88,11 @@
         "start_by = class",
         "hold = 1 < 2 < 3",
     ] {
-        let verdict = match Policy::parse(text) {
+        let outcome = match Policy::parse(text) {
             Ok(_) => "fine".to_owned(),
             Err(problem) => problem.to_string(),
         };
-        trace.push_str(&format!("{text:?}\n    {verdict}\n"));
+        trace.push_str(&format!("{text:?}\n    {outcome}\n"));
     }
     let deep = format!("hold = {}1{}", "(".repeat(500), ")".repeat(500));
     trace.push_str(&format!(
@@ -111,9 +117,9 @@
         (2.0, 0.0, 5.0),
         (2.0, 0.0, 0.0),
     ] {
-        let kind = facts("m", gpus, 0.0, usual, waiting);
-        let beta = policy.scaling_parameters(&kind).beta;
-        let holds = [false, true].map(|spot| policy.idle_hold_s(&kind, "a", spot));
+        let machine_type = facts("m", gpus, 0.0, usual, waiting);
+        let beta = policy.scaling_parameters(&machine_type).beta;
+        let holds = [false, true].map(|spot| policy.idle_hold_s(&machine_type, "a", spot));
         trace.push_str(&format!(
             "gpus {gpus} {waiting}/{usual}: beta {beta}, hold {holds:?}\n"
         ));
