--- a/src/cells/testimony/tests.rs
+++ b/src/cells/attestation/tests.rs
@@ -2,10 +2,10 @@
 use crate::testing::compatibility::trace::hex;
 
 #[test]
-fn testimony_frames_keep_their_bytes() {
+fn attestation_frames_keep_their_bytes() {
     let mut trace = String::new();
     for (cell, revision) in [("", 0), ("stone", 1), ("stone", 9_007_199_254_740_993)] {
-        let frame = bitcode::encode(&Question {
+        let frame = bitcode::encode(&Query {
             cell: cell.to_owned(),
             revision,
         });
@@ -13,7 +13,7 @@
             "question of {cell:?} at {revision}: {}\n",
             hex(&frame)
         ));
-        let read: Question = bitcode::decode(&frame).unwrap();
+        let read: Query = bitcode::decode(&frame).unwrap();
         assert_eq!((read.cell.as_str(), read.revision), (cell, revision));
     }
     let lost: [(bool, &[&str]); 4] = [
@@ -23,17 +23,17 @@
         (false, &["job-000412", "job-7"]),
     ];
     for (is_disconnected, lost) in lost {
-        let frame = bitcode::encode(&Answer {
+        let frame = bitcode::encode(&Response {
             is_disconnected,
-            lost: lost.iter().map(|id| (*id).to_owned()).collect(),
+            revoked_jobs: lost.iter().map(|id| (*id).to_owned()).collect(),
         });
         trace.push_str(&format!(
             "answer {is_disconnected} {lost:?}: {}\n",
             hex(&frame)
         ));
-        let read: Answer = bitcode::decode(&frame).unwrap();
+        let read: Response = bitcode::decode(&frame).unwrap();
         assert_eq!(read.is_disconnected, is_disconnected);
-        assert_eq!(read.lost, lost);
+        assert_eq!(read.revoked_jobs, lost);
     }
     insta::assert_snapshot!("testimony_frames", trace);
 }
@@ -41,7 +41,7 @@
 /// The frame as it goes over the connection, with what begins it, and an answer in the bytes that
 /// another controller sends.
 #[tokio::test]
-async fn a_question_to_other_cells_is_sent_as_the_same_bytes() {
+async fn attestation_query_is_sent_as_the_same_bytes() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let peer = listener.local_addr().unwrap();
     let answering = tokio::spawn(async move {
@@ -51,14 +51,14 @@
         let mut frame = vec![0; usize::from(question[5])];
         stream.read_exact(&mut frame).await.unwrap();
         question.extend(frame);
-        let answer = bitcode::encode(&Answer {
+        let answer = bitcode::encode(&Response {
             is_disconnected: true,
-            lost: vec!["job-000412".to_owned()],
+            revoked_jobs: vec!["job-000412".to_owned()],
         });
         write_frame(&mut stream, answer).await.unwrap();
         hex(&question)
     });
-    let lost = ask_all(vec![peer], "stone", 9).await;
+    let lost = collect_attestations(vec![peer], "stone", 9).await;
     assert_eq!(lost, Some(vec!["job-000412".to_owned()]));
     insta::assert_snapshot!("testimony_question_on_the_wire", answering.await.unwrap());
 }
--- a/src/cells/mod.rs
+++ b/src/cells/mod.rs
@@ -2,11 +2,11 @@
 //! what the ledger changes about users' requests and workers' reports. Without an operators' file there
 //! are no cells, and none of this does anything.
 
+mod attestation;
 pub mod protection;
 pub mod requests;
-mod testimony;
 
-pub use testimony::{ASKED, answer};
+pub use attestation::{ATTESTATION_QUERY, answer_query};
 
 use crate::api::users::{Verdict, check_acceptance, fits};
 use crate::jobs::{Final, GivenUp, JobRecord, Stored, Submission};
@@ -14,7 +14,7 @@
 use crate::node::{Core, Node, wall_ms};
 use crate::state::{Guard, Op, TxnError, final_key, given_up_key, job_key};
 use crate::workers::Report;
-use protection::Barred;
+use protection::ProtectionExclusion;
 use rowanmill_cells::record::CapacitySummary;
 use rowanmill_cells::service::BackgroundTask;
 use rowanmill_cells::{
@@ -36,7 +36,7 @@
 }
 
 /// What the cells' file is checked against.
-pub fn worker_times(settings: &crate::settings::Settings) -> WorkerTiming {
+pub fn worker_timing(settings: &crate::settings::Settings) -> WorkerTiming {
     WorkerTiming {
         lease: settings.worker_lease(),
         disconnected_lease_limit: settings.disconnected_lease_limit(),
@@ -85,7 +85,7 @@
 }
 
 /// Jobs on a machine that must not run by the ledger, whatever the cell's own records say yet.
-pub fn halted_on(node: &Node, core: &Core, report: &Report) -> BTreeSet<String> {
+pub fn halted_jobs_on(node: &Node, core: &Core, report: &Report) -> BTreeSet<String> {
     let Some(cells) = &node.cells else {
         return BTreeSet::new();
     };
@@ -98,7 +98,7 @@
 
 /// Whether a machine's report may be answered as far as the ledger goes: one with tasks of its jobs would
 /// else keep alive what another cell was told is cancelled, or has taken over.
-pub fn may_renew(node: &Node, report: &Report, now: Instant) -> bool {
+pub fn permits_renewal(node: &Node, report: &Report, now: Instant) -> bool {
     let Some(cells) = &node.cells else {
         return true;
     };
@@ -106,7 +106,7 @@
 }
 
 /// Whether tasks may be started as far as the ledger goes.
-pub fn may_start(node: &Node, now: Instant) -> bool {
+pub fn permits_starts(node: &Node, now: Instant) -> bool {
     let cells = node.cells.as_ref();
     cells.is_none_or(|cells| cells.permits_starts(now))
 }
@@ -147,9 +147,10 @@
     }
 
     /// Whether the job is another cell's and all its room is protected.
-    fn barred(&self, record: &JobRecord) -> Option<Barred> {
-        let barred = || protection::barred(&self.node, &self.node.core(), &record.spec, wall_ms());
-        if record.foreign { barred() } else { None }
+    fn exclusion_of(&self, record: &JobRecord) -> Option<ProtectionExclusion> {
+        let exclusion =
+            || protection::exclusion_of(&self.node, &self.node.core(), &record.spec, wall_ms());
+        if record.foreign { exclusion() } else { None }
     }
 
     /// The revision and epoch of the cell's having given up the job.
@@ -267,7 +268,7 @@
         age_ms: now_ms.saturating_sub(job.record.since_ms()),
         excluded_by_protection: job.record.foreign
             && !begun
-            && protection::barred(node, core, spec, now_ms).is_some(),
+            && protection::exclusion_of(node, core, spec, now_ms).is_some(),
     }
 }
 
@@ -319,7 +320,7 @@
 
     fn can_run(&self, job: &LedgerJob) -> bool {
         self.record_of(job, 0).is_ok_and(|record| {
-            self.barred(&record).is_none() && self.verdict(&record) == Verdict::Takes
+            self.exclusion_of(&record).is_none() && self.verdict(&record) == Verdict::Takes
         })
     }
 
@@ -359,7 +360,7 @@
             Ok(record) => record,
             Err(reason) => return Ok(AdoptionOutcome::Ineligible { reason }),
         };
-        if let Some(Barred { until_ms }) = self.barred(&record) {
+        if let Some(ProtectionExclusion { until_ms }) = self.exclusion_of(&record) {
             let reason = match until_ms {
                 Some(at_ms) => format!("only protected room, until {at_ms} ms of the epoch"),
                 None => "only protected room".to_owned(),
@@ -433,6 +434,6 @@
 
     async fn collect_attestations(&self, cell: &str, revision: u64) -> Option<Vec<String>> {
         let others = self.cells.other_controllers(self.node.settings.mesh_addr);
-        testimony::ask_all(others, cell, revision).await
+        attestation::collect_attestations(others, cell, revision).await
     }
 }
--- a/src/cells/protection.rs
+++ b/src/cells/protection.rs
@@ -21,7 +21,7 @@
 }
 
 /// The sorts of machine that are protected now, as the mapping numbers them.
-pub fn protected_sorts(node: &Node, core: &mut Core, now_ms: u64) -> BTreeSet<Sort> {
+pub fn protected_pools(node: &Node, core: &mut Core, now_ms: u64) -> BTreeSet<Sort> {
     let mut protected = BTreeSet::new();
     if !node.policy.has_protection() {
         return protected;
@@ -41,13 +41,18 @@
 
 /// A protection that leaves a job no room.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Barred {
+pub struct ProtectionExclusion {
     /// When the first of the machines that it may use is free of it, if that is within days.
     pub until_ms: Option<u64>,
 }
 
 /// Whether all machines that a job may use are protected.
-pub fn barred(node: &Node, core: &Core, spec: &JobSpec, now_ms: u64) -> Option<Barred> {
+pub fn exclusion_of(
+    node: &Node,
+    core: &Core,
+    spec: &JobSpec,
+    now_ms: u64,
+) -> Option<ProtectionExclusion> {
     if !node.policy.has_protection() {
         return None;
     }
@@ -67,7 +72,7 @@
             }
         }
     }
-    Some(Barred { until_ms })
+    Some(ProtectionExclusion { until_ms })
 }
 
 /// Whether a machine is protected: it is not drained by choice.
--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -65,7 +65,7 @@
             let talk = async {
                 match stream.read_u16().await? {
                     attestation::ASKED => attestation::answer(&node, &mut stream).await,
-                    cells::ASKED => cells::answer(&node, &mut stream).await,
+                    cells::ATTESTATION_QUERY => cells::answer_query(&node, &mut stream).await,
                     length => {
                         let _asker = receive_rest(&mut stream, length.into()).await?;
                         send(&mut stream, &status(&node)).await
--- a/src/operator_files.rs
+++ b/src/operator_files.rs
@@ -14,7 +14,7 @@
     cell: &str,
     settings: &Settings,
 ) -> Result<CellsConfig, ConfigError> {
-    let times = cells::worker_times(settings);
+    let times = cells::worker_timing(settings);
     CellsConfig::load_checked(path, |config| config.check_cell(cell, &times))
 }
 
--- a/src/placement/views.rs
+++ b/src/placement/views.rs
@@ -4,7 +4,7 @@
 use super::preempt::{Claim, Occupant};
 use super::rooms::TeamRooms;
 use super::{By, JobView, MachineView, Need};
-use crate::cells::protection::{barred, protected_sorts};
+use crate::cells::protection::{exclusion_of, protected_pools};
 use crate::jobs::{Entry, JobRecord, JobSpec, Shape, Urgency};
 use crate::membership::assignment::spot_of;
 use crate::node::{Core, Node, age_s};
@@ -191,7 +191,7 @@
     };
     let teams = team_rooms(node, core, &used, &mut views.rooms);
     let within = within_guarantee(node, core);
-    let protected = Arc::new(protected_sorts(node, core, now_ms));
+    let protected = Arc::new(protected_pools(node, core, now_ms));
     let mut largest: HashMap<String, f64> = HashMap::new();
     for (id, progress) in &core.views.jobs {
         if let Some(job) = core.replica.jobs.get(id) {
@@ -229,7 +229,7 @@
         let mut hopeless = failures.is_some_and(|f| f.is_everywhere());
         if job.record.foreign && !protected.is_empty() {
             view.barred = protected.clone();
-            hopeless |= barred(node, core, spec, now_ms).is_some();
+            hopeless |= exclusion_of(node, core, spec, now_ms).is_some();
         }
         let guaranteed = within.get(&spec.team).copied().unwrap_or(false);
         view.guaranteed = guaranteed;
--- a/src/workers/service.rs
+++ b/src/workers/service.rs
@@ -63,7 +63,7 @@
     }
     // A cancellation may have passed us by: keeping the worker's lease alive would keep cancelled
     // tasks running. It ends by itself if we stay silent.
-    if !node.may_renew() || !cells::may_renew(node, &report, Instant::now()) {
+    if !node.may_renew() || !cells::permits_renewal(node, &report, Instant::now()) {
         note_there(&mut node.core(), &report, Instant::now());
         return come_back(StatusCode::SERVICE_UNAVAILABLE, 1, "no state service");
     }
@@ -170,14 +170,14 @@
 fn may_start(node: &Node, core: &Core, now: Instant) -> bool {
     let age = |proof| now.saturating_duration_since(proof);
     let is_read = core.proof.is_some_and(|p| age(p) <= STARTS_WITHIN);
-    is_read && cells::may_start(node, now)
+    is_read && cells::permits_starts(node, now)
 }
 
 /// Jobs of which nothing may run on the machine, beyond what the records say: other controllers know them
 /// to be cancelled, or the cells' ledger does.
 fn must_not_run(node: &Node, core: &Core, report: &Report) -> Arc<BTreeSet<String>> {
     let mut cancelled = node.peer_status().cancelled.clone();
-    let halted = cells::halted_on(node, core, report);
+    let halted = cells::halted_jobs_on(node, core, report);
     if !halted.is_empty() {
         Arc::make_mut(&mut cancelled).extend(halted);
     }
