--- /dev/null
+++ b/src/cells/heartbeats.rs
@@ -0,0 +1,51 @@
+//! What the ledger permits of the answer to a worker's heartbeat. It decides; the workers' service acts.
+
+use super::local_state::tracked_job;
+use crate::node::{Core, Node};
+use crate::workers::Report;
+use rowanmill_cells::TrackedJob;
+use std::collections::BTreeSet;
+use std::time::Instant;
+
+/// Whether the machine's heartbeat may be answered, which renews its lease. Without a recent read of the
+/// ledger, renewing the lease of a machine with tasks of its jobs would keep alive what another cell has
+/// confirmed as cancelled, or has taken over.
+pub fn permits_renewal(node: &Node, report: &Report, now: Instant) -> bool {
+    let Some(cells) = &node.cells else {
+        return true;
+    };
+    cells.permits_renewals(now) || tracked_jobs_on(&node.core(), report).is_empty()
+}
+
+/// Whether tasks may be started.
+pub fn permits_starts(node: &Node, now: Instant) -> bool {
+    let cells = node.cells.as_ref();
+    cells.is_none_or(|cells| cells.permits_starts(now))
+}
+
+/// Jobs with tasks on the machine that must not run by the ledger, whatever the cell's own records say yet.
+pub fn halted_jobs_on(node: &Node, core: &Core, report: &Report) -> BTreeSet<String> {
+    let Some(cells) = &node.cells else {
+        return BTreeSet::new();
+    };
+    let tracked = tracked_jobs_on(core, report);
+    if tracked.is_empty() {
+        return BTreeSet::new();
+    }
+    cells.halted_among(&tracked)
+}
+
+/// Jobs with a record in the ledger that have tasks on the machine, by the cell's records, by planned
+/// changes to them or by the heartbeat.
+fn tracked_jobs_on(core: &Core, report: &Report) -> Vec<TrackedJob> {
+    let recorded = core.replica.on.get(&report.machine).into_iter().flatten();
+    let recorded = recorded.map(|(job, _)| job.as_str());
+    let planned = core.plans.on(&report.machine).map(|(job, _)| job.as_str());
+    let reported = report.tasks.iter();
+    let reported = reported.filter_map(|task| crate::jobs::split_task(&task.task));
+    let reported = reported.map(|(job, _)| job);
+    let ids: BTreeSet<&str> = recorded.chain(planned).chain(reported).collect();
+    let jobs = &core.replica.jobs;
+    let tracked = |id: &str| tracked_job(id, &jobs.get(id)?.record);
+    ids.into_iter().filter_map(tracked).collect()
+}
--- /dev/null
+++ b/src/cells/local_state.rs
@@ -0,0 +1,76 @@
+//! The cell's own records as the cells' planner sees them: states of jobs, and the cell's capacity. It only
+//! reads.
+
+use super::protection;
+use crate::jobs::{Final, JobRecord};
+use crate::node::{Core, Node};
+use rowanmill_cells::record::CapacitySummary;
+use rowanmill_cells::{LocalJobState, TrackedJob};
+
+/// The job, if it has a record in the ledger.
+pub(super) fn tracked_job(id: &str, record: &JobRecord) -> Option<TrackedJob> {
+    Some(TrackedJob {
+        id: id.to_owned(),
+        ownership: record.ledger?,
+        is_stopped: record.cancelled,
+    })
+}
+
+/// All open jobs of the records that have a record in the ledger.
+pub(super) fn tracked_jobs(core: &Core) -> Vec<TrackedJob> {
+    let jobs = core.replica.jobs.iter();
+    jobs.filter_map(|(id, job)| tracked_job(id, &job.record))
+        .collect()
+}
+
+/// The state of a job, by the records in memory.
+pub(super) fn local_job_state(node: &Node, core: &Core, id: &str, now_ms: u64) -> LocalJobState {
+    let Some(job) = core.replica.jobs.get(id) else {
+        return state_without_record(core, id);
+    };
+    if job.record.withdrawn {
+        return LocalJobState::Withdrawn;
+    }
+    if job.record.cancelled {
+        return LocalJobState::Cancelling;
+    }
+    let has_planned_tasks = core.plans.of(id).is_some_and(|planned| !planned.is_empty());
+    let has_started = job.placed > 0 || job.done > 0 || has_planned_tasks;
+    let is_excluded = || protection::exclusion_of(node, core, &job.record.spec, now_ms).is_some();
+    LocalJobState::Open {
+        has_started,
+        age_ms: now_ms.saturating_sub(job.record.since_ms()),
+        excluded_by_protection: job.record.foreign && !has_started && is_excluded(),
+    }
+}
+
+fn state_without_record(core: &Core, id: &str) -> LocalJobState {
+    match core.replica.ended(id) {
+        Some(Final::Done) => LocalJobState::Completed,
+        Some(Final::Cancelled) => LocalJobState::Cancelled,
+        // Nothing is done about a job whose record cannot be read.
+        None if core.replica.is_unreadable(id) => LocalJobState::Cancelling,
+        None => LocalJobState::Absent,
+    }
+}
+
+/// The cell's capacity, by its records.
+pub(super) fn capacity_summary(core: &Core, now_ms: u64) -> CapacitySummary {
+    let machines = core.replica.fleet.machines.values();
+    let cpus = machines.map(|machine| core.kind(&machine.kind).map_or(0.0, |kind| kind.cpus));
+    let total_cpus: f64 = cpus.fold(0.0, |total, cpus| total + cpus);
+    let (mut used_cpus, mut waiting_tasks) = (0.0, 0);
+    for job in core.replica.jobs.values() {
+        used_cpus += f64::from(job.placed) * job.record.spec.cpus;
+        if !job.record.cancelled {
+            let started = job.done + job.placed;
+            waiting_tasks += u64::from(job.record.spec.tasks.saturating_sub(started));
+        }
+    }
+    CapacitySummary {
+        computed_ms: now_ms,
+        waiting_tasks,
+        free_cpus: (total_cpus - used_cpus).max(0.0),
+        can_rent: core.rent.refused.is_empty(),
+    }
+}
--- a/src/cells/protection.rs
+++ b/src/cells/protection.rs
@@ -1,5 +1,7 @@
-//! Protected room: where a job of another cell would only fit machines that the operators protect, it is
-//! declined, with the reason and the time, before it is taken.
+//! Protection of machines from the work of other cells. A job of another cell that only fits protected
+//! machines is declined, with the reason and the time, before it is adopted.
+//!
+//! The policy decides what is protected; this module applies it to machine pools, jobs and machines.
 
 use crate::cloud::MachineType;
 use crate::jobs::JobSpec;
@@ -8,30 +10,37 @@
 use crate::placement::views::kinds_for;
 use crate::policy::MachinePoolFacts;
 use std::collections::BTreeSet;
+use std::fmt;
 
-fn facts<'a>(kind: &'a MachineType, zone: &'a str, spot: bool) -> MachinePoolFacts<'a> {
+fn pool_facts<'a>(
+    machine_type: &'a MachineType,
+    zone: &'a str,
+    spot: bool,
+) -> MachinePoolFacts<'a> {
     MachinePoolFacts {
-        machine_type: &kind.name,
-        cpus: kind.cpus,
-        gpus: kind.gpus,
-        price: kind.price,
+        machine_type: &machine_type.name,
+        cpus: machine_type.cpus,
+        gpus: machine_type.gpus,
+        price: machine_type.price,
         zone,
         spot,
     }
 }
 
-/// The sorts of machine that are protected now, as the mapping numbers them.
+/// The machine pools that are protected now, as the forecast numbers them.
 pub fn protected_pools(node: &Node, core: &mut Core, now_ms: u64) -> BTreeSet<Sort> {
     let mut protected = BTreeSet::new();
     if !node.policy.has_protection() {
         return protected;
     }
     let names = &mut core.views.names;
-    for kind in &core.kinds {
-        for zone in &kind.zones {
+    for machine_type in &core.kinds {
+        for zone in &machine_type.zones {
             for spot in [false, true] {
-                if node.policy.is_protected(&facts(kind, zone, spot), now_ms) {
-                    protected.insert((names.number(&kind.name), names.number(zone), spot));
+                let facts = pool_facts(machine_type, zone, spot);
+                if node.policy.is_protected(&facts, now_ms) {
+                    let type_number = names.number(&machine_type.name);
+                    protected.insert((type_number, names.number(zone), spot));
                 }
             }
         }
@@ -39,14 +48,25 @@
     protected
 }
 
-/// A protection that leaves a job no room.
+/// A protection that leaves a job no machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProtectionExclusion {
-    /// When the first of the machines that it may use is free of it, if that is within days.
+    /// When the first of the machines that the job may use is free of protection, in milliseconds since
+    /// the Unix epoch, if that is within days.
     pub until_ms: Option<u64>,
 }
 
-/// Whether all machines that a job may use are protected.
+impl fmt::Display for ProtectionExclusion {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("only protected room")?;
+        match self.until_ms {
+            Some(at_ms) => write!(f, ", until {at_ms} ms of the epoch"),
+            None => Ok(()),
+        }
+    }
+}
+
+/// The protection of all machines that a job may use; `None` if one of them is not protected.
 pub fn exclusion_of(
     node: &Node,
     core: &Core,
@@ -56,26 +76,34 @@
     if !node.policy.has_protection() {
         return None;
     }
-    let kinds = kinds_for(core, spec);
-    let kinds = kinds.iter().filter_map(|name| core.kind(name));
+    let eligible = kinds_for(core, spec);
+    let machine_types = eligible.iter().filter_map(|name| core.kind(name));
     let mut until_ms = None;
-    for kind in kinds {
-        let zones = kind.zones.iter();
-        for zone in zones.filter(|zone| spec.zone.as_ref().is_none_or(|only| only == *zone)) {
+    for machine_type in machine_types {
+        let zones = machine_type.zones.iter();
+        let permitted = zones.filter(|zone| spec.zone.as_ref().is_none_or(|only| only == *zone));
+        for zone in permitted {
             for spot in [false, true].into_iter().filter(|spot| !spot || spec.spot) {
-                let sort = facts(kind, zone, spot);
-                if !node.policy.is_protected(&sort, now_ms) {
+                let facts = pool_facts(machine_type, zone, spot);
+                if !node.policy.is_protected(&facts, now_ms) {
                     return None;
                 }
-                let ends = node.policy.protection_end_ms(&sort, now_ms);
-                until_ms = [until_ms, ends].into_iter().flatten().min();
+                let end = node.policy.protection_end_ms(&facts, now_ms);
+                until_ms = [until_ms, end].into_iter().flatten().min();
             }
         }
     }
     Some(ProtectionExclusion { until_ms })
 }
 
-/// Whether a machine is protected: it is not drained by choice.
-pub fn is_protected(node: &Node, kind: &MachineType, zone: &str, spot: bool, now_ms: u64) -> bool {
-    node.policy.is_protected(&facts(kind, zone, spot), now_ms)
+/// Whether a machine is protected, so that it is not drained by choice.
+pub fn is_protected(
+    node: &Node,
+    machine_type: &MachineType,
+    zone: &str,
+    spot: bool,
+    now_ms: u64,
+) -> bool {
+    let facts = pool_facts(machine_type, zone, spot);
+    node.policy.is_protected(&facts, now_ms)
 }
--- a/src/cells/requests.rs
+++ b/src/cells/requests.rs
@@ -250,6 +250,6 @@
     tokio::spawn(async move {
         let id = record.spec.id.clone();
         let never_given_up = 0;
-        let _ = scheduler.put(&id, record, never_given_up).await;
+        let _ = scheduler.write_adopted(&id, record, never_given_up).await;
     });
 }
--- /dev/null
+++ b/src/cells/scheduler.rs
@@ -0,0 +1,325 @@
+//! The cell's own scheduler, as `rowanmill-cells` reaches it: its records of the ledger's jobs, each
+//! written with a precondition on what was read before.
+
+use super::attestation;
+use super::local_state::{capacity_summary, local_job_state, tracked_jobs};
+use super::protection::{self, ProtectionExclusion};
+use crate::api::users::{Verdict, check_acceptance, fits};
+use crate::jobs::{GivenUp, JobRecord, SpecError, Stored, Submission};
+use crate::membership;
+use crate::node::{Core, Node, wall_ms};
+use crate::state::replica::Job;
+use crate::state::{Guard, Op, TxnError, final_key, given_up_key, job_key};
+use rowanmill_cells::record::CapacitySummary;
+use rowanmill_cells::{
+    AdoptionOutcome, CellCoordinator, LedgerJob, LocalJobState, OwnershipVersion, Scheduler,
+    TrackedJob, Unavailable, WithdrawalCondition,
+};
+use rowanmill_state::Need;
+use std::sync::Arc;
+
+/// The scheduler of this cell.
+pub struct CellScheduler {
+    node: Arc<Node>,
+    cells: Arc<CellCoordinator>,
+}
+
+/// Revision of a key without a value: a precondition with it holds where the key does not exist.
+pub const NO_REVISION: u64 = 0;
+
+/// The record that the cell relinquished a job.
+struct RelinquishedRecord {
+    epoch: u64,
+    revision: u64,
+}
+
+/// Why a job cannot be put into the cell's records.
+enum Refusal {
+    /// The cell cannot run it.
+    Ineligible(String),
+    /// That cannot be decided now.
+    Undetermined,
+}
+
+impl CellScheduler {
+    pub fn new(node: &Arc<Node>, cells: &Arc<CellCoordinator>) -> Self {
+        Self {
+            node: node.clone(),
+            cells: cells.clone(),
+        }
+    }
+
+    /// The cell's own record of one of the ledger's jobs. The description is validated as strictly as a
+    /// user's request: another cell is trusted no more.
+    fn record_of(&self, job: &LedgerJob, revision: u64) -> Result<JobRecord, SpecError> {
+        let text = job.description.to_string();
+        let Submission { spec, .. } = Submission::read(text.as_bytes())?;
+        Ok(JobRecord {
+            spec,
+            accepted_ms: job.accepted_ms,
+            cancelled: false,
+            placer: None,
+            released_ms: (!job.depends_on.is_empty()).then(wall_ms),
+            ledger: Some(OwnershipVersion {
+                epoch: job.epoch,
+                revision,
+            }),
+            foreign: job.home != self.cells.cell_name(),
+            withdrawn: false,
+        })
+    }
+
+    /// The record by which the cell would run one of the ledger's jobs.
+    fn eligible_record(&self, job: &LedgerJob, revision: u64) -> Result<JobRecord, Refusal> {
+        let record = self
+            .record_of(job, revision)
+            .map_err(|error| Refusal::Ineligible(error.to_string()))?;
+        if let Some(exclusion) = self.exclusion_of(&record) {
+            return Err(Refusal::Ineligible(exclusion.to_string()));
+        }
+        match self.verdict_on(&record) {
+            Verdict::Takes => Ok(record),
+            Verdict::Never(reason) => Err(Refusal::Ineligible(reason.to_owned())),
+            Verdict::TooLarge => Err(Refusal::Ineligible("more than a record takes".to_owned())),
+            Verdict::Undecided | Verdict::NoMemory | Verdict::NotYet => Err(Refusal::Undetermined),
+        }
+    }
+
+    fn verdict_on(&self, record: &JobRecord) -> Verdict {
+        if fits(&self.node, record, &[]) {
+            check_acceptance(&self.node, &record.spec, &[])
+        } else {
+            Verdict::TooLarge
+        }
+    }
+
+    /// The protection that leaves a job of another cell no machine, if any does.
+    fn exclusion_of(&self, record: &JobRecord) -> Option<ProtectionExclusion> {
+        if !record.foreign {
+            return None;
+        }
+        protection::exclusion_of(&self.node, &self.node.core(), &record.spec, wall_ms())
+    }
+
+    /// The record that the cell relinquished the job, if there is one.
+    async fn read_relinquished(&self, id: &str) -> Result<Option<RelinquishedRecord>, Unavailable> {
+        let pair = self.node.state.get_pair(&given_up_key(id)).await;
+        let Some(pair) = pair.map_err(|_| Unavailable)? else {
+            return Ok(None);
+        };
+        let GivenUp { epoch } = serde_json::from_str(pair.data.get()).map_err(|_| Unavailable)?;
+        Ok(Some(RelinquishedRecord {
+            epoch,
+            revision: pair.mark,
+        }))
+    }
+
+    /// Whether the job ended in this cell, by memory or by its final key.
+    async fn has_ended(&self, id: &str) -> Result<bool, Unavailable> {
+        if self.node.core().replica.ended(id).is_some() {
+            return Ok(true);
+        }
+        let value = self.node.state.get(&final_key(id)).await;
+        let Some(value) = value.map_err(|_| Unavailable)? else {
+            return Ok(false);
+        };
+        let final_state = serde_json::from_value(value).map_err(|_| Unavailable)?;
+        self.node.core().replica.remember_ended(id, final_state);
+        Ok(true)
+    }
+
+    /// Whether the job is in the records already, so that nothing is to be written.
+    fn is_adopted(&self, id: &str) -> Result<bool, Unavailable> {
+        let core = self.node.core();
+        if core.replica.is_unreadable(id) {
+            return Err(Unavailable);
+        }
+        match core.replica.jobs.get(id) {
+            // A job that is leaving is adopted again once it has left.
+            Some(job) if job.record.withdrawn => Err(Unavailable),
+            Some(_) => Ok(true),
+            None => Ok(false),
+        }
+    }
+
+    /// Writes the record of a job that was not in the records. The preconditions fail if it was there
+    /// since, however it left. `relinquished_revision` is the revision of its last relinquishment.
+    pub async fn write_adopted(
+        &self,
+        id: &str,
+        mut record: JobRecord,
+        relinquished_revision: u64,
+    ) -> Result<(), Unavailable> {
+        let node = &self.node;
+        if node.state.writes_left(Need::User) == 0 {
+            return Err(Unavailable);
+        }
+        record.placer = membership::choose_placer(node, &mut node.core(), &record);
+        let preconditions = never_here_since(id, relinquished_revision);
+        let put = Op::set(job_key(id), &Stored::Open(record));
+        self.write(&preconditions, vec![put]).await
+    }
+
+    /// Commits a change of the cell's records and applies it to the replica.
+    async fn write(&self, preconditions: &[Guard], operations: Vec<Op>) -> Result<(), Unavailable> {
+        let node = &self.node;
+        match node.state.transact(preconditions, &operations).await {
+            Ok(revision) => {
+                node.core().apply(operations, revision);
+                node.wake_up.notify_one();
+                Ok(())
+            }
+            Err(error) => {
+                if !matches!(error, TxnError::Refused) {
+                    // The records in memory may be outdated.
+                    node.sync().await;
+                }
+                Err(Unavailable)
+            }
+        }
+    }
+
+    /// Replaces an open job's record by what `update` makes of it; does nothing if that is `None`, or if
+    /// the job is not open.
+    async fn update_record(
+        &self,
+        id: &str,
+        update: impl FnOnce(&Core, &Job) -> Option<JobRecord>,
+    ) -> Result<(), Unavailable> {
+        let (precondition, record) = {
+            let core = self.node.core();
+            let Some(job) = core.replica.jobs.get(id) else {
+                return Ok(());
+            };
+            let Some(record) = update(&core, job) else {
+                return Ok(());
+            };
+            let precondition = Guard {
+                k: job_key(id),
+                mark: job.mark,
+            };
+            (precondition, record)
+        };
+        let put = Op::set(job_key(id), &Stored::Open(record));
+        self.write(&[precondition], vec![put]).await
+    }
+}
+
+/// The preconditions that a job is not in the records, has not ended here, and was not relinquished after
+/// this revision.
+fn never_here_since(id: &str, relinquished_revision: u64) -> [Guard; 3] {
+    [
+        Guard::absent(job_key(id)),
+        Guard::absent(final_key(id)),
+        Guard {
+            k: given_up_key(id),
+            mark: relinquished_revision,
+        },
+    ]
+}
+
+impl Scheduler for CellScheduler {
+    fn is_leader(&self) -> bool {
+        membership::lead_mark(&self.node).is_some()
+    }
+
+    fn local_job_states(&self, ids: &[String]) -> Vec<LocalJobState> {
+        let core = self.node.core();
+        let now_ms = wall_ms();
+        let state = |id: &String| local_job_state(&self.node, &core, id, now_ms);
+        ids.iter().map(state).collect()
+    }
+
+    fn tracked_jobs(&self) -> Vec<TrackedJob> {
+        tracked_jobs(&self.node.core())
+    }
+
+    fn capacity_summary(&self) -> CapacitySummary {
+        capacity_summary(&self.node.core(), wall_ms())
+    }
+
+    fn can_run(&self, job: &LedgerJob) -> bool {
+        self.eligible_record(job, NO_REVISION).is_ok()
+    }
+
+    async fn adopt(
+        &self,
+        id: &str,
+        job: &LedgerJob,
+        revision: u64,
+    ) -> Result<AdoptionOutcome, Unavailable> {
+        if !self.node.sync().await {
+            return Err(Unavailable);
+        }
+        if self.is_adopted(id)? {
+            return Ok(AdoptionOutcome::Adopted);
+        }
+        // Read before the final key: a job that ends or leaves in the meantime fails the preconditions.
+        let relinquished = self.read_relinquished(id).await?;
+        if self.has_ended(id).await? {
+            return Ok(AdoptionOutcome::AlreadyEnded);
+        }
+        if let Some(relinquished) = &relinquished
+            && relinquished.epoch == job.epoch
+        {
+            let epoch = job.epoch;
+            return Ok(AdoptionOutcome::Relinquished { epoch });
+        }
+        let record = match self.eligible_record(job, revision) {
+            Ok(record) => record,
+            Err(Refusal::Ineligible(reason)) => return Ok(AdoptionOutcome::Ineligible { reason }),
+            Err(Refusal::Undetermined) => return Err(Unavailable),
+        };
+        let relinquished_revision = relinquished.map_or(NO_REVISION, |record| record.revision);
+        self.write_adopted(id, record, relinquished_revision)
+            .await?;
+        Ok(AdoptionOutcome::Adopted)
+    }
+
+    async fn relinquish(&self, id: &str, epoch: u64) -> Result<bool, Unavailable> {
+        if !self.node.sync().await {
+            return Err(Unavailable);
+        }
+        let previous = self.read_relinquished(id).await?;
+        let previous_revision = previous.map_or(NO_REVISION, |record| record.revision);
+        let preconditions = never_here_since(id, previous_revision);
+        let put = Op::set(given_up_key(id), &GivenUp { epoch });
+        self.write(&preconditions, vec![put]).await?;
+        Ok(true)
+    }
+
+    async fn cancel(&self, id: &str) -> Result<(), Unavailable> {
+        self.update_record(id, |_, job| {
+            let record = &job.record;
+            (!record.cancelled).then(|| record.clone().into_cancelled())
+        })
+        .await
+    }
+
+    async fn withdraw(
+        &self,
+        id: &str,
+        ownership: OwnershipVersion,
+        condition: WithdrawalCondition,
+    ) -> Result<(), Unavailable> {
+        self.update_record(id, |core, job| {
+            let state = local_job_state(&self.node, core, id, wall_ms());
+            let has_started = matches!(
+                state,
+                LocalJobState::Open {
+                    has_started: true,
+                    ..
+                }
+            );
+            let is_kept = condition == WithdrawalCondition::NotStarted && has_started;
+            let is_unchanged = job.record.withdrawn || is_kept;
+            (!is_unchanged).then(|| job.record.clone().into_withdrawn(ownership))
+        })
+        .await
+    }
+
+    async fn collect_attestations(&self, cell: &str, revision: u64) -> Option<Vec<String>> {
+        let others = self.cells.other_controllers(self.node.settings.mesh_addr);
+        attestation::collect_attestations(others, cell, revision).await
+    }
+}
