--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -301,7 +301,7 @@
         return busy();
     };
     if let Some(cells) = &server.node.cells
-        && let Some(answer) = requests::known_answer(&server.node, cells, &id).await
+        && let Some(answer) = requests::answer_if_known(&server.node, cells, &id).await
     {
         return answer;
     }
@@ -460,7 +460,7 @@
         return busy();
     };
     if let Some(cells) = &node.cells
-        && let Some(answer) = requests::abort(node, cells, id).await
+        && let Some(answer) = requests::cancel(node, cells, id).await
     {
         return answer;
     }
--- /dev/null
+++ b/src/cells/requests/cancel.rs
@@ -0,0 +1,49 @@
+//! Cancellations where there are cells.
+
+use super::ledger_unavailable;
+use super::{cancellation_unconfirmed, ended, in_stage, is_cancelled_locally, is_local};
+use crate::api::Answer;
+use crate::cells::CellScheduler;
+use crate::jobs::Stage;
+use crate::node::Node;
+use rowanmill_cells::{CancelOutcome, CellCoordinator, Scheduler};
+use std::sync::Arc;
+
+/// Answers a cancellation; `None` if only this cell knows the job.
+pub async fn cancel(node: &Arc<Node>, cells: &Arc<CellCoordinator>, id: &str) -> Option<Answer> {
+    match cells.cancel(id).await {
+        CancelOutcome::Confirmed => Some(in_stage(id, Stage::Cancelled)),
+        CancelOutcome::Recorded { owned_here } => {
+            Some(confirm_recorded(node, cells, id, owned_here).await)
+        }
+        CancelOutcome::AlreadyEnded(final_state) => Some(ended(id, final_state)),
+        CancelOutcome::Unknown => None,
+        CancelOutcome::Indeterminate if is_local(node, id) => None,
+        CancelOutcome::Indeterminate => {
+            // Without the ledger it cannot be confirmed: another cell may own the job by now. But the
+            // tasks here are of no use to anybody any more, so they are stopped if that can be recorded.
+            let _ = CellScheduler::new(node, cells).cancel(id).await;
+            Some(ledger_unavailable())
+        }
+    }
+}
+
+/// Answers a cancellation that is in the ledger, once it may be confirmed.
+async fn confirm_recorded(
+    node: &Arc<Node>,
+    cells: &Arc<CellCoordinator>,
+    id: &str,
+    owned_here: bool,
+) -> Answer {
+    if owned_here {
+        // If this fails the leader records it, by the ledger.
+        let _ = CellScheduler::new(node, cells).cancel(id).await;
+    }
+    let is_confirmed =
+        (owned_here && is_cancelled_locally(node, id)) || cells.await_cancellation(id).await;
+    if is_confirmed {
+        in_stage(id, Stage::Cancelled)
+    } else {
+        cancellation_unconfirmed()
+    }
+}
--- /dev/null
+++ b/src/cells/requests/mod.rs
@@ -0,0 +1,132 @@
+//! Users' requests where there are cells. The ledger says who owns a job, whether it is cancelled and how
+//! it ended; the cell's own records only say how far it is.
+//!
+//! No answer here may contradict what another controller may have answered.
+
+mod cancel;
+mod submit;
+
+pub use cancel::cancel;
+pub use submit::submit;
+
+use crate::api::users::{Known, current_state, told, told_progress};
+use crate::api::{Answer, come_back, error, json};
+use crate::jobs::{Final, Stage};
+use crate::node::Node;
+use hyper::StatusCode;
+use rowanmill_cells::{CellCoordinator, LedgerJobState};
+use std::sync::Arc;
+
+/// Seconds after which users repeat a request that could not be answered.
+const RETRY_AFTER_S: u64 = 1;
+
+fn ledger_unavailable() -> Answer {
+    come_back(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_S, "no ledger")
+}
+
+/// Another controller may have confirmed the cancellation, or may still start the job: neither may be
+/// contradicted.
+fn cancellation_unconfirmed() -> Answer {
+    let reason = "the cancellation is being confirmed";
+    come_back(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_S, reason)
+}
+
+fn in_stage(id: &str, stage: Stage) -> Answer {
+    json(StatusCode::OK, &told(id, stage))
+}
+
+fn ended(id: &str, final_state: impl Into<Final>) -> Answer {
+    in_stage(id, final_state.into().into())
+}
+
+/// A stage in which no task counts as running or done.
+fn without_tasks(id: &str, stage: Stage) -> Answer {
+    told_progress(id, stage, 0, 0)
+}
+
+/// Answers a poll.
+pub async fn poll(node: &Arc<Node>, cells: &CellCoordinator, id: &str) -> Answer {
+    match cells.job_state(id).await {
+        LedgerJobState::Ended(final_state) => ended(id, final_state),
+        LedgerJobState::Cancelled => without_tasks(id, Stage::Cancelled),
+        LedgerJobState::Cancelling { .. } if is_cancelled_locally(node, id) => {
+            without_tasks(id, Stage::Cancelled)
+        }
+        LedgerJobState::Cancelling { .. } => cancellation_unconfirmed(),
+        LedgerJobState::Open { owned_here: true } => progress(node, id),
+        LedgerJobState::Open { owned_here: false } => without_tasks(id, Stage::Queued),
+        LedgerJobState::Unknown => poll_unknown(node, id).await,
+        LedgerJobState::Indeterminate if is_local(node, id) => poll_local(node, id).await,
+        LedgerJobState::Indeterminate => ledger_unavailable(),
+    }
+}
+
+/// Answers a repeated submission by the ledger; `None` if the ledger never had the job.
+pub async fn answer_if_known(
+    node: &Arc<Node>,
+    cells: &CellCoordinator,
+    id: &str,
+) -> Option<Answer> {
+    Some(match cells.job_state(id).await {
+        LedgerJobState::Unknown => return None,
+        LedgerJobState::Ended(final_state) => ended(id, final_state),
+        LedgerJobState::Cancelled => in_stage(id, Stage::Cancelled),
+        LedgerJobState::Cancelling { .. } => cancellation_unconfirmed(),
+        LedgerJobState::Open { owned_here: true } => progress(node, id),
+        LedgerJobState::Open { owned_here: false } => in_stage(id, Stage::Queued),
+        LedgerJobState::Indeterminate => ledger_unavailable(),
+    })
+}
+
+/// Progress of an owned job, by the cell's own records.
+fn progress(node: &Node, id: &str) -> Answer {
+    let core = node.core();
+    let job = core.replica.jobs.get(id);
+    let Some(job) = job.filter(|job| !job.record.cancelled) else {
+        return without_tasks(id, Stage::Queued);
+    };
+    // Only the ledger says whether it is done.
+    let stage = match job.placed + job.done {
+        0 => Stage::Queued,
+        _ => Stage::Running,
+    };
+    told_progress(id, stage, job.done, job.placed)
+}
+
+/// Answers a poll of a job that the ledger never had. If this cell has it from the ledger all the same, the
+/// ledger has lost data, and nothing is said of the job.
+async fn poll_unknown(node: &Arc<Node>, id: &str) -> Answer {
+    let came_from_ledger = {
+        let core = node.core();
+        let job = core.replica.jobs.get(id);
+        job.is_some_and(|job| job.record.ledger.is_some())
+    };
+    if came_from_ledger {
+        return ledger_unavailable();
+    }
+    poll_local(node, id).await
+}
+
+async fn poll_local(node: &Arc<Node>, id: &str) -> Answer {
+    match current_state(node, id).await {
+        Known::Live(stage, done, placed) => told_progress(id, stage, done, placed),
+        Known::Over(final_state) => ended(id, final_state),
+        Known::Never => error(StatusCode::NOT_FOUND, "no such job"),
+        Known::Unclear => ledger_unavailable(),
+    }
+}
+
+/// Whether only this cell knows the job, because it was accepted before there were cells.
+fn is_local(node: &Node, id: &str) -> bool {
+    let core = node.core();
+    let is_blocked = core.replica.pipelines.get(id).is_some();
+    let job = core.replica.jobs.get(id);
+    is_blocked || job.is_some_and(|job| job.record.ledger.is_none())
+}
+
+/// Whether the cell's own records hold the cancellation: every start has them as its precondition.
+fn is_cancelled_locally(node: &Node, id: &str) -> bool {
+    let core = node.core();
+    let job = core.replica.jobs.get(id).map(|job| &job.record);
+    job.is_some_and(|record| record.cancelled && !record.withdrawn)
+}
