--- a/crates/rowanmill-cells/src/replica.rs
+++ b/crates/rowanmill-cells/src/replica.rs
@@ -13,7 +13,7 @@
 };
 use final_states::FinalStateCache;
 use recent_changes::RecentChanges;
-use rowanmill_state::{Change, Guard, Pair};
+use rowanmill_state::{KeyValue, Precondition, WatchEvent};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -76,7 +76,7 @@
 
     /// Replaces all live records by those of a listing. A cell that is not in it counts as absent from
     /// `now` on.
-    pub fn reload_from_snapshot(&mut self, pairs: Vec<Pair>, revision: u64, now: Instant) {
+    pub fn reload_from_snapshot(&mut self, pairs: Vec<KeyValue>, revision: u64, now: Instant) {
         self.jobs.clear();
         self.unreadable.clear();
         self.cancelled_at.clear();
@@ -88,27 +88,27 @@
             };
         }
         for pair in pairs {
-            self.apply_put(&pair.k, pair.data.get(), pair.mark, now);
+            self.apply_put(&pair.key, pair.value.get(), pair.revision, now);
         }
         self.revision = revision;
     }
 
     /// Applies changes that were read from the log up to `revision`. Answers may overlap: a change that is
     /// already applied is skipped.
-    pub fn apply_changes(&mut self, log: Vec<Change>, revision: u64, now: Instant) {
+    pub fn apply_changes(&mut self, log: Vec<WatchEvent>, revision: u64, now: Instant) {
         for change in log {
-            if change.mark <= self.revision {
+            if change.revision <= self.revision {
                 continue;
             }
-            if let Some(key) = change.set.as_ref().or(change.drop.as_ref())
+            if let Some(key) = change.put.as_ref().or(change.deleted.as_ref())
                 && let Some(LiveKey::Job(id)) = LiveKey::parse(key)
             {
-                self.recent_changes.record(id, change.mark);
+                self.recent_changes.record(id, change.revision);
             }
-            if let (Some(key), Some(data)) = (&change.set, &change.data) {
-                self.apply_put(key, data.get(), change.mark, now);
-            } else if let Some(key) = &change.drop {
-                self.apply_delete(key, change.mark, now);
+            if let (Some(key), Some(data)) = (&change.put, &change.value) {
+                self.apply_put(key, data.get(), change.revision, now);
+            } else if let Some(key) = &change.deleted {
+                self.apply_delete(key, change.revision, now);
             }
         }
         self.revision = self.revision.max(revision);
@@ -294,14 +294,14 @@
 
     /// The preconditions under which a cell counts as absent: it is not present now, and has not been
     /// since its absence was read.
-    pub fn absence_preconditions(&self, cell: &str) -> [Guard; 2] {
+    pub fn absence_preconditions(&self, cell: &str) -> [Precondition; 2] {
         let state = self.cells.get(cell);
         let generation = state.and_then(|state| state.generation.as_ref());
         [
-            Guard::absent(presence_key(cell)),
-            Guard {
-                k: generation_key(cell),
-                mark: generation.map_or(0, |held| held.revision),
+            Precondition::absent(presence_key(cell)),
+            Precondition {
+                key: generation_key(cell),
+                revision: generation.map_or(0, |held| held.revision),
             },
         ]
     }
--- a/crates/rowanmill-cells/src/replica/tests.rs
+++ b/crates/rowanmill-cells/src/replica/tests.rs
@@ -2,15 +2,15 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-fn log_entry(key: &str, data: Value, mark: u64) -> Change {
-    let drop = data.is_null().then(|| key.to_owned());
-    let set = (!data.is_null()).then(|| key.to_owned());
-    let data = serde_json::value::to_raw_value(&data).ok();
-    Change {
-        set,
-        drop,
-        data,
-        mark,
+fn log_entry(key: &str, data: Value, revision: u64) -> WatchEvent {
+    let deleted = data.is_null().then(|| key.to_owned());
+    let put = (!data.is_null()).then(|| key.to_owned());
+    let value = serde_json::value::to_raw_value(&data).ok();
+    WatchEvent {
+        put,
+        deleted,
+        value,
+        revision,
     }
 }
 
--- a/crates/rowanmill-cells/src/report/tests.rs
+++ b/crates/rowanmill-cells/src/report/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use rowanmill_state::Pair;
+use rowanmill_state::KeyValue;
 use serde_json::{Value, json};
 use std::time::Instant;
 
@@ -35,10 +35,10 @@
     let pairs = records
         .into_iter()
         .enumerate()
-        .map(|(at, (key, data))| Pair {
-            k: key.to_owned(),
-            data: serde_json::value::to_raw_value(&data).unwrap(),
-            mark: at as u64 + 1,
+        .map(|(at, (key, data))| KeyValue {
+            key: key.to_owned(),
+            value: serde_json::value::to_raw_value(&data).unwrap(),
+            revision: at as u64 + 1,
         });
     let mut replica = LedgerReplica::new(["hanoi", "danang", "hue"]);
     replica.reload_from_snapshot(pairs.collect(), 40, Instant::now());
--- a/crates/rowanmill-cells/src/service.rs
+++ b/crates/rowanmill-cells/src/service.rs
@@ -19,7 +19,7 @@
 use crate::replica::{LedgerReplica, Versioned};
 use crate::scheduler::{Scheduler, TrackedJob};
 use crate::transaction::Transaction;
-use rowanmill_state::{StateClient, StateShare, TxnError};
+use rowanmill_state::{StateClient, StateShare, TransactionError};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -175,12 +175,14 @@
     }
 
     /// Sends a transaction; returns the ledger's revision of its changes.
-    async fn commit(&self, transaction: &Transaction) -> Result<u64, TxnError> {
+    async fn commit(&self, transaction: &Transaction) -> Result<u64, TransactionError> {
         let Transaction {
             preconditions,
             operations,
         } = transaction;
-        self.ledger.transact(preconditions, operations).await
+        self.ledger
+            .compare_and_swap(preconditions, operations)
+            .await
     }
 }
 
--- a/crates/rowanmill-cells/src/service/presence.rs
+++ b/crates/rowanmill-cells/src/service/presence.rs
@@ -5,7 +5,7 @@
 use crate::replica::Versioned;
 use crate::scheduler::Scheduler;
 use crate::transaction::{self, Transaction};
-use rowanmill_state::{ReadError, TxnError};
+use rowanmill_state::{ReadError, TransactionError};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -42,7 +42,7 @@
         let lease = match held {
             Some(lease) => match self.ledger.extend_lease(lease).await {
                 Ok(()) => lease,
-                Err(ReadError::Gone) => {
+                Err(ReadError::LeaseExpired) => {
                     tracing::info!(cell = self.cell, "cell lease expired");
                     self.view().lease = None;
                     return None;
@@ -70,7 +70,7 @@
         };
         match self.commit(&transaction).await {
             Ok(_) => self.view().presence_published_at = Some(Instant::now()),
-            Err(TxnError::NoLease) => self.view().lease = None,
+            Err(TransactionError::LeaseExpired) => self.view().lease = None,
             Err(error) => tracing::debug!(%error, "cell presence not written"),
         }
     }
--- a/crates/rowanmill-cells/src/service/requests.rs
+++ b/crates/rowanmill-cells/src/service/requests.rs
@@ -4,7 +4,7 @@
 use crate::contact::CANCELLATION_EFFECT_DELAY;
 use crate::record::{FinalState, LedgerJob, OwnershipVersion, final_key};
 use crate::transaction;
-use rowanmill_state::{Need, ReadError, TxnError};
+use rowanmill_state::{Need, ReadError, TransactionError};
 use std::time::Instant;
 
 /// How often a cancellation is repeated when the job changes at the same time.
@@ -26,7 +26,7 @@
                     revision,
                 })
             }
-            Err(TxnError::Conflict(_)) => PublishOutcome::AlreadyKnown,
+            Err(TransactionError::Conflict(_)) => PublishOutcome::AlreadyKnown,
             Err(_) => PublishOutcome::Unavailable,
         }
     }
@@ -92,7 +92,7 @@
                     return CancelOutcome::Recorded { owned_here };
                 }
                 // The record changed in the meantime: the job may have ended, or changed its owner.
-                Err(TxnError::Conflict(_)) => {}
+                Err(TransactionError::Conflict(_)) => {}
                 Err(_) => return CancelOutcome::Indeterminate,
             }
         }
@@ -118,7 +118,12 @@
         false
     }
 
-    async fn update_job(&self, id: &str, revision: u64, record: LedgerJob) -> Result<(), TxnError> {
+    async fn update_job(
+        &self,
+        id: &str,
+        revision: u64,
+        record: LedgerJob,
+    ) -> Result<(), TransactionError> {
         let transaction = transaction::update_job(id, revision, &record);
         let committed = self.commit(&transaction).await?;
         let mut view = self.view();
--- a/crates/rowanmill-cells/src/service/watch.rs
+++ b/crates/rowanmill-cells/src/service/watch.rs
@@ -3,7 +3,7 @@
 use super::{CellCoordinator, LedgerLossAttestation, LedgerView, RETRY_DELAY};
 use crate::record::LIVE_PREFIX;
 use crate::scheduler::Scheduler;
-use rowanmill_state::{Followed, ReadError};
+use rowanmill_state::{ReadError, WatchResponse};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
@@ -49,14 +49,14 @@
         let from = self.view().replica.revision;
         let sent = Instant::now();
         let body = self.ledger.follow(LIVE_PREFIX, from, hold).await?;
-        let followed = Followed::decode(&body)?;
-        let has_changes = !followed.log.is_empty();
+        let followed = WatchResponse::decode(&body)?;
+        let has_changes = !followed.events.is_empty();
         {
             let mut view = self.view();
             let LedgerView {
                 replica, contact, ..
             } = &mut *view;
-            replica.apply_changes(followed.log, followed.ledger, Instant::now());
+            replica.apply_changes(followed.events, followed.revision, Instant::now());
             contact.last_response_at = contact.last_response_at.max(Some(sent));
         }
         self.update_halted(scheduler);
@@ -161,7 +161,7 @@
     loop {
         match coordinator.read_log(scheduler, hold).await {
             Ok(()) => tokio::time::sleep(coordinator.ledger.follow_gap()).await,
-            Err(ReadError::TooOld | ReadError::Gone) => return,
+            Err(ReadError::Compacted | ReadError::LeaseExpired) => return,
             Err(ReadError::Failed) => {
                 coordinator.obtain_attestations(scheduler).await;
                 tokio::time::sleep(RETRY_DELAY).await;
--- a/crates/rowanmill-cells/src/transaction.rs
+++ b/crates/rowanmill-cells/src/transaction.rs
@@ -8,22 +8,22 @@
     presence_key,
 };
 use crate::replica::{LedgerReplica, Versioned};
-use rowanmill_state::{Guard, Op};
+use rowanmill_state::{Operation, Precondition};
 
 /// Preconditions and operations of one transaction.
 #[derive(Debug, Clone, Default)]
 pub struct Transaction {
     /// The keys' revisions under which the operations are carried out.
-    pub preconditions: Vec<Guard>,
+    pub preconditions: Vec<Precondition>,
     /// The operations, all of them or none.
-    pub operations: Vec<Op>,
+    pub operations: Vec<Operation>,
 }
 
 /// The precondition that a job's record is the one of this revision.
-fn job_unchanged(id: &str, revision: u64) -> Guard {
-    Guard {
-        k: job_key(id),
-        mark: revision,
+fn job_unchanged(id: &str, revision: u64) -> Precondition {
+    Precondition {
+        key: job_key(id),
+        revision,
     }
 }
 
@@ -31,8 +31,11 @@
 /// One of the two records exists from the first acceptance on, so that a late repeat fails.
 pub fn publish(id: &str, job: &LedgerJob) -> Transaction {
     Transaction {
-        preconditions: vec![Guard::absent(job_key(id)), Guard::absent(final_key(id))],
-        operations: vec![Op::set(job_key(id), job)],
+        preconditions: vec![
+            Precondition::absent(job_key(id)),
+            Precondition::absent(final_key(id)),
+        ],
+        operations: vec![Operation::put(job_key(id), job)],
     }
 }
 
@@ -40,7 +43,7 @@
 pub fn update_job(id: &str, revision: u64, job: &LedgerJob) -> Transaction {
     Transaction {
         preconditions: vec![job_unchanged(id, revision)],
-        operations: vec![Op::set(job_key(id), job)],
+        operations: vec![Operation::put(job_key(id), job)],
     }
 }
 
@@ -49,7 +52,10 @@
 pub fn finish(id: &str, revision: u64, final_state: FinalState) -> Transaction {
     Transaction {
         preconditions: vec![job_unchanged(id, revision)],
-        operations: vec![Op::set(final_key(id), &final_state), Op::drop(job_key(id))],
+        operations: vec![
+            Operation::put(final_key(id), &final_state),
+            Operation::delete(job_key(id)),
+        ],
     }
 }
 
@@ -69,18 +75,18 @@
     };
     Transaction {
         preconditions: vec![
-            Guard {
-                k: presence_key(cell),
-                mark: previous.map_or(0, |held| held.revision),
+            Precondition {
+                key: presence_key(cell),
+                revision: previous.map_or(0, |held| held.revision),
             },
-            Guard {
-                k: generation_key(cell),
-                mark: generation.map_or(0, |held| held.revision),
+            Precondition {
+                key: generation_key(cell),
+                revision: generation.map_or(0, |held| held.revision),
             },
         ],
         operations: vec![
-            Op::set(presence_key(cell), presence).on_lease(lease),
-            Op::set(generation_key(cell), &next),
+            Operation::put(presence_key(cell), presence).with_lease(lease),
+            Operation::put(generation_key(cell), &next),
         ],
     }
 }
@@ -93,11 +99,11 @@
     lease: u64,
 ) -> Transaction {
     Transaction {
-        preconditions: vec![Guard {
-            k: presence_key(cell),
-            mark: held.revision,
+        preconditions: vec![Precondition {
+            key: presence_key(cell),
+            revision: held.revision,
         }],
-        operations: vec![Op::set(presence_key(cell), presence).on_lease(lease)],
+        operations: vec![Operation::put(presence_key(cell), presence).with_lease(lease)],
     }
 }
 
@@ -193,7 +199,7 @@
                 continue;
             };
             let record = held.record.with_owner(cell);
-            let operation = Op::set(job_key(id), &record);
+            let operation = Operation::put(job_key(id), &record);
             bytes += operation.bytes();
             let is_full =
                 bytes > MAX_OPERATION_BYTES || change.updated_jobs.len() == max_operations;
--- a/crates/rowanmill-state/src/lib.rs
+++ b/crates/rowanmill-state/src/lib.rs
@@ -8,5 +8,6 @@
 
 pub use budget::{Budget, Need};
 pub use client::{
-    Change, Followed, Guard, Listing, Op, Pair, ReadError, StateClient, StateShare, TxnError, Used,
+    KeyValue, Listing, Operation, Precondition, ReadError, StateClient, StateShare,
+    TransactionError, Used, WatchEvent, WatchResponse,
 };
--- a/crates/rowanmill-testing/src/state.rs
+++ b/crates/rowanmill-testing/src/state.rs
@@ -9,7 +9,7 @@
 
 struct Held {
     data: Value,
-    mark: u64,
+    revision: u64,
     lease: Option<u64>,
 }
 
@@ -196,10 +196,10 @@
 
     fn since(&self, prefix: &str, from: u64) -> Vec<Value> {
         let log = self.log.iter();
-        log.filter(|(mark, key, _)| *mark > from && key.starts_with(prefix))
-            .map(|(mark, key, data)| match data {
-                Value::Null => json!({"drop": key, "mark": mark}),
-                data => json!({"set": key, "data": data, "mark": mark}),
+        log.filter(|(revision, key, _)| *revision > from && key.starts_with(prefix))
+            .map(|(revision, key, data)| match data {
+                Value::Null => json!({"drop": key, "mark": revision}),
+                data => json!({"set": key, "data": data, "mark": revision}),
             })
             .collect()
     }
@@ -248,7 +248,7 @@
                 let keys = self.keys.iter();
                 let pairs: Vec<Value> = keys
                     .filter(|(key, _)| key.starts_with(prefix.as_str()) && **key > from)
-                    .map(|(key, held)| json!({"k": key, "data": held.data, "mark": held.mark}))
+                    .map(|(key, held)| json!({"k": key, "data": held.data, "mark": held.revision}))
                     .collect();
                 (
                     200,
@@ -258,7 +258,10 @@
             ("GET", ["store", ..]) => {
                 let key = asked.path.trim_start_matches("/store/");
                 match self.keys.get(key) {
-                    Some(held) => (200, json!({"k": key, "data": held.data, "mark": held.mark})),
+                    Some(held) => (
+                        200,
+                        json!({"k": key, "data": held.data, "mark": held.revision}),
+                    ),
                     None => (404, json!({"ledger": self.ledger})),
                 }
             }
@@ -303,7 +306,7 @@
         let failed: Vec<&str> = guards
             .filter(|guard| {
                 let held = self.keys.get(guard["k"].as_str().unwrap());
-                held.map_or(0, |h| h.mark) != guard["mark"].as_u64().unwrap()
+                held.map_or(0, |h| h.revision) != guard["mark"].as_u64().unwrap()
             })
             .map(|guard| guard["k"].as_str().unwrap())
             .collect();
@@ -323,7 +326,7 @@
             if let Some(key) = op["set"].as_str() {
                 let held = Held {
                     data: op["data"].clone(),
-                    mark: self.ledger,
+                    revision: self.ledger,
                     lease: op["tenancy"].as_u64(),
                 };
                 self.log.push((self.ledger, key.into(), held.data.clone()));
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -9,7 +9,7 @@
 use crate::pipelines::service::{CANCELLED, look_up_needs};
 use crate::placement::views::{kinds_for, room_of};
 use crate::settings::Team;
-use crate::state::{Guard, Op, TxnError, final_key, job_key};
+use crate::state::{Operation, Precondition, TransactionError, final_key, job_key};
 use hyper::StatusCode;
 use rowanmill_limits::{ResourceAmount, TeamLimit};
 use rowanmill_state::Need;
@@ -220,40 +220,46 @@
         record.placer = membership::choose_placer(node, &mut node.core(), &record);
     }
     let guards = [
-        Guard {
-            k: job_key(&id),
-            mark: 0,
+        Precondition {
+            key: job_key(&id),
+            revision: 0,
         },
-        Guard {
-            k: final_key(&id),
-            mark: 0,
+        Precondition {
+            key: final_key(&id),
+            revision: 0,
         },
     ];
     let (put, stage) = match before {
-        Before::Done => (Op::set(job_key(&id), &Stored::Open(record)), Stage::Queued),
+        Before::Done => (
+            Operation::put(job_key(&id), &Stored::Open(record)),
+            Stage::Queued,
+        ),
         Before::Open => {
             let blocked = Stored::Blocked { record, awaits };
-            (Op::set(job_key(&id), &blocked), Stage::Queued)
+            (Operation::put(job_key(&id), &blocked), Stage::Queued)
         }
         // It needs a cancelled job, and so it is over: taken all the same.
-        Before::Cancelled => (Op::set(final_key(&id), &Final::Cancelled), Stage::Cancelled),
+        Before::Cancelled => (
+            Operation::put(final_key(&id), &Final::Cancelled),
+            Stage::Cancelled,
+        ),
     };
     match node
         .state
-        .transact(&guards, std::slice::from_ref(&put))
+        .compare_and_swap(&guards, std::slice::from_ref(&put))
         .await
     {
-        Ok(ledger) => {
+        Ok(revision) => {
             let mut core = node.core();
             match before {
                 Before::Cancelled => core.replica.remember_ended(&id, Final::Cancelled),
-                _ => core.apply(vec![put], ledger),
+                _ => core.apply(vec![put], revision),
             }
             drop(core);
             node.wake_up.notify_one();
             json(StatusCode::CREATED, &told(&id, stage))
         }
-        Err(TxnError::Conflict(_)) => match current_state(node, &id).await {
+        Err(TransactionError::Conflict(_)) => match current_state(node, &id).await {
             Known::Live(stage, ..) => json(StatusCode::OK, &told(&id, stage)),
             Known::Over(last) => json(StatusCode::OK, &told(&id, last.into())),
             Known::Never | Known::Unclear => no_state(),
@@ -474,31 +480,31 @@
             Known::Unclear => return no_state(),
             Known::Live(..) => {}
         }
-        let (mark, ops) = {
+        let (revision, ops) = {
             let core = node.core();
             if let Some(held) = core.replica.pipelines.get(id) {
                 // Nothing of it runs: it is over at once, and with it all that need it.
-                (held.mark, vec![Op::set(job_key(id), &CANCELLED)])
+                (held.revision, vec![Operation::put(job_key(id), &CANCELLED)])
             } else if let Some(job) = core.replica.jobs.get(id) {
                 let record = job.record.clone().into_cancelled();
-                let put = Op::set(job_key(id), &Stored::Open(record));
-                (job.mark, vec![put])
+                let put = Operation::put(job_key(id), &Stored::Open(record));
+                (job.revision, vec![put])
             } else {
                 continue;
             }
         };
-        let guards = [Guard {
-            k: job_key(id),
-            mark,
+        let guards = [Precondition {
+            key: job_key(id),
+            revision,
         }];
-        match node.state.transact(&guards, &ops).await {
-            Ok(ledger) => {
-                node.core().apply(ops, ledger);
+        match node.state.compare_and_swap(&guards, &ops).await {
+            Ok(revision) => {
+                node.core().apply(ops, revision);
                 node.wake_up.notify_one();
                 return json(StatusCode::OK, &told(id, Stage::Cancelled));
             }
             // It changed under us: perhaps it is done by now.
-            Err(TxnError::Conflict(_)) => continue,
+            Err(TransactionError::Conflict(_)) => continue,
             Err(_) => return no_state(),
         }
     }
--- a/src/cells/scheduler.rs
+++ b/src/cells/scheduler.rs
@@ -9,7 +9,7 @@
 use crate::membership;
 use crate::node::{Core, Node, wall_ms};
 use crate::state::replica::Job;
-use crate::state::{Guard, Op, TxnError, final_key, given_up_key, job_key};
+use crate::state::{Operation, Precondition, TransactionError, final_key, given_up_key, job_key};
 use rowanmill_cells::record::CapacitySummary;
 use rowanmill_cells::{
     AdoptionOutcome, CellCoordinator, LedgerJob, LocalJobState, OwnershipVersion, Scheduler,
@@ -103,14 +103,14 @@
 
     /// The record that the cell relinquished the job, if there is one.
     async fn read_relinquished(&self, id: &str) -> Result<Option<RelinquishedRecord>, Unavailable> {
-        let pair = self.node.state.get_pair(&given_up_key(id)).await;
+        let pair = self.node.state.get_key_value(&given_up_key(id)).await;
         let Some(pair) = pair.map_err(|_| Unavailable)? else {
             return Ok(None);
         };
-        let GivenUp { epoch } = serde_json::from_str(pair.data.get()).map_err(|_| Unavailable)?;
+        let GivenUp { epoch } = serde_json::from_str(pair.value.get()).map_err(|_| Unavailable)?;
         Ok(Some(RelinquishedRecord {
             epoch,
-            revision: pair.mark,
+            revision: pair.revision,
         }))
     }
 
@@ -156,21 +156,29 @@
         }
         record.placer = membership::choose_placer(node, &mut node.core(), &record);
         let preconditions = never_here_since(id, relinquished_revision);
-        let put = Op::set(job_key(id), &Stored::Open(record));
+        let put = Operation::put(job_key(id), &Stored::Open(record));
         self.write(&preconditions, vec![put]).await
     }
 
     /// Commits a change of the cell's records and applies it to the replica.
-    async fn write(&self, preconditions: &[Guard], operations: Vec<Op>) -> Result<(), Unavailable> {
+    async fn write(
+        &self,
+        preconditions: &[Precondition],
+        operations: Vec<Operation>,
+    ) -> Result<(), Unavailable> {
         let node = &self.node;
-        match node.state.transact(preconditions, &operations).await {
+        match node
+            .state
+            .compare_and_swap(preconditions, &operations)
+            .await
+        {
             Ok(revision) => {
                 node.core().apply(operations, revision);
                 node.wake_up.notify_one();
                 Ok(())
             }
             Err(error) => {
-                if !matches!(error, TxnError::Refused) {
+                if !matches!(error, TransactionError::Refused) {
                     // The records in memory may be outdated.
                     node.sync().await;
                 }
@@ -194,26 +202,26 @@
             let Some(record) = update(&core, job) else {
                 return Ok(());
             };
-            let precondition = Guard {
-                k: job_key(id),
-                mark: job.mark,
+            let precondition = Precondition {
+                key: job_key(id),
+                revision: job.revision,
             };
             (precondition, record)
         };
-        let put = Op::set(job_key(id), &Stored::Open(record));
+        let put = Operation::put(job_key(id), &Stored::Open(record));
         self.write(&[precondition], vec![put]).await
     }
 }
 
 /// The preconditions that a job is not in the records, has not ended here, and was not relinquished after
 /// this revision.
-fn never_here_since(id: &str, relinquished_revision: u64) -> [Guard; 3] {
+fn never_here_since(id: &str, relinquished_revision: u64) -> [Precondition; 3] {
     [
-        Guard::absent(job_key(id)),
-        Guard::absent(final_key(id)),
-        Guard {
-            k: given_up_key(id),
-            mark: relinquished_revision,
+        Precondition::absent(job_key(id)),
+        Precondition::absent(final_key(id)),
+        Precondition {
+            key: given_up_key(id),
+            revision: relinquished_revision,
         },
     ]
 }
@@ -283,7 +291,7 @@
         let previous = self.read_relinquished(id).await?;
         let previous_revision = previous.map_or(NO_REVISION, |record| record.revision);
         let preconditions = never_here_since(id, previous_revision);
-        let put = Op::set(given_up_key(id), &GivenUp { epoch });
+        let put = Operation::put(given_up_key(id), &GivenUp { epoch });
         self.write(&preconditions, vec![put]).await?;
         Ok(true)
     }
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -11,7 +11,7 @@
 use rowanmill_cells::report::{self, FORMAT, ReportedState};
 use rowanmill_cells::{CellsConfig, FinalState};
 use rowanmill_config::ConfigFile;
-use rowanmill_state::{Op, StateClient, StateShare};
+use rowanmill_state::{Operation, StateClient, StateShare};
 use serde::Serialize;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -168,10 +168,10 @@
         }
         let requested_ms = crate::node::wall_ms();
         let change = match drain {
-            true => Op::set(drain_key(cell), &DrainRequest { requested_ms }),
-            false => Op::drop(drain_key(cell)),
+            true => Operation::put(drain_key(cell), &DrainRequest { requested_ms }),
+            false => Operation::delete(drain_key(cell)),
         };
-        let done = self.ledger.transact(&[], &[change]).await;
+        let done = self.ledger.compare_and_swap(&[], &[change]).await;
         done.map_err(|_| ClientError::NoLedger)?;
         let changed = Changed {
             format: FORMAT,
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -130,7 +130,7 @@
 
 /// A rental's record as it is to be written, in as many parts as its size asks for: one that was written
 /// under a higher limit would be refused for ever, and its machines never change hands again. The first
-/// part keeps the name and mark; the others are new, under names that the mark makes unique.
+/// part keeps the name and revision; the others are new, under names that the revision makes unique.
 pub fn in_parts(
     name: &str,
     kept: Versioned<Rental>,
@@ -162,12 +162,15 @@
                     name.to_owned(),
                     Versioned {
                         record,
-                        mark: kept.mark,
+                        revision: kept.revision,
                     },
                 ),
                 at => (
-                    format!("{name}.{}-{at}", kept.mark),
-                    Versioned { record, mark: 0 },
+                    format!("{name}.{}-{at}", kept.revision),
+                    Versioned {
+                        record,
+                        revision: 0,
+                    },
                 ),
             };
             return cut.into_iter().enumerate().map(part).collect();
@@ -203,8 +206,12 @@
 }
 
 impl Fleet {
-    pub fn put(&mut self, name: &str, record: Rental, mark: u64) {
-        if self.rentals.get(name).is_some_and(|old| old.mark >= mark) {
+    pub fn put(&mut self, name: &str, record: Rental, revision: u64) {
+        if self
+            .rentals
+            .get(name)
+            .is_some_and(|old| old.revision >= revision)
+        {
             return;
         }
         if let Some(old) = self.rentals.remove(name) {
@@ -231,11 +238,15 @@
             }
         }
         self.rentals
-            .insert(name.to_owned(), Versioned { record, mark });
+            .insert(name.to_owned(), Versioned { record, revision });
     }
 
-    pub fn remove(&mut self, name: &str, mark: u64) {
-        if self.rentals.get(name).is_none_or(|old| old.mark >= mark) {
+    pub fn remove(&mut self, name: &str, revision: u64) {
+        if self
+            .rentals
+            .get(name)
+            .is_none_or(|old| old.revision >= revision)
+        {
             return;
         }
         if let Some(old) = self.rentals.remove(name) {
--- a/src/jobs/ends.rs
+++ b/src/jobs/ends.rs
@@ -4,7 +4,7 @@
 use crate::metrics::CpuAccount;
 use crate::node::{Core, Node};
 use crate::state::replica::Job;
-use crate::state::{Guard, Op, Replica, final_key, given_up_key, job_key, page_key};
+use crate::state::{Operation, Precondition, Replica, final_key, given_up_key, job_key, page_key};
 use rowanmill_cells::OwnershipVersion;
 use rowanmill_state::Need;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 /// A job that is over, as it is to be recorded.
 struct Ended {
     id: String,
-    mark: u64,
+    revision: u64,
     pages: Vec<PageId>,
     /// These are all its pages.
     is_whole: bool,
@@ -42,7 +42,7 @@
             let last = over(&core, id, job)?;
             core.owns_job(&node.me, id).then(|| Ended {
                 id: id.clone(),
-                mark: job.mark,
+                revision: job.revision,
                 pages: job.pages.keys().copied().take(most - 2).collect(),
                 is_whole: job.pages.len() <= most - 2,
                 last,
@@ -57,12 +57,12 @@
             return true;
         }
         let batch: Vec<Ended> = over.drain(..count).collect();
-        let Ok(ledger) = node.state.transact(&guards, &ops).await else {
+        let Ok(revision) = node.state.compare_and_swap(&guards, &ops).await else {
             return false;
         };
         let mut core = node.core();
         core.metrics.ended_jobs += batch.len() as u64;
-        core.apply(ops, ledger);
+        core.apply(ops, revision);
         for ended in batch {
             if let Last::Final(last) = ended.last {
                 core.replica.remember_ended(&ended.id, last);
@@ -75,37 +75,43 @@
 }
 
 /// The guards and changes that end as many of the jobs as so many changes allow, and how many these are.
-fn ending(over: &[Ended], short: bool, room: usize) -> (Vec<Guard>, Vec<Op>, usize) {
+fn ending(over: &[Ended], short: bool, room: usize) -> (Vec<Precondition>, Vec<Operation>, usize) {
     let (mut ops, mut guards, mut count) = (Vec::new(), Vec::new(), 0);
     for ended in over {
         let takes = if short { 1 } else { 2 + ended.pages.len() };
         if ops.len() + takes > room.max(2) && count > 0 {
             break;
         }
-        guards.push(Guard {
-            k: job_key(&ended.id),
-            mark: ended.mark,
+        guards.push(Precondition {
+            key: job_key(&ended.id),
+            revision: ended.revision,
         });
         count += 1;
         match ended.last {
             Last::Final(outcome) if short => {
-                ops.push(Op::set(job_key(&ended.id), &Stored::Finished { outcome }));
+                ops.push(Operation::put(
+                    job_key(&ended.id),
+                    &Stored::Finished { outcome },
+                ));
                 continue;
             }
             Last::Final(last) => {
-                ops.push(Op::set(final_key(&ended.id), &last));
-                ops.push(Op::drop(job_key(&ended.id)));
+                ops.push(Operation::put(final_key(&ended.id), &last));
+                ops.push(Operation::delete(job_key(&ended.id)));
             }
             // A page that is left would be taken for one of the job's next stay here, and one that
             // is dropped late would be: so the last of them goes with the record, under its guard.
             Last::GivenUp(stamp) if ended.is_whole => {
-                ops.push(Op::set(given_up_key(&ended.id), &GivenUp::under(stamp)));
-                ops.push(Op::drop(job_key(&ended.id)));
+                ops.push(Operation::put(
+                    given_up_key(&ended.id),
+                    &GivenUp::under(stamp),
+                ));
+                ops.push(Operation::delete(job_key(&ended.id)));
             }
             Last::GivenUp(_) => {}
         }
         let pages = ended.pages.iter();
-        ops.extend(pages.map(|n| Op::drop(page_key(&ended.id, *n))));
+        ops.extend(pages.map(|n| Operation::delete(page_key(&ended.id, *n))));
     }
     (guards, ops, count)
 }
@@ -167,28 +173,28 @@
     if ops.is_empty() {
         return;
     }
-    if let Ok(ledger) = node.state.transact(&guards, &ops).await {
-        node.core().apply(ops, ledger);
+    if let Ok(revision) = node.state.compare_and_swap(&guards, &ops).await {
+        node.core().apply(ops, revision);
     }
 }
 
 /// What to tidy up in so many changes.
-pub fn tidying(replica: &Replica, most: usize) -> (Vec<Guard>, Vec<Op>) {
+pub fn tidying(replica: &Replica, most: usize) -> (Vec<Precondition>, Vec<Operation>) {
     let (mut guards, mut ops) = (Vec::new(), Vec::new());
-    for (id, mark) in &replica.closed {
+    for (id, revision) in &replica.closed {
         let Some(last) = replica.ended(id).filter(|_| ops.len() + 2 <= most) else {
             continue;
         };
-        guards.push(Guard {
-            k: job_key(id),
-            mark: *mark,
+        guards.push(Precondition {
+            key: job_key(id),
+            revision: *revision,
         });
-        ops.push(Op::set(final_key(id), &last));
-        ops.push(Op::drop(job_key(id)));
+        ops.push(Operation::put(final_key(id), &last));
+        ops.push(Operation::delete(job_key(id)));
     }
     let known_over = |id: &str| replica.ended(id).is_some();
     let left = replica.orphans.keys().filter(|(id, _)| known_over(id));
     let left = left.take(most - ops.len().min(most));
-    ops.extend(left.map(|(id, page)| Op::drop(page_key(id, *page))));
+    ops.extend(left.map(|(id, page)| Operation::delete(page_key(id, *page))));
     (guards, ops)
 }
--- a/src/jobs/writer.rs
+++ b/src/jobs/writer.rs
@@ -14,7 +14,10 @@
 use crate::node::{Core, Node};
 use crate::pipelines;
 use crate::state::replica::Job;
-use crate::state::{ASSIGNMENT_KEY, FORMS_KEY, Guard, MOST_BYTES, Op, TxnError, job_key, page_key};
+use crate::state::{
+    ASSIGNMENT_KEY, FORMS_KEY, MOST_BYTES, Operation, Precondition, TransactionError, job_key,
+    page_key,
+};
 use rowanmill_state::Need;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -45,9 +48,9 @@
 struct Dirty {
     job: String,
     number: PageId,
-    op: Op,
+    op: Operation,
     page: Page,
-    guards: Vec<Guard>,
+    guards: Vec<Precondition>,
     starts: bool,
     /// Exits on it have waited twice as long as they should.
     overdue: bool,
@@ -113,8 +116,8 @@
             let new: BTreeMap<_, _> = unit
                 .iter()
                 .flat_map(|page| &page.guards)
-                .filter(|g| !guards.contains_key(&g.k))
-                .map(|g| (g.k.clone(), g.mark))
+                .filter(|g| !guards.contains_key(&g.key))
+                .map(|g| (g.key.clone(), g.revision))
                 .collect();
             let more: usize = unit.iter().map(Dirty::bytes).sum();
             let full = count + unit.len() > room
@@ -129,15 +132,15 @@
             count += unit.len();
         }
         let batch: Vec<Dirty> = dirty.drain(..count).collect();
-        let guards: Vec<Guard> = guards
+        let guards: Vec<Precondition> = guards
             .into_iter()
-            .map(|(k, mark)| Guard { k, mark })
+            .map(|(key, revision)| Precondition { key, revision })
             .collect();
-        let puts: Vec<Op> = batch.iter().map(|d| d.op.clone()).collect();
-        let outcome = node.state.transact(&guards, &puts).await;
+        let puts: Vec<Operation> = batch.iter().map(|d| d.op.clone()).collect();
+        let outcome = node.state.compare_and_swap(&guards, &puts).await;
         let mut core = node.core();
         match outcome {
-            Ok(ledger) => {
+            Ok(revision) => {
                 for d in batch {
                     let others = !core.owns_job(&node.me, &d.job);
                     core.metrics.foreign_pages += u64::from(others);
@@ -145,8 +148,8 @@
                         true => core.metrics.start_pages += 1,
                         false => core.metrics.exit_pages += 1,
                     }
-                    if ledger > core.replica.revision {
-                        core.replica.put_page(&d.job, d.number, d.page, ledger);
+                    if revision > core.replica.revision {
+                        core.replica.put_page(&d.job, d.number, d.page, revision);
                     }
                     for machine in &d.machines {
                         core.workers.call(machine);
@@ -155,7 +158,7 @@
                     core.plans.unrank(&d.job);
                 }
             }
-            Err(TxnError::Conflict(failed)) => {
+            Err(TransactionError::Conflict(failed)) => {
                 core.metrics.write_conflicts += 1;
                 tracing::debug!(?failed, "a record lost a race");
                 withdraw(&mut core, &batch, Some(&failed));
@@ -163,23 +166,23 @@
             }
             // One record that can never be written must not block those behind it: each is tried
             // by itself, and that one is left alone for a while.
-            Err(TxnError::Malformed) if batch.len() > 1 => {
+            Err(TransactionError::Malformed) if batch.len() > 1 => {
                 singly = true;
                 dirty.splice(0..0, batch);
             }
-            Err(TxnError::Malformed) => {
+            Err(TransactionError::Malformed) => {
                 withdraw(&mut core, &batch, None);
                 let until = Instant::now() + REFUSED_FOR;
                 core.plans.leave_alone(&batch[0].job, until);
             }
             Err(error) => {
                 tracing::debug!(%error, "a record was not written");
-                if matches!(error, TxnError::Unknown) {
+                if matches!(error, TransactionError::Unknown) {
                     let charges = batch.iter().filter_map(|d| d.charge.as_ref());
                     charges.for_each(|charge| core.limits.record_in_doubt(charge));
                 }
                 // Not executed, or unknown: starts are planned anew from what then stands. One
-                // that is still under way carries the page's old mark, and loses to the next.
+                // that is still under way carries the page's old revision, and loses to the next.
                 withdraw(&mut core, &batch, None);
                 return false;
             }
@@ -192,7 +195,7 @@
 fn dirty_pages(core: &mut Core, node: &Node, now: Instant) -> Vec<Dirty> {
     let _charge = node.processor_time.charge(CpuAccount::RecordWrites);
     // The log may have told of new owners since the turn began: what was seen under an ownership
-    // that is over must be forgotten before it is written under the next one's mark.
+    // that is over must be forgotten before it is written under the next one's revision.
     core.note_ownership(&node.me, now);
     withdraw_unstartable(core, &node.me);
     limits::withdraw_uncovered_starts(core);
@@ -285,13 +288,13 @@
     };
     let mut bytes = page.bytes(number);
     let mut whole = true;
-    let under: Vec<Guard> = under(core, id, job, number);
+    let under: Vec<Precondition> = under(core, id, job, number);
     let is_divided = core
         .limits
         .divided_team(core, &job.record.spec.team)
         .is_some();
     let fixed_guards = FIXED_GUARDS + usize::from(is_divided) + under.len();
-    let mut rentals: BTreeSet<Guard> = BTreeSet::new();
+    let mut rentals: BTreeSet<Precondition> = BTreeSet::new();
     let mut changed = false;
     let mut started = 0;
     let mut machines = BTreeSet::new();
@@ -346,21 +349,21 @@
     let starts = !machines.is_empty();
     let charge = core.limits.charge_for(core, id, started).filter(|_| starts);
     let mut guards = vec![
-        Guard {
-            k: job_key(id),
-            mark: job.mark,
+        Precondition {
+            key: job_key(id),
+            revision: job.revision,
         },
-        Guard {
-            k: page_key(id, number),
-            mark: job.page_mark(number),
+        Precondition {
+            key: page_key(id, number),
+            revision: job.page_mark(number),
         },
     ];
     if starts {
         // The job may have gone to another controller, which places it from then on.
-        let mark = core.replica.assignment.as_ref().map_or(0, |s| s.mark);
-        guards.push(Guard {
-            k: ASSIGNMENT_KEY.into(),
-            mark,
+        let revision = core.replica.assignment.as_ref().map_or(0, |s| s.revision);
+        guards.push(Precondition {
+            key: ASSIGNMENT_KEY.into(),
+            revision,
         });
     }
     guards.extend(charge.iter().map(QuotaCharge::precondition));
@@ -368,8 +371,8 @@
     guards.extend(rentals);
     let key = page_key(id, number);
     let op = match number {
-        PageId::Wide(_) => Op::set(key, &page),
-        PageId::Dense(_) => Op::set(key, &page.to_dense()),
+        PageId::Wide(_) => Operation::put(key, &page),
+        PageId::Dense(_) => Operation::put(key, &page.to_dense()),
     };
     Some(Dirty {
         job: id.to_owned(),
@@ -400,24 +403,24 @@
     Page(entries)
 }
 
-/// What a page follows from beside its own mark. One that is brought over: the wide pages that it
+/// What a page follows from beside its own revision. One that is brought over: the wide pages that it
 /// overrules, which a process that ended may yet change by a transaction on its way. A wide one, as
 /// long as there may be processes that know no other: that dense pages have not begun.
-fn under(core: &Core, id: &str, job: &Job, page: PageId) -> Vec<Guard> {
+fn under(core: &Core, id: &str, job: &Job, page: PageId) -> Vec<Precondition> {
     let replica = &core.replica;
     match page {
         PageId::Dense(_) if !job.pages.contains_key(&page) => {
             let wides = replica.layout.wides_under(page).map(PageId::Wide);
-            let guard = |wide| Guard {
-                k: page_key(id, wide),
-                mark: job.page_mark(wide),
+            let guard = |wide| Precondition {
+                key: page_key(id, wide),
+                revision: job.page_mark(wide),
             };
             wides.map(guard).collect()
         }
         PageId::Wide(_) if replica.layout.uses_dense() => {
-            let mark = replica.forms.as_ref().map_or(0, |f| f.mark);
-            let k = FORMS_KEY.into();
-            vec![Guard { k, mark }]
+            let revision = replica.forms.as_ref().map_or(0, |f| f.revision);
+            let key = FORMS_KEY.into();
+            vec![Precondition { key, revision }]
         }
         _ => Vec::new(),
     }
--- a/src/jobs/writer/tests.rs
+++ b/src/jobs/writer/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::jobs::ends::tidying;
 use crate::jobs::{Final, Layout};
-use rowanmill_state::Pair;
+use rowanmill_state::KeyValue;
 use serde_json::{Value, json};
 use std::time::Instant;
 
@@ -11,8 +11,8 @@
         "owners":[[owner, 1]],"machines":[[machine, 0, token, 0]]})
 }
 
-fn put(core: &mut Core, key: &str, data: Value, mark: u64) {
-    core.replica.put(key, &data.to_string(), mark);
+fn put(core: &mut Core, key: &str, data: Value, revision: u64) {
+    core.replica.put(key, &data.to_string(), revision);
 }
 
 fn show(core: &Core) -> String {
@@ -26,7 +26,7 @@
             let guards: Vec<String> = d
                 .guards
                 .iter()
-                .map(|g| format!("{}@{}", g.k, g.mark))
+                .map(|g| format!("{}@{}", g.key, g.revision))
                 .collect();
             let page = serde_json::to_string(&d.page).unwrap();
             format!("put {page} if {}\n", guards.join(" "))
@@ -61,7 +61,7 @@
 
 /// Rule `ran_twice`, on a calm day at 1,050 machines: a withdrawn start was seen absent, and
 /// while the ends of jobs were being written the log brought the machine's next owner. The
-/// absence was then recorded under the new mark, after that owner had sent `run`. And a start
+/// absence was then recorded under the new revision, after that owner had sent `run`. And a start
 /// that was planned on such a machine stayed planned for ever.
 #[test]
 fn what_changes_hands_during_a_turn_takes_its_plans_along() {
@@ -199,12 +199,12 @@
         put(&mut core, &format!("r/j/{id}"), record, 5);
         for task in 0..tasks {
             let name = format!("vm-with-a-longer-name-{id}-{task:06}");
-            let mark = 10 + u64::from(task);
+            let revision = 10 + u64::from(task);
             put(
                 &mut core,
                 &format!("r/m/r-{id}-{task}"),
                 rental(&name, "me", 1),
-                mark,
+                revision,
             );
         }
     }
@@ -237,7 +237,7 @@
         .iter()
         .filter(|d| d.job == "job-2")
         .flat_map(|d| &d.guards);
-    let under: Vec<_> = under.filter(|g| g.k.starts_with("r/p/")).collect();
+    let under: Vec<_> = under.filter(|g| g.key.starts_with("r/p/")).collect();
     trace.push_str(&format!(
         "brought over under {} marks of wide pages\n",
         under.len()
@@ -251,15 +251,15 @@
     "#);
 }
 
-fn text_of(op: &Op) -> &str {
+fn text_of(op: &Operation) -> &str {
     match op {
-        Op::Set { data, .. } => data.get(),
-        Op::Drop { .. } => "",
+        Operation::Put { value, .. } => value.get(),
+        Operation::Delete { .. } => "",
     }
 }
 
 /// Where changes are short a job's end is one change. It counts at once: its tasks hold no room, what
-/// waits for it is ready, a repeat of its submission finds it; and it is moved under its mark later.
+/// waits for it is ready, a repeat of its submission finds it; and it is moved under its revision later.
 #[test]
 fn a_job_that_ended_is_moved_later() {
     let (_, mut core) = core();
@@ -277,11 +277,13 @@
         let ops: Vec<String> = ops
             .iter()
             .map(|op| match op {
-                Op::Set { set, data, .. } => format!("{set}={data}"),
-                Op::Drop { drop } => format!("-{drop}"),
+                Operation::Put { key, value, .. } => format!("{key}={value}"),
+                Operation::Delete { key } => format!("-{key}"),
             })
             .collect();
-        trace.push_str(&format!("{most}: {} if {guards:?}\n", ops.join(" ")));
+        let guards: Vec<String> = guards.iter().map(precondition_text).collect();
+        let (ops, guards) = (ops.join(" "), guards.join(", "));
+        trace.push_str(&format!("{most}: {ops} if [{guards}]\n"));
     }
     insta::assert_snapshot!(trace, @r#"
     1: -r/p/job-1/0 if []
@@ -290,6 +292,12 @@
     "#);
 }
 
+/// A precondition in the words of the kept traces.
+fn precondition_text(precondition: &Precondition) -> String {
+    let Precondition { key, revision } = precondition;
+    format!("Guard {{ k: {key:?}, mark: {revision} }}")
+}
+
 /// Jobs that never ended, with machines that never went back, on troubles after the limits fell: a
 /// machine was marked as returning while a start that was planned on it waited to be recorded.
 #[test]
@@ -387,16 +395,16 @@
 fn a_late_answer_to_our_own_change_brings_nothing_back() {
     let (_, mut core) = core();
     let record = core.replica.fleet.rentals["r-1"].record.clone();
-    let drop = rowanmill_state::Change {
-        set: None,
-        drop: Some("r/m/r-1".into()),
-        data: None,
-        mark: 20,
+    let drop = rowanmill_state::WatchEvent {
+        put: None,
+        deleted: Some("r/m/r-1".into()),
+        value: None,
+        revision: 20,
     };
     core.replica.take(vec![drop], 20);
-    core.apply(vec![Op::set("r/m/r-1".into(), &record)], 12);
+    core.apply(vec![Operation::put("r/m/r-1".into(), &record)], 12);
     assert!(core.replica.fleet.rentals.is_empty());
-    core.apply(vec![Op::set("r/m/r-3".into(), &record)], 21);
+    core.apply(vec![Operation::put("r/m/r-3".into(), &record)], 21);
     assert!(core.replica.fleet.rentals.contains_key("r-3"));
 }
 
@@ -411,10 +419,10 @@
         "urgency":"standard","sacks":2,"cpus":1.0,"cards":0.0,"memGb":1.0,"mould":"i",
         "pullGb":1.0,"together":false,"spread":false,"borrowed":true,"grindS":10.0,
         "bankS":0.0,"bankWriteS":0.0}, "accepted_ms": 0});
-    let pair = |k: &str, data: Value, mark| Pair {
-        k: k.into(),
-        data: serde_json::value::to_raw_value(&data).unwrap(),
-        mark,
+    let pair = |k: &str, data: Value, revision| KeyValue {
+        key: k.into(),
+        value: serde_json::value::to_raw_value(&data).unwrap(),
+        revision,
     };
     core.replica.reset(
         vec![
@@ -484,8 +492,8 @@
     }
     let dirty = make_up(&core, &me, 96, true, Instant::now());
     let largest = dirty.iter().map(|d| match &d.op {
-        Op::Set { data, .. } => data.get().len(),
-        Op::Drop { .. } => 0,
+        Operation::Put { value, .. } => value.get().len(),
+        Operation::Delete { .. } => 0,
     });
     let largest = largest.max().unwrap();
     let guards = dirty.iter().map(|d| d.guards.len()).max().unwrap();
--- a/src/jobs/writer/withdrawal.rs
+++ b/src/jobs/writer/withdrawal.rs
@@ -53,7 +53,7 @@
 pub(super) fn withdraw(core: &mut Core, batch: &[Dirty], failed: Option<&[String]>) {
     for d in batch {
         let concerned = failed.is_none_or(|failed| {
-            failed.is_empty() || d.guards.iter().any(|g| failed.contains(&g.k))
+            failed.is_empty() || d.guards.iter().any(|g| failed.contains(&g.key))
         });
         if !concerned {
             continue;
--- a/src/limits/charge.rs
+++ b/src/limits/charge.rs
@@ -2,7 +2,7 @@
 
 use super::TeamQuotas;
 use crate::node::Core;
-use crate::state::{Guard, allotment_key};
+use crate::state::{Precondition, allotment_key};
 use rowanmill_limits::{InDoubtTransaction, ResourceAmount};
 
 /// What a transaction takes of a team's allocation, and the revisions that it was weighed against.
@@ -18,10 +18,10 @@
 
 impl QuotaCharge {
     /// What the transaction must require: that the record is still the one its starts were weighed against.
-    pub fn precondition(&self) -> Guard {
-        Guard {
-            k: allotment_key(&self.team),
-            mark: self.record_revision,
+    pub fn precondition(&self) -> Precondition {
+        Precondition {
+            key: allotment_key(&self.team),
+            revision: self.record_revision,
         }
     }
 }
--- a/src/limits/leader.rs
+++ b/src/limits/leader.rs
@@ -3,7 +3,7 @@
 
 use super::{DividedTeam, refresh_usage};
 use crate::node::{Core, Node};
-use crate::state::{ASSIGNMENT_KEY, Guard, LEADER_KEY, Op, allotment_key};
+use crate::state::{ASSIGNMENT_KEY, LEADER_KEY, Operation, Precondition, allotment_key};
 use rowanmill_limits::{AllocationDecision, AllocationRecord, LeaderView, decide_allocation};
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
         preconditions,
         writes,
     } = transaction;
-    match node.state.transact(&preconditions, &writes).await {
+    match node.state.compare_and_swap(&preconditions, &writes).await {
         Ok(revision) => {
             tracing::info!(teams = writes.len(), "team limits divided");
             node.core().apply(writes, revision);
@@ -58,13 +58,13 @@
     let stored = core.replica.allotments.iter();
     stored
         .filter(|(team, _)| !core.limits.limits.contains_key(*team))
-        .map(|(team, stored)| (team, stored.mark))
+        .map(|(team, stored)| (team, stored.revision))
 }
 
 /// Changes of teams' records that only the leader may make, under the present assignment.
 struct AllocationTransaction {
-    preconditions: Vec<Guard>,
-    writes: Vec<Op>,
+    preconditions: Vec<Precondition>,
+    writes: Vec<Operation>,
 }
 
 impl AllocationTransaction {
@@ -73,19 +73,19 @@
         let assignment = core.replica.assignment.as_ref();
         let mut transaction = Self {
             preconditions: vec![
-                Guard {
-                    k: LEADER_KEY.into(),
-                    mark: leader_revision,
+                Precondition {
+                    key: LEADER_KEY.into(),
+                    revision: leader_revision,
                 },
-                Guard {
-                    k: ASSIGNMENT_KEY.into(),
-                    mark: assignment.map_or(0, |assignment| assignment.mark),
+                Precondition {
+                    key: ASSIGNMENT_KEY.into(),
+                    revision: assignment.map_or(0, |assignment| assignment.revision),
                 },
             ],
             writes: Vec::new(),
         };
         for (team, revision) in obsolete_records(core).take(max_records) {
-            let delete = Op::drop(allotment_key(team));
+            let delete = Operation::delete(allotment_key(team));
             transaction.add(team, revision, delete);
         }
         let left = max_records - transaction.writes.len();
@@ -94,17 +94,17 @@
             .divided_teams(core)
             .filter_map(|team| Some((next_record(&team)?, team)));
         for (record, team) in records.take(left) {
-            let put = Op::set(allotment_key(team.name), &record);
+            let put = Operation::put(allotment_key(team.name), &record);
             transaction.add(team.name, team.record_revision(), put);
         }
         transaction
     }
 
     /// Adds a write of a team's record on condition that it still has `revision`.
-    fn add(&mut self, team: &str, revision: u64, write: Op) {
-        self.preconditions.push(Guard {
-            k: allotment_key(team),
-            mark: revision,
+    fn add(&mut self, team: &str, revision: u64, write: Operation) {
+        self.preconditions.push(Precondition {
+            key: allotment_key(team),
+            revision,
         });
         self.writes.push(write);
     }
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -93,7 +93,7 @@
             name: team,
             limit,
             stored: core.replica.allotments.get(team),
-            assignment_revision: assignment.mark,
+            assignment_revision: assignment.revision,
             applied_revision: core.replica.revision,
             usage: self.usage.get(team),
             holder: &self.holder,
--- a/src/limits/team.rs
+++ b/src/limits/team.rs
@@ -29,13 +29,13 @@
         let stored = self.stored?;
         Some(Versioned {
             record: stored.record.as_ref()?,
-            revision: stored.mark,
+            revision: stored.revision,
         })
     }
 
     /// The revision of its record, 0 if there is none.
     pub fn record_revision(&self) -> u64 {
-        self.stored.map_or(0, |stored| stored.mark)
+        self.stored.map_or(0, |stored| stored.revision)
     }
 
     /// Whether there is a record that this version cannot read.
--- a/src/limits/transfer.rs
+++ b/src/limits/transfer.rs
@@ -3,7 +3,7 @@
 
 use super::{QuotaCharge, refresh_usage};
 use crate::node::{Core, Node};
-use crate::state::{Guard, Op, TxnError, allotment_key};
+use crate::state::{Operation, Precondition, TransactionError, allotment_key};
 use rowanmill_limits::{RecordChange, RecordChangeKind};
 use rowanmill_state::Need;
 use std::sync::Arc;
@@ -44,14 +44,14 @@
 /// Writes one change on condition that the record is still the one it was derived from.
 async fn write_change(node: &Arc<Node>, team: &str, change: RecordChange) {
     let key = allotment_key(team);
-    let precondition = Guard {
-        k: key.clone(),
-        mark: change.base_revision,
+    let precondition = Precondition {
+        key: key.clone(),
+        revision: change.base_revision,
     };
-    let write = Op::set(key, &change.record);
+    let write = Operation::put(key, &change.record);
     let outcome = node
         .state
-        .transact(&[precondition], std::slice::from_ref(&write))
+        .compare_and_swap(&[precondition], std::slice::from_ref(&write))
         .await;
     let mut core = node.core();
     match outcome {
@@ -63,7 +63,7 @@
         }
         Err(error) => {
             tracing::debug!(%error, team, "quota allocation change failed");
-            if matches!(error, TxnError::Unknown) {
+            if matches!(error, TransactionError::Unknown) {
                 record_in_doubt(&mut core, team, &change);
             }
         }
@@ -84,7 +84,7 @@
         team: team.to_owned(),
         amount: change.transferred,
         record_revision: change.base_revision,
-        assignment_revision: assignment.map_or(0, |assignment| assignment.mark),
+        assignment_revision: assignment.map_or(0, |assignment| assignment.revision),
     };
     core.limits.record_in_doubt(&charge);
 }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::node::Node;
 use crate::state::replica::{LeaderRecord, PresenceRecord};
-use crate::state::{Guard, LEADER_KEY, Op, TxnError, presence_key};
+use crate::state::{LEADER_KEY, Operation, Precondition, TransactionError, presence_key};
 use assignment::Member;
 use probe::Probe;
 use rowanmill_state::ReadError;
@@ -69,7 +69,7 @@
         None if stands_back => end_standing_back(node),
         None => join(node, ttl).await,
         Some(lease) => match extend(node, lease).await {
-            Err(ReadError::Gone) => {
+            Err(ReadError::LeaseExpired) => {
                 tracing::info!("the presence lease is over");
                 node.core().standing.lease = None;
             }
@@ -121,7 +121,7 @@
 /// Sees to it that this node's presence is there, on its lease of now; whether it is. One put
 /// without an answer may be carried out seconds later, after the next: it would take the key to a
 /// lease that nobody extends, with which it ends, and the node would be nobody's for good. So each
-/// is guarded by the mark before, and what the records tell is compared at each turn.
+/// is guarded by the revision before, and what the records tell is compared at each turn.
 async fn announce(node: &Node, lease: u64) -> bool {
     let record = PresenceRecord {
         incarnation: node.me.incarnation,
@@ -129,30 +129,30 @@
         forms: node.can,
     };
     let key = presence_key(&node.me.name);
-    let mark = {
+    let revision = {
         let core = node.core();
         let held = core.replica.presence.get(&node.me.name);
         if held.is_some_and(|held| held.record == record) {
             return true;
         }
-        held.map_or(0, |held| held.mark)
+        held.map_or(0, |held| held.revision)
     };
-    let guard = Guard {
-        k: key.clone(),
-        mark,
+    let guard = Precondition {
+        key: key.clone(),
+        revision,
     };
     let put = leased(key, &record, lease);
     match node
         .state
-        .transact(&[guard], std::slice::from_ref(&put))
+        .compare_and_swap(&[guard], std::slice::from_ref(&put))
         .await
     {
-        Ok(ledger) => {
-            node.core().apply(vec![put], ledger);
+        Ok(revision) => {
+            node.core().apply(vec![put], revision);
             true
         }
         Err(error) => {
-            if matches!(error, TxnError::NoLease) {
+            if matches!(error, TransactionError::LeaseExpired) {
                 node.core().standing.lease = None;
             }
             node.sync().await;
@@ -161,15 +161,8 @@
     }
 }
 
-fn leased(key: String, record: &impl serde::Serialize, lease: u64) -> Op {
-    match Op::set(key, record) {
-        Op::Set { set, data, .. } => Op::Set {
-            set,
-            data,
-            lease: Some(lease),
-        },
-        drop => drop,
-    }
+fn leased(key: String, record: &impl serde::Serialize, lease: u64) -> Operation {
+    Operation::put(key, record).with_lease(lease)
 }
 
 async fn campaign(node: &Arc<Node>, lease: u64) {
@@ -181,35 +174,35 @@
         incarnation: node.me.incarnation,
         lease,
     };
-    let guard = Guard {
-        k: LEADER_KEY.into(),
-        mark: 0,
+    let guard = Precondition {
+        key: LEADER_KEY.into(),
+        revision: 0,
     };
     let put = leased(LEADER_KEY.into(), &record, lease);
-    match node.state.transact(&[guard], &[put]).await {
+    match node.state.compare_and_swap(&[guard], &[put]).await {
         Ok(_) => tracing::info!("elected"),
-        Err(TxnError::NoLease) => node.core().standing.lease = None,
+        Err(TransactionError::LeaseExpired) => node.core().standing.lease = None,
         Err(_) => {}
     }
     node.sync().await;
 }
 
-/// Whether the leader record is this very process's; its mark.
+/// Whether the leader record is this very process's; its revision.
 pub fn lead_mark(node: &Node) -> Option<u64> {
     let core = node.core();
     let leader = core.replica.leader.as_ref()?;
     let ours =
         leader.record.member == node.me.name && leader.record.incarnation == node.me.incarnation;
-    ours.then_some(leader.mark)
+    ours.then_some(leader.revision)
 }
 
 /// Notes whether this node leads, and since when.
-pub fn note_lead(node: &Node, mark: Option<u64>) {
+pub fn note_lead(node: &Node, revision: Option<u64>) {
     let mut core = node.core();
-    let before = core.standing.leading.map(|(mark, _)| mark);
-    if before != mark {
-        tracing::info!(?mark, "the lead changed hands");
-        core.standing.leading = mark.map(|mark| (mark, Instant::now()));
+    let before = core.standing.leading.map(|(revision, _)| revision);
+    if before != revision {
+        tracing::info!(?revision, "the lead changed hands");
+        core.standing.leading = revision.map(|revision| (revision, Instant::now()));
     }
 }
 
--- a/src/membership/schema_versions.rs
+++ b/src/membership/schema_versions.rs
@@ -6,7 +6,7 @@
 use crate::jobs::Layout;
 use crate::node::Node;
 use crate::state::Replica;
-use crate::state::{FORMS_KEY, Guard, Op, presence_key};
+use crate::state::{FORMS_KEY, Operation, Precondition, presence_key};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
@@ -69,30 +69,30 @@
             return;
         };
         // Under the presences that it follows from: one may be back with the version before.
-        let presence = |name: &&str| core.replica.presence.get(*name).map_or(0, |p| p.mark);
-        let mut guards: Vec<Guard> = members
+        let presence = |name: &&str| core.replica.presence.get(*name).map_or(0, |p| p.revision);
+        let mut guards: Vec<Precondition> = members
             .iter()
-            .map(|name| Guard {
-                k: presence_key(name),
-                mark: presence(name),
+            .map(|name| Precondition {
+                key: presence_key(name),
+                revision: presence(name),
             })
             .collect();
         guards.truncate(node.settings.max_transaction_operations() * 4 - 1);
-        let mark = core.replica.forms.as_ref().map_or(0, |f| f.mark);
-        guards.push(Guard {
-            k: FORMS_KEY.into(),
-            mark,
+        let revision = core.replica.forms.as_ref().map_or(0, |f| f.revision);
+        guards.push(Precondition {
+            key: FORMS_KEY.into(),
+            revision,
         });
         (forms, guards)
     };
     let begun = forms.begun();
-    let put = Op::set(FORMS_KEY.into(), &forms);
-    if let Ok(ledger) = node
+    let put = Operation::put(FORMS_KEY.into(), &forms);
+    if let Ok(revision) = node
         .state
-        .transact(&guards, std::slice::from_ref(&put))
+        .compare_and_swap(&guards, std::slice::from_ref(&put))
         .await
     {
-        node.core().apply(vec![put], ledger);
+        node.core().apply(vec![put], revision);
         if begun {
             tracing::info!("all controllers are of this version: its forms begin");
         }
--- a/src/membership/schema_versions/tests.rs
+++ b/src/membership/schema_versions/tests.rs
@@ -8,8 +8,8 @@
         lease: 1,
         forms,
     };
-    let mark = incarnation;
-    Versioned { record, mark }
+    let revision = incarnation;
+    Versioned { record, revision }
 }
 
 /// Rule `too_early`: a node of the version before runs a job that waits as soon as it sees it. So
@@ -18,13 +18,13 @@
 fn new_forms_begin_when_every_node_was_seen_new_and_stay() {
     let members = ["a", "b", "c"];
     let mut replica = Replica::new(wide(8));
-    let mut mark = 100;
+    let mut revision = 100;
     let mut trace = String::new();
     let mut step = |what: &str, replica: &mut Replica| {
         if let Some(forms) = wanted(&members, &wide(8), replica) {
-            mark += 1;
+            revision += 1;
             let text = serde_json::to_string(&forms).unwrap();
-            replica.put("r/forms", &text, mark);
+            replica.put("r/forms", &text, revision);
         }
         let forms = replica.forms.as_ref().map(|f| &f.record);
         let seen: Vec<_> = forms.iter().flat_map(|f| &f.seen).collect();
--- a/src/membership/sharing.rs
+++ b/src/membership/sharing.rs
@@ -11,7 +11,7 @@
 use crate::placement::views::{due_after, kinds_for, room_of, urgency_of};
 use crate::placement::{By, Need};
 use crate::state::replica::Versioned;
-use crate::state::{ASSIGNMENT_KEY, Guard, LEADER_KEY, Op, rental_key};
+use crate::state::{ASSIGNMENT_KEY, LEADER_KEY, Operation, Precondition, rental_key};
 use rowanmill_state::Need as Budget;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -141,10 +141,10 @@
         return None;
     }
     let (kind, machines) = weight(node, core, record, spec.tasks, 0.0)?;
-    let fresh = |s: &Spoken| s.at.elapsed() < SPOKEN_FOR && s.shares_mark == kept.mark;
+    let fresh = |s: &Spoken| s.at.elapsed() < SPOKEN_FOR && s.shares_mark == kept.revision;
     let mut spoken = match core.standing.spoken.take().filter(fresh) {
         Some(spoken) => spoken,
-        None => Spoken::new(node, core, &kept.record, kept.mark),
+        None => Spoken::new(node, core, &kept.record, kept.revision),
     };
     let for_it = |m: &Member| spoken.of(m, &kind, spec.spot);
     let members = kept.record.members.iter();
@@ -200,7 +200,7 @@
     let machines = part_machines(&shared, &present, &demand, most);
     let changed = before != &shares;
     Change {
-        shares: changed.then(|| (shares, old.map_or(0, |o| o.mark))),
+        shares: changed.then(|| (shares, old.map_or(0, |o| o.revision))),
         machines,
     }
 }
@@ -219,7 +219,7 @@
 /// The leader's duty: everything belongs to a controller that is there, and machines follow the
 /// work. A machine that changes hands has a higher token, so that whatever its old owner still
 /// sends fails on its guards, and the worker drops the old owner's answers.
-pub async fn assign_work(node: &Arc<Node>, mark: u64) {
+pub async fn assign_work(node: &Arc<Node>, revision: u64) {
     let change = {
         let _charge = node.processor_time.charge(CpuAccount::Scaling);
         let mut core = node.core();
@@ -247,16 +247,16 @@
         return;
     }
     let mut ops = Vec::new();
-    let mut guards = vec![Guard {
-        k: LEADER_KEY.into(),
-        mark,
+    let mut guards = vec![Precondition {
+        key: LEADER_KEY.into(),
+        revision,
     }];
-    if let Some((shares, mark)) = &change.shares {
-        guards.push(Guard {
-            k: ASSIGNMENT_KEY.into(),
-            mark: *mark,
+    if let Some((shares, revision)) = &change.shares {
+        guards.push(Precondition {
+            key: ASSIGNMENT_KEY.into(),
+            revision: *revision,
         });
-        ops.push(Op::set(ASSIGNMENT_KEY.into(), shares));
+        ops.push(Operation::put(ASSIGNMENT_KEY.into(), shares));
     }
     let most = node.settings.max_transaction_operations() - 1;
     let owners: BTreeMap<&str, &Member> = change
@@ -287,17 +287,17 @@
         for (name, kept) in changed {
             let parts = in_parts(&name, kept, node.settings.max_value_bytes());
             let set = |(name, kept): &(String, Versioned<Rental>)| {
-                Op::set(rental_key(name), &kept.record)
+                Operation::put(rental_key(name), &kept.record)
             };
-            let new: Vec<Op> = parts.iter().map(set).collect();
-            bytes += new.iter().map(Op::bytes).sum::<usize>();
+            let new: Vec<Operation> = parts.iter().map(set).collect();
+            bytes += new.iter().map(Operation::bytes).sum::<usize>();
             let left = most.saturating_sub(ops.len() - before);
             if bytes > crate::state::MOST_BYTES || new.len() > left {
                 break;
             }
-            guards.extend(parts.iter().map(|(name, kept)| Guard {
-                k: rental_key(name),
-                mark: kept.mark,
+            guards.extend(parts.iter().map(|(name, kept)| Precondition {
+                key: rental_key(name),
+                revision: kept.revision,
             }));
             ops.extend(new);
         }
@@ -305,15 +305,15 @@
     if ops.is_empty() {
         return;
     }
-    match node.state.transact(&guards, &ops).await {
-        Ok(ledger) => {
+    match node.state.compare_and_swap(&guards, &ops).await {
+        Ok(revision) => {
             if let Some((shares, _)) = &change.shares {
                 let shares = serde_json::to_string(shares).unwrap_or_default();
                 tracing::info!(shares, "parted the jobs");
             }
             let records = ops.len();
             tracing::info!(machines = moved, records, "machines changed hands");
-            node.core().apply(ops, ledger);
+            node.core().apply(ops, revision);
         }
         Err(error) => {
             tracing::debug!(%error, "the sharing was not written");
--- a/src/node.rs
+++ b/src/node.rs
@@ -15,7 +15,7 @@
 use crate::policy::Policy;
 use crate::renting::service::RentState;
 use crate::settings::Settings;
-use crate::state::{Guard, Op, Replica, StateClient, rental_key};
+use crate::state::{Operation, Precondition, Replica, StateClient, rental_key};
 use crate::workers::{TaskId, Workers};
 use rowanmill_cells::{CellCoordinator, CellsConfig};
 use rowanmill_limits::LimitsConfig;
@@ -282,14 +282,14 @@
     }
 
     /// Takes in our own changes as soon as they are answered.
-    pub fn apply(&mut self, ops: Vec<Op>, ledger: u64) {
-        if ledger <= self.replica.revision {
+    pub fn apply(&mut self, ops: Vec<Operation>, revision: u64) {
+        if revision <= self.replica.revision {
             return; // the log was faster, and may have told of the record's end since
         }
         for op in ops {
             match op {
-                Op::Set { set, data, .. } => self.replica.put(&set, data.get(), ledger),
-                Op::Drop { drop } => self.replica.remove(&drop, ledger),
+                Operation::Put { key, value, .. } => self.replica.put(&key, value.get(), revision),
+                Operation::Delete { key } => self.replica.remove(&key, revision),
             }
         }
     }
@@ -302,12 +302,12 @@
 
     /// The guard under which what is planned on a machine holds: its rental's key, which changes
     /// with the machine's owner and with its way back. A machine in no record is provably gone.
-    pub fn machine_guard(&self, machine: &str) -> Option<Guard> {
+    pub fn machine_guard(&self, machine: &str) -> Option<Precondition> {
         let machine = self.replica.fleet.machines.get(machine)?;
         let kept = self.replica.fleet.rentals.get(&machine.rental)?;
-        Some(Guard {
-            k: rental_key(&machine.rental),
-            mark: kept.mark,
+        Some(Precondition {
+            key: rental_key(&machine.rental),
+            revision: kept.revision,
         })
     }
 
--- a/src/pipelines/mod.rs
+++ b/src/pipelines/mod.rs
@@ -14,7 +14,7 @@
 pub struct Blocked {
     pub record: JobRecord,
     pub awaits: Vec<String>,
-    pub mark: u64,
+    pub revision: u64,
     /// What it needs that is not known to be done.
     open: BTreeSet<String>,
 }
@@ -67,10 +67,14 @@
         id: &str,
         record: JobRecord,
         awaits: Vec<String>,
-        mark: u64,
+        revision: u64,
         need: impl Fn(&str) -> Need,
     ) {
-        if self.held.get(id).is_some_and(|old| old.mark >= mark) {
+        if self
+            .held
+            .get(id)
+            .is_some_and(|old| old.revision >= revision)
+        {
             return;
         }
         self.remove(id);
@@ -95,7 +99,7 @@
         let held = Blocked {
             record,
             awaits,
-            mark,
+            revision,
             open,
         };
         self.held.insert(id.to_owned(), held);
--- a/src/pipelines/service.rs
+++ b/src/pipelines/service.rs
@@ -4,7 +4,7 @@
 use crate::jobs::{Final, Stored};
 use crate::membership;
 use crate::node::{Core, Node, wall_ms};
-use crate::state::{Guard, Op, final_key, job_key};
+use crate::state::{Operation, Precondition, final_key, job_key};
 use rowanmill_state::Need;
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,8 +12,8 @@
 /// A change of one waiting job, under the guard of its record alone: that what it needs is done, or
 /// cancelled, is final.
 struct Step {
-    guard: Guard,
-    op: Op,
+    guard: Precondition,
+    op: Operation,
 }
 
 /// The record of one that was cancelled while it waited: nothing of it ran.
@@ -23,7 +23,7 @@
 
 /// Those that this node sees to: its own, and after it ended a job any that are ready, so that the
 /// next stage need not wait until another node has read the log. Of two that release one the record's
-/// mark lets through a single one.
+/// revision lets through a single one.
 fn steps(node: &Node, core: &mut Core, ended_here: bool, most: usize) -> Vec<Step> {
     let replica = &core.replica;
     let ours = |id: &str| {
@@ -34,28 +34,28 @@
     let ready = ready.filter(|(id, _)| ended_here || ours(id));
     let ready: Vec<_> = ready
         .take(most)
-        .map(|(id, h)| (id.clone(), h.record.clone(), h.mark))
+        .map(|(id, h)| (id.clone(), h.record.clone(), h.revision))
         .collect();
     let doomed = replica.pipelines.doomed().filter(|(id, _)| ours(id));
-    let doomed = doomed.take(most).map(|(id, h)| (id.clone(), h.mark));
+    let doomed = doomed.take(most).map(|(id, h)| (id.clone(), h.revision));
     let doomed: Vec<(String, u64)> = doomed.collect();
-    let guard = |id: &str, mark| Guard {
-        k: job_key(id),
-        mark,
+    let guard = |id: &str, revision| Precondition {
+        key: job_key(id),
+        revision,
     };
     let mut steps = Vec::new();
-    for (id, mut record, mark) in ready {
+    for (id, mut record, revision) in ready {
         record.released_ms = Some(wall_ms().max(record.accepted_ms));
         record.placer = membership::choose_placer(node, core, &record);
         steps.push(Step {
-            guard: guard(&id, mark),
-            op: Op::set(job_key(&id), &Stored::Open(record)),
+            guard: guard(&id, revision),
+            op: Operation::put(job_key(&id), &Stored::Open(record)),
         });
     }
-    for (id, mark) in doomed {
+    for (id, revision) in doomed {
         steps.push(Step {
-            guard: guard(&id, mark),
-            op: Op::set(job_key(&id), &CANCELLED),
+            guard: guard(&id, revision),
+            op: Operation::put(job_key(&id), &CANCELLED),
         });
     }
     steps
@@ -84,10 +84,10 @@
         if ops.is_empty() {
             return true;
         }
-        let Ok(ledger) = node.state.transact(&guards, &ops).await else {
+        let Ok(revision) = node.state.compare_and_swap(&guards, &ops).await else {
             return false;
         };
-        node.core().apply(ops, ledger);
+        node.core().apply(ops, revision);
         node.wake_up.notify_one();
     }
 }
--- a/src/pipelines/tests.rs
+++ b/src/pipelines/tests.rs
@@ -10,12 +10,12 @@
         "spread":false,"borrowed":true,"grindS":10.0,"bankS":0.0,"bankWriteS":0.0,"dueS":due})
 }
 
-fn open(replica: &mut Replica, id: &str, mark: u64) {
+fn open(replica: &mut Replica, id: &str, revision: u64) {
     let record = json!({"spec": spec(id, "best_effort", None), "accepted_ms": 0});
-    replica.put(&format!("r/j/{id}"), &record.to_string(), mark);
+    replica.put(&format!("r/j/{id}"), &record.to_string(), revision);
 }
 
-fn held(replica: &mut Replica, id: &str, awaits: &[&str], due: Option<f64>, mark: u64) {
+fn held(replica: &mut Replica, id: &str, awaits: &[&str], due: Option<f64>, revision: u64) {
     let urgency = if due.is_some() {
         "urgent"
     } else {
@@ -23,7 +23,7 @@
     };
     let record = json!({"held": {"spec": spec(id, urgency, due), "accepted_ms": 0},
         "awaits": awaits});
-    replica.put(&format!("r/j/{id}"), &record.to_string(), mark);
+    replica.put(&format!("r/j/{id}"), &record.to_string(), revision);
 }
 
 fn show(replica: &Replica) -> String {
--- a/src/placement/cache.rs
+++ b/src/placement/cache.rs
@@ -224,9 +224,9 @@
     machines.extend(core.plans.take_changed_machines());
     let mut jobs = core.replica.take_changed_jobs();
     jobs.extend(core.plans.take_changed_jobs());
-    let mark = core.replica.assignment.as_ref().map_or(0, |s| s.mark);
-    if mark != cache.shares_mark || cache.kinds_known != core.kinds.len() {
-        cache.shares_mark = mark;
+    let revision = core.replica.assignment.as_ref().map_or(0, |s| s.revision);
+    if revision != cache.shares_mark || cache.kinds_known != core.kinds.len() {
+        cache.shares_mark = revision;
         cache.kinds_known = core.kinds.len();
         jobs.extend(core.replica.jobs.keys().cloned());
         machines.extend(core.replica.fleet.machines.keys().cloned());
--- a/src/placement/service.rs
+++ b/src/placement/service.rs
@@ -46,9 +46,9 @@
 async fn scheduling_cycle(node: &Arc<Node>) -> Duration {
     let lead_mark = membership::lead_mark(node);
     membership::note_lead(node, lead_mark);
-    if let Some(mark) = lead_mark {
-        membership::assign_work(node, mark).await;
-        limits::allocate_limits(node, mark).await;
+    if let Some(revision) = lead_mark {
+        membership::assign_work(node, revision).await;
+        limits::allocate_limits(node, revision).await;
     }
     let began = Instant::now();
     if !plan_changes(node, began) {
--- a/src/renting/provision.rs
+++ b/src/renting/provision.rs
@@ -7,20 +7,20 @@
 use crate::membership;
 use crate::membership::assignment::{Member, targets};
 use crate::node::{Core, Node, age_s, wall_ms};
-use crate::state::{Guard, Op, rental_key};
+use crate::state::{Operation, Precondition, rental_key};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 /// Rents what is wished for: offers are tried cheapest first, then where the fewest machines are.
-pub(super) async fn fulfil(node: &Arc<Node>, mark: u64) {
+pub(super) async fn fulfil(node: &Arc<Node>, revision: u64) {
     let wishes = std::mem::take(&mut node.core().rent.wishes);
-    let more = fulfil_wishes(node, mark, wishes).await;
-    fulfil_wishes(node, mark, more).await;
+    let more = fulfil_wishes(node, revision, wishes).await;
+    fulfil_wishes(node, revision, more).await;
 }
 
 /// Returns what to wish for instead of what is not to be had.
-async fn fulfil_wishes(node: &Arc<Node>, mark: u64, wishes: Vec<Wish>) -> Vec<Wish> {
+async fn fulfil_wishes(node: &Arc<Node>, revision: u64, wishes: Vec<Wish>) -> Vec<Wish> {
     let mut more = Vec::new();
     for wish in wishes {
         let mut left = wish.count;
@@ -55,7 +55,7 @@
                     machines: Vec::new(),
                 };
                 let asked = record.count;
-                let got = hire(node, mark, record).await;
+                let got = hire(node, revision, record).await;
                 left -= got.min(left);
                 if spot {
                     spot_left -= got.min(spot_left);
@@ -117,37 +117,37 @@
 }
 
 /// Records a name, rents under it, and records the machines. Returns how many came.
-async fn hire(node: &Arc<Node>, mark: u64, record: Rental) -> u32 {
-    // The leader key's mark is never given twice, so neither is this name.
+async fn hire(node: &Arc<Node>, revision: u64, record: Rental) -> u32 {
+    // The leader key's revision is never given twice, so neither is this name.
     let name = {
         let mut core = node.core();
         core.rent.rented_in_all += 1;
-        format!("r-{mark}-{}", core.rent.rented_in_all)
+        format!("r-{revision}-{}", core.rent.rented_in_all)
     };
-    let put = Op::set(rental_key(&name), &record);
+    let put = Operation::put(rental_key(&name), &record);
     let guards = [
-        guard(mark),
-        Guard {
-            k: rental_key(&name),
-            mark: 0,
+        guard(revision),
+        Precondition {
+            key: rental_key(&name),
+            revision: 0,
         },
     ];
     match node
         .state
-        .transact(&guards, std::slice::from_ref(&put))
+        .compare_and_swap(&guards, std::slice::from_ref(&put))
         .await
     {
-        Ok(ledger) => {
-            node.core().apply(vec![put], ledger);
+        Ok(revision) => {
+            node.core().apply(vec![put], revision);
         }
         Err(_) => return 0,
     }
-    send_hire(node, mark, &name, &record).await
+    send_hire(node, revision, &name, &record).await
 }
 
 /// Sends a recorded rental, for the first time or again: a repeat of one that was carried out
 /// rents nothing and names the same machines.
-async fn send_hire(node: &Arc<Node>, mark: u64, name: &str, record: &Rental) -> u32 {
+async fn send_hire(node: &Arc<Node>, revision: u64, name: &str, record: &Rental) -> u32 {
     let rental = cloud::RentalRequest {
         name,
         machine_type: &record.kind,
@@ -179,7 +179,7 @@
         // An earlier answer to the same request may be in the record by now, and its machines may
         // have changed hands or gone: filling it again would take their tokens back.
         let kept = core.replica.fleet.rentals.get(name);
-        let Some(mark_before) = kept.filter(|k| k.record.open).map(|k| k.mark) else {
+        let Some(mark_before) = kept.filter(|k| k.record.open).map(|k| k.revision) else {
             return got;
         };
         if got < record.count {
@@ -189,12 +189,12 @@
         }
         let owners = first_owners(node, &core, record, names.len());
         let machines = names.into_iter().zip(owners);
-        // A token starts at the leader's mark, and rises from there with each change of owner.
+        // A token starts at the leader's revision, and rises from there with each change of owner.
         let machines: Vec<Rented> = machines
             .map(|(name, owner)| Rented {
                 name,
                 owner,
-                token: mark,
+                token: revision,
                 state: Use::Open,
             })
             .collect();
@@ -204,24 +204,24 @@
             ..record.clone()
         };
         let op = match filled.machines.is_empty() {
-            true => Op::drop(rental_key(name)),
-            false => Op::set(rental_key(name), &filled),
+            true => Operation::delete(rental_key(name)),
+            false => Operation::put(rental_key(name), &filled),
         };
         (op, mark_before)
     };
     let guards = [
-        guard(mark),
-        Guard {
-            k: rental_key(name),
-            mark: mark_before,
+        guard(revision),
+        Precondition {
+            key: rental_key(name),
+            revision: mark_before,
         },
     ];
-    if let Ok(ledger) = node
+    if let Ok(revision) = node
         .state
-        .transact(&guards, std::slice::from_ref(&op))
+        .compare_and_swap(&guards, std::slice::from_ref(&op))
         .await
     {
-        node.core().apply(vec![op], ledger);
+        node.core().apply(vec![op], revision);
         node.wake_up.notify_one();
     }
     got
@@ -271,7 +271,7 @@
 }
 
 /// Rentals whose answer never came, or whose renter ended, are sent again under their name.
-pub(super) async fn resend_hires(node: &Arc<Node>, mark: u64) {
+pub(super) async fn resend_hires(node: &Arc<Node>, revision: u64) {
     let now_ms = wall_ms();
     let open: Vec<(String, Rental)> = {
         let core = node.core();
@@ -281,6 +281,6 @@
             .collect()
     };
     for (name, record) in open.into_iter().take(4) {
-        send_hire(node, mark, &name, &record).await;
+        send_hire(node, revision, &name, &record).await;
     }
 }
--- a/src/renting/release.rs
+++ b/src/renting/release.rs
@@ -8,7 +8,7 @@
 use crate::node::{Core, Node, age_s, wall_ms};
 use crate::state::follow::LOST;
 use crate::state::replica::Versioned;
-use crate::state::{Guard, Op, rental_key};
+use crate::state::{Operation, Precondition, rental_key};
 use rowanmill_state::Need;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -69,17 +69,17 @@
                 .machines
                 .is_empty()
             {
-                true => Op::drop(rental_key(name)),
-                false => Op::set(rental_key(name), &kept.record),
+                true => Operation::delete(rental_key(name)),
+                false => Operation::put(rental_key(name), &kept.record),
             };
-            let new: Vec<Op> = parts.iter().map(op).collect();
-            bytes += new.iter().map(Op::bytes).sum::<usize>();
+            let new: Vec<Operation> = parts.iter().map(op).collect();
+            bytes += new.iter().map(Operation::bytes).sum::<usize>();
             if bytes > crate::state::MOST_BYTES || ops.len() + new.len() > most {
                 break;
             }
-            guards.extend(parts.iter().map(|(name, kept)| Guard {
-                k: rental_key(name),
-                mark: kept.mark,
+            guards.extend(parts.iter().map(|(name, kept)| Precondition {
+                key: rental_key(name),
+                revision: kept.revision,
             }));
             ops.extend(new);
             rentals.push(name);
@@ -93,9 +93,9 @@
     if ops.is_empty() {
         return Vec::new();
     }
-    match node.state.transact(&guards, &ops).await {
-        Ok(ledger) => {
-            node.core().apply(ops, ledger);
+    match node.state.compare_and_swap(&guards, &ops).await {
+        Ok(revision) => {
+            node.core().apply(ops, revision);
             written
         }
         Err(_) => {
@@ -128,7 +128,7 @@
 /// Rentals of a few machines each would make a takeover cost as many puts as one of machine keys.
 /// Now and then the leader moves the machines of such rentals, once all are surely up, into one
 /// record: a put, and the drops that their ends would cost in any case.
-pub(super) async fn merge_rentals(node: &Arc<Node>, mark: u64) {
+pub(super) async fn merge_rentals(node: &Arc<Node>, revision: u64) {
     let now = Instant::now();
     {
         let mut core = node.core();
@@ -147,29 +147,29 @@
     let (name, kept) = into;
     let mut record = kept.record;
     let mut guards = vec![
-        guard(mark),
-        Guard {
-            k: rental_key(&name),
-            mark: kept.mark,
+        guard(revision),
+        Precondition {
+            key: rental_key(&name),
+            revision: kept.revision,
         },
     ];
     let mut ops = Vec::new();
     for (other, kept) in others {
         record.machines.extend(kept.record.machines);
         record.hired_ms = record.hired_ms.max(kept.record.hired_ms);
-        guards.push(Guard {
-            k: rental_key(&other),
-            mark: kept.mark,
+        guards.push(Precondition {
+            key: rental_key(&other),
+            revision: kept.revision,
         });
-        ops.push(Op::drop(rental_key(&other)));
+        ops.push(Operation::delete(rental_key(&other)));
     }
     record.count = record.machines.len() as u32;
     // The new record first: a machine is gone when no record lists it.
-    ops.insert(0, Op::set(rental_key(&name), &record));
-    match node.state.transact(&guards, &ops).await {
-        Ok(ledger) => {
+    ops.insert(0, Operation::put(rental_key(&name), &record));
+    match node.state.compare_and_swap(&guards, &ops).await {
+        Ok(revision) => {
             tracing::debug!(name, machines = record.count, "rentals merged");
-            node.core().apply(ops, ledger);
+            node.core().apply(ops, revision);
         }
         Err(_) => {
             node.sync().await;
@@ -216,9 +216,9 @@
 /// Most rentals merged at a time.
 const MOST_MERGED: usize = 6;
 
-pub(super) async fn mark_returning(node: &Arc<Node>, mark: u64) {
+pub(super) async fn mark_returning(node: &Arc<Node>, revision: u64) {
     let names = std::mem::take(&mut node.core().rent.to_return);
-    if names.is_empty() || membership::lead_mark(node) != Some(mark) {
+    if names.is_empty() || membership::lead_mark(node) != Some(revision) {
         return;
     }
     let give_back = |machine: &mut Rented| {
@@ -340,7 +340,7 @@
 }
 
 /// Reads the cloud's list: machines that no record names are adopted, failed ones given back.
-pub(super) async fn take_list(node: &Arc<Node>, mark: u64) {
+pub(super) async fn take_list(node: &Arc<Node>, revision: u64) {
     let Ok(list) = node.cloud.list().await else {
         return;
     };
@@ -372,13 +372,13 @@
                 continue;
             }
         }
-        adopt(node, mark, listed).await;
+        adopt(node, revision, listed).await;
     }
 }
 
 /// Records a machine that exists and is in no record: a rental of one, under its own name, so
 /// that it cannot be recorded twice.
-async fn adopt(node: &Arc<Node>, mark: u64, listed: cloud::ListedMachine) {
+async fn adopt(node: &Arc<Node>, revision: u64, listed: cloud::ListedMachine) {
     let key = rental_key(&format!("a-{}", listed.name));
     let record = Rental {
         kind: listed.machine_type,
@@ -390,24 +390,24 @@
         machines: vec![Rented {
             name: listed.name.clone(),
             owner: node.me.clone(),
-            token: mark,
+            token: revision,
             state: Use::Open,
         }],
     };
     let guards = [
-        guard(mark),
-        Guard {
-            k: key.clone(),
-            mark: 0,
+        guard(revision),
+        Precondition {
+            key: key.clone(),
+            revision: 0,
         },
     ];
-    let put = Op::set(key, &record);
-    if let Ok(ledger) = node
+    let put = Operation::put(key, &record);
+    if let Ok(revision) = node
         .state
-        .transact(&guards, std::slice::from_ref(&put))
+        .compare_and_swap(&guards, std::slice::from_ref(&put))
         .await
     {
-        node.core().apply(vec![put], ledger);
+        node.core().apply(vec![put], revision);
         tracing::info!(machine = listed.name, "adopted");
     }
 }
--- a/src/renting/service.rs
+++ b/src/renting/service.rs
@@ -8,7 +8,7 @@
 use crate::membership;
 use crate::metrics::CpuAccount;
 use crate::node::{Node, wall_ms};
-use crate::state::{Guard, LEADER_KEY, Op, outlook_key};
+use crate::state::{LEADER_KEY, Operation, Precondition, outlook_key};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -64,10 +64,14 @@
     let mut record = record;
     record.puts_per_s = node.state.puts_rate();
     record.fallen = node.state.has_fallen();
-    let put = Op::set(outlook_key(&node.me.name), &record);
-    if let Ok(ledger) = node.state.transact(&[], std::slice::from_ref(&put)).await {
+    let put = Operation::put(outlook_key(&node.me.name), &record);
+    if let Ok(revision) = node
+        .state
+        .compare_and_swap(&[], std::slice::from_ref(&put))
+        .await
+    {
         let mut core = node.core();
-        core.apply(vec![put], ledger);
+        core.apply(vec![put], revision);
         core.rent.published = Some((Instant::now(), record));
     }
 }
@@ -90,15 +94,15 @@
         }
         publish(&node).await;
         close_machines(&node).await;
-        if let Some(mark) = membership::lead_mark(&node) {
+        if let Some(revision) = membership::lead_mark(&node) {
             lead_event(&node);
-            merge_rentals(&node, mark).await;
-            mark_returning(&node, mark).await;
-            resend_hires(&node, mark).await;
-            fulfil(&node, mark).await;
+            merge_rentals(&node, revision).await;
+            mark_returning(&node, revision).await;
+            resend_hires(&node, revision).await;
+            fulfil(&node, revision).await;
             if list_at.is_none_or(|at| at.elapsed() > every) {
                 list_at = Some(Instant::now());
-                take_list(&node, mark).await;
+                take_list(&node, revision).await;
             }
         }
         tokio::time::sleep(PAUSE).await;
@@ -123,9 +127,9 @@
     remedy(node, &mut core, now, now_ms);
 }
 
-pub(super) fn guard(mark: u64) -> Guard {
-    Guard {
-        k: LEADER_KEY.into(),
-        mark,
+pub(super) fn guard(revision: u64) -> Precondition {
+    Precondition {
+        key: LEADER_KEY.into(),
+        revision,
     }
 }
--- a/src/state/follow.rs
+++ b/src/state/follow.rs
@@ -3,7 +3,7 @@
 use super::LIVE;
 use crate::metrics::CpuAccount;
 use crate::node::Node;
-use rowanmill_state::{Followed, ReadError};
+use rowanmill_state::{ReadError, WatchResponse};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -53,11 +53,11 @@
         Ok(followed) => {
             let _charge = node.processor_time.charge(CpuAccount::Replication);
             let mut core = node.core();
-            let wake_up = !followed.log.is_empty();
+            let wake_up = !followed.events.is_empty();
             if core.proof.is_none_or(|p| p.elapsed() > LOST) {
                 core.contact_since = Some(sent);
             }
-            core.replica.take(followed.log, followed.ledger);
+            core.replica.take(followed.events, followed.revision);
             core.proof = core.proof.max(Some(sent));
             drop(core);
             if wake_up {
@@ -74,10 +74,10 @@
     }
 }
 
-async fn follow(node: &Node, from: u64, hold: Duration) -> Result<Followed, ReadError> {
+async fn follow(node: &Node, from: u64, hold: Duration) -> Result<WatchResponse, ReadError> {
     let body = node.state.follow(LIVE, from, hold).await?;
     let _charge = node.processor_time.charge(CpuAccount::WatchDecoding);
-    Followed::decode(&body)
+    WatchResponse::decode(&body)
 }
 
 async fn load(node: &Node) -> Result<(), ReadError> {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::jobs::PageId;
 pub use replica::Replica;
-pub use rowanmill_state::{Guard, Op, StateClient, TxnError};
+pub use rowanmill_state::{Operation, Precondition, StateClient, TransactionError};
 
 /// Most bytes of a transaction's changes: the service takes 64 KiB in all.
 pub const MOST_BYTES: usize = 44 << 10;
--- a/src/state/replica.rs
+++ b/src/state/replica.rs
@@ -12,7 +12,7 @@
 use crate::renting::ForecastSummaryRecord;
 use records::entry_in;
 pub use records::{Job, LeaderRecord, PresenceRecord, Versioned};
-use rowanmill_state::{Change, Pair};
+use rowanmill_state::{KeyValue, WatchEvent};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 
@@ -51,7 +51,7 @@
     changed_jobs: HashSet<String>,
     changed_on: HashSet<String>,
     ended: HashMap<String, Final>,
-    /// Jobs that ended and whose key still stands, with its mark.
+    /// Jobs that ended and whose key still stands, with its revision.
     pub closed: BTreeMap<String, u64>,
     ended_order: VecDeque<String>,
     /// Keys that our own changes dropped before the log told of it, with the drops' marks: what the
@@ -68,7 +68,7 @@
     }
 
     /// Starts again from a listing; what is known of ended jobs never changes and stays.
-    pub fn reset(&mut self, pairs: Vec<Pair>, revision: u64) {
+    pub fn reset(&mut self, pairs: Vec<KeyValue>, revision: u64) {
         let ended = std::mem::take(&mut self.ended);
         let ended_order = std::mem::take(&mut self.ended_order);
         let incarnations = std::mem::take(&mut self.incarnations);
@@ -87,26 +87,26 @@
             ..Self::new(self.layout)
         };
         for pair in pairs {
-            self.put(&pair.k, pair.data.get(), pair.mark);
+            self.put(&pair.key, pair.value.get(), pair.revision);
         }
         self.revision = revision;
     }
 
     /// Takes in what a follow returned. Answers may overlap: what is in already is passed over.
-    pub fn take(&mut self, log: Vec<Change>, ledger: u64) {
-        for change in log {
-            if change.mark <= self.revision {
+    pub fn take(&mut self, events: Vec<WatchEvent>, revision: u64) {
+        for change in events {
+            if change.revision <= self.revision {
                 continue;
             }
-            if let (Some(key), Some(data)) = (change.set, change.data) {
-                self.put(&key, data.get(), change.mark);
-            } else if let Some(key) = change.drop {
-                self.remove(&key, change.mark);
+            if let (Some(key), Some(data)) = (change.put, change.value) {
+                self.put(&key, data.get(), change.revision);
+            } else if let Some(key) = change.deleted {
+                self.remove(&key, change.revision);
             }
         }
-        self.revision = self.revision.max(ledger);
+        self.revision = self.revision.max(revision);
         let told = self.revision;
-        self.dropped.retain(|_, mark| *mark > told);
+        self.dropped.retain(|_, revision| *revision > told);
     }
 
     pub fn ended(&self, id: &str) -> Option<Final> {
@@ -125,25 +125,25 @@
         }
     }
 
-    /// Puts one record. A mark no newer than the one held is passed over, so that our own
+    /// Puts one record. A revision no newer than the one held is passed over, so that our own
     /// writes can be taken in as soon as they are answered, before the log brings them.
-    pub fn put(&mut self, key: &str, data: &str, mark: u64) {
+    pub fn put(&mut self, key: &str, data: &str, revision: u64) {
         let Some(rest) = key.strip_prefix(super::LIVE) else {
             return;
         };
-        if self.dropped.get(key).is_some_and(|at| *at >= mark) {
+        if self.dropped.get(key).is_some_and(|at| *at >= revision) {
             return;
         }
         let (slice, name) = rest.split_once('/').unwrap_or((rest, ""));
         match slice {
             "j" => match read(key, data) {
-                Some(Stored::Open(record)) => self.put_job(name, record, mark),
+                Some(Stored::Open(record)) => self.put_job(name, record, revision),
                 Some(Stored::Blocked { record, awaits }) => {
-                    self.put_blocked(name, record, awaits, mark)
+                    self.put_blocked(name, record, awaits, revision)
                 }
                 Some(Stored::Finished { outcome }) => {
                     self.finish(name, outcome);
-                    self.closed.insert(name.to_owned(), mark);
+                    self.closed.insert(name.to_owned(), revision);
                 }
                 None => {
                     self.unreadable.insert(name.to_owned());
@@ -158,12 +158,12 @@
                     PageId::Dense(_) => Page::from_dense(data),
                 };
                 match record {
-                    Ok(record) => self.put_page(id, page, record, mark),
+                    Ok(record) => self.put_page(id, page, record, revision),
                     Err(error) => tracing::error!(key, %error, "a record cannot be read"),
                 }
             }
-            "forms" if self.forms.as_ref().is_none_or(|f| f.mark < mark) => {
-                self.forms = read(key, data).map(|record| Versioned { record, mark });
+            "forms" if self.forms.as_ref().is_none_or(|f| f.revision < revision) => {
+                self.forms = read(key, data).map(|record| Versioned { record, revision });
                 // What the pages were begun with holds, whatever the settings have come to say.
                 if let Some(layout) = self.forms.as_ref().and_then(|f| f.record.layout) {
                     self.layout.wide = layout.wide;
@@ -172,35 +172,44 @@
             }
             "m" => {
                 if let Some(record) = read(key, data) {
-                    self.fleet.put(name, record, mark);
+                    self.fleet.put(name, record, revision);
                 }
             }
             "n" => {
-                keep(&mut self.presence, key, name, data, mark);
+                keep(&mut self.presence, key, name, data, revision);
                 if let Some(kept) = self.presence.get(name) {
                     let incarnation = kept.record.incarnation;
                     self.incarnations.insert(name.to_owned(), incarnation);
                 }
             }
-            "a" => self.put_allotments(key, name, data, mark),
-            "o" => keep(&mut self.outlooks, key, name, data, mark),
-            "shares" if self.assignment.as_ref().is_none_or(|s| s.mark < mark) => {
-                self.assignment = read(key, data).map(|record| Versioned { record, mark });
+            "a" => self.put_allotments(key, name, data, revision),
+            "o" => keep(&mut self.outlooks, key, name, data, revision),
+            "shares"
+                if self
+                    .assignment
+                    .as_ref()
+                    .is_none_or(|s| s.revision < revision) =>
+            {
+                self.assignment = read(key, data).map(|record| Versioned { record, revision });
             }
-            "leader" if self.leader.as_ref().is_none_or(|l| l.mark < mark) => {
-                self.leader = read(key, data).map(|record| Versioned { record, mark });
+            "leader" if self.leader.as_ref().is_none_or(|l| l.revision < revision) => {
+                self.leader = read(key, data).map(|record| Versioned { record, revision });
             }
             _ => {}
         }
     }
 
-    fn put_allotments(&mut self, key: &str, name: &str, data: &str, mark: u64) {
+    fn put_allotments(&mut self, key: &str, name: &str, data: &str, revision: u64) {
         let Some(team) = rowanmill_limits::key::decode_team(name) else {
             return;
         };
-        if self.allotments.get(&team).is_none_or(|a| a.mark < mark) {
+        if self
+            .allotments
+            .get(&team)
+            .is_none_or(|a| a.revision < revision)
+        {
             let record = parse_allocations(key, data);
-            self.allotments.insert(team, Versioned { record, mark });
+            self.allotments.insert(team, Versioned { record, revision });
         }
     }
 
@@ -219,11 +228,15 @@
         }
     }
 
-    fn put_job(&mut self, id: &str, record: JobRecord, mark: u64) {
+    fn put_job(&mut self, id: &str, record: JobRecord, revision: u64) {
         if self.ended.contains_key(id) {
             return; // our own accept, taken in after the log already told of the job's end
         }
-        if self.pipelines.get(id).is_some_and(|held| held.mark >= mark) {
+        if self
+            .pipelines
+            .get(id)
+            .is_some_and(|held| held.revision >= revision)
+        {
             return;
         }
         self.pipelines.remove(id);
@@ -233,15 +246,15 @@
             self.pipelines.over(id, Final::Cancelled);
         }
         if let Some(job) = self.jobs.get_mut(id) {
-            if job.mark < mark {
+            if job.revision < revision {
                 job.record = record;
-                job.mark = mark;
+                job.revision = revision;
             }
             return;
         }
         let mut job = Job {
             record,
-            mark,
+            revision,
             pages: BTreeMap::new(),
             done: 0,
             placed: 0,
@@ -290,7 +303,7 @@
         }
     }
 
-    fn put_blocked(&mut self, id: &str, record: JobRecord, awaits: Vec<String>, mark: u64) {
+    fn put_blocked(&mut self, id: &str, record: JobRecord, awaits: Vec<String>, revision: u64) {
         // It was released or is over since: an older change comes late.
         if self.ended.contains_key(id) || self.jobs.contains_key(id) {
             return;
@@ -303,7 +316,7 @@
             (Some(job), None) if job.record.cancelled => Need::Cancelled,
             _ => Need::Open,
         };
-        self.pipelines.put(id, record, awaits, mark, need);
+        self.pipelines.put(id, record, awaits, revision, need);
     }
 
     /// Whether it was accepted, as far as is known here.
@@ -335,14 +348,14 @@
         }
     }
 
-    pub fn put_page(&mut self, id: &str, page: PageId, record: Page, mark: u64) {
+    pub fn put_page(&mut self, id: &str, page: PageId, record: Page, revision: u64) {
         let old = self.page(id, page);
-        if old.is_some_and(|old| old.mark >= mark) {
+        if old.is_some_and(|old| old.revision >= revision) {
             return;
         }
         let slots = self.slots(old.map(|o| &o.record), page, record.0.len());
         let before = self.entries(id, page, slots);
-        let kept = Versioned { record, mark };
+        let kept = Versioned { record, revision };
         match self.jobs.get_mut(id) {
             Some(job) => {
                 job.pages.insert(page, kept);
@@ -416,24 +429,27 @@
     }
 
     /// Removes one record, unless what is held is newer than the removal.
-    pub fn remove(&mut self, key: &str, mark: u64) {
+    pub fn remove(&mut self, key: &str, revision: u64) {
         let Some(rest) = key.strip_prefix(super::LIVE) else {
             return;
         };
-        if mark > self.revision {
-            self.dropped.insert(key.to_owned(), mark);
+        if revision > self.revision {
+            self.dropped.insert(key.to_owned(), revision);
         }
         let (slice, name) = rest.split_once('/').unwrap_or((rest, ""));
         match slice {
             "j" => {
                 // One that waits leaves its key in two ways: released, which sets it anew, and
                 // cancelled.
-                let withdrawn = |job: &Job| job.record.withdrawn && job.mark < mark;
+                let withdrawn = |job: &Job| job.record.withdrawn && job.revision < revision;
                 if self.jobs.get(name).is_some_and(withdrawn) {
                     self.leave(name);
                     return;
                 }
-                let waits = self.pipelines.get(name).is_some_and(|h| h.mark < mark);
+                let waits = self
+                    .pipelines
+                    .get(name)
+                    .is_some_and(|h| h.revision < revision);
                 let last = match self.jobs.get(name) {
                     Some(job) if job.record.cancelled => Some(Final::Cancelled),
                     Some(_) => Some(Final::Done),
@@ -460,17 +476,25 @@
                 };
                 self.differ(id, page, before);
             }
-            "m" => self.fleet.remove(name, mark),
-            "n" if self.presence.get(name).is_some_and(|p| p.mark < mark) => {
+            "m" => self.fleet.remove(name, revision),
+            "n" if self
+                .presence
+                .get(name)
+                .is_some_and(|p| p.revision < revision) =>
+            {
                 self.presence.remove(name);
             }
             "a" => {
                 let team = rowanmill_limits::key::decode_team(name).unwrap_or_default();
-                if self.allotments.get(&team).is_some_and(|a| a.mark < mark) {
+                if self
+                    .allotments
+                    .get(&team)
+                    .is_some_and(|a| a.revision < revision)
+                {
                     self.allotments.remove(&team);
                 }
             }
-            "leader" if self.leader.as_ref().is_some_and(|l| l.mark < mark) => {
+            "leader" if self.leader.as_ref().is_some_and(|l| l.revision < revision) => {
                 self.leader = None;
             }
             _ => {}
@@ -545,13 +569,13 @@
     key: &str,
     name: &str,
     data: &str,
-    mark: u64,
+    revision: u64,
 ) {
-    if into.get(name).is_some_and(|old| old.mark >= mark) {
+    if into.get(name).is_some_and(|old| old.revision >= revision) {
         return;
     }
     if let Some(record) = read(key, data) {
-        into.insert(name.to_owned(), Versioned { record, mark });
+        into.insert(name.to_owned(), Versioned { record, revision });
     }
 }
 
--- a/src/state/replica/records.rs
+++ b/src/state/replica/records.rs
@@ -23,13 +23,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Versioned<T> {
     pub record: T,
-    pub mark: u64,
+    pub revision: u64,
 }
 
 #[derive(Debug, Clone)]
 pub struct Job {
     pub record: JobRecord,
-    pub mark: u64,
+    pub revision: u64,
     pub pages: BTreeMap<PageId, Versioned<Page>>,
     pub done: u32,
     pub placed: u32,
@@ -73,6 +73,6 @@
     }
 
     pub fn page_mark(&self, page: PageId) -> u64 {
-        self.pages.get(&page).map_or(0, |p| p.mark)
+        self.pages.get(&page).map_or(0, |p| p.revision)
     }
 }
--- a/src/state/replica/tests.rs
+++ b/src/state/replica/tests.rs
@@ -2,15 +2,15 @@
 use crate::jobs::pages::tests::wide;
 use serde_json::json;
 
-fn change(key: &str, data: serde_json::Value, mark: u64) -> Change {
-    let drop = data.is_null().then(|| key.to_owned());
-    let set = (!data.is_null()).then(|| key.to_owned());
-    let data = serde_json::value::to_raw_value(&data).ok();
-    Change {
-        set,
-        drop,
-        data,
-        mark,
+fn change(key: &str, data: serde_json::Value, revision: u64) -> WatchEvent {
+    let deleted = data.is_null().then(|| key.to_owned());
+    let put = (!data.is_null()).then(|| key.to_owned());
+    let value = serde_json::value::to_raw_value(&data).ok();
+    WatchEvent {
+        put,
+        deleted,
+        value,
+        revision,
     }
 }
 
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -2,7 +2,7 @@
 //! code, and what this code writes while a process of production may live is read by production's
 //! shapes, which are held here as they were.
 
-use super::{Op, Replica};
+use super::{Operation, Replica};
 use crate::jobs::{Entry, JobRecord, Layout, Page, PageId, Stored};
 use crate::membership::schema_versions::{CAN, SchemaVersions};
 use crate::state::replica::{LeaderRecord, PresenceRecord};
@@ -148,19 +148,19 @@
 
 fn kept() -> BTreeMap<String, (u64, Value)> {
     let all: BTreeMap<String, Value> = serde_json::from_str(KEPT).unwrap();
-    let mark = |v: &Value| v["mark"].as_u64().unwrap();
+    let revision = |v: &Value| v["mark"].as_u64().unwrap();
     all.into_iter()
-        .map(|(k, v)| (k, (mark(&v), v["data"].clone())))
+        .map(|(k, v)| (k, (revision(&v), v["data"].clone())))
         .collect()
 }
 
 /// A replica of a node with these limits, which has read what production left.
 fn replica(layout: Layout) -> Replica {
     let mut replica = Replica::new(layout);
-    for (key, (mark, data)) in kept() {
+    for (key, (revision, data)) in kept() {
         match key.strip_prefix("e/") {
             Some(id) => replica.remember_ended(id, serde_json::from_value(data).unwrap()),
-            None => replica.put(&key, &data.to_string(), mark),
+            None => replica.put(&key, &data.to_string(), revision),
         }
     }
     replica
@@ -263,15 +263,15 @@
     assert_eq!(on.filter(|id| id.0 == "job-000304").count(), 0);
 }
 
-fn text(op: Op) -> String {
+fn text(op: Operation) -> String {
     match op {
-        Op::Set { data, .. } => data.get().to_owned(),
-        Op::Drop { .. } => String::new(),
+        Operation::Put { value, .. } => value.get().to_owned(),
+        Operation::Delete { .. } => String::new(),
     }
 }
 
 fn written(value: &impl serde::Serialize) -> String {
-    text(Op::set("k".into(), value))
+    text(Operation::put("k".into(), value))
 }
 
 #[test]
--- a/src/testing/compatibility/interfaces.rs
+++ b/src/testing/compatibility/interfaces.rs
@@ -11,7 +11,7 @@
 use crate::node::Node;
 use crate::policy::Policy;
 use crate::settings::Settings;
-use crate::state::{Op, rental_key};
+use crate::state::{Operation, rental_key};
 use crate::workers::{Cause, Report, TaskState};
 use http_body_util::BodyExt;
 use hyper::Method;
@@ -117,9 +117,9 @@
         self.node.core().proof = Some(Instant::now());
     }
 
-    fn put(&self, key: &str, data: Value, mark: u64) {
+    fn put(&self, key: &str, data: Value, revision: u64) {
         let mut core = self.node.core();
-        core.replica.put(key, &data.to_string(), mark);
+        core.replica.put(key, &data.to_string(), revision);
     }
 
     /// On a busy machine the last reading may be old: that is another test's subject.
@@ -484,7 +484,7 @@
 }
 
 /// vm-1 is this owner's.
-fn own(node: &Node, owner: Member, mark: u64) {
+fn own(node: &Node, owner: Member, revision: u64) {
     let rental = Rental {
         kind: "c4".to_owned(),
         zone: "a".to_owned(),
@@ -500,7 +500,7 @@
         }],
     };
     let mut core = node.core();
-    core.apply(vec![Op::set(rental_key("r-1"), &rental)], mark);
+    core.apply(vec![Operation::put(rental_key("r-1"), &rental)], revision);
     core.note_ownership(&node.me, Instant::now());
 }
 
--- a/src/testing/compatibility/recorded_run.rs
+++ b/src/testing/compatibility/recorded_run.rs
@@ -8,7 +8,7 @@
     ASSIGNMENT_KEY, FORMS_KEY, LEADER_KEY, LIVE, Replica, allotment_key, final_key, given_up_key,
     job_key, outlook_key, page_key, presence_key, rental_key,
 };
-use rowanmill_state::Pair;
+use rowanmill_state::KeyValue;
 use serde::Serialize;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -40,7 +40,7 @@
 fn loaded() -> Replica {
     let pairs = RECORDS
         .lines()
-        .map(|line| serde_json::from_str::<Pair>(line).unwrap());
+        .map(|line| serde_json::from_str::<KeyValue>(line).unwrap());
     let mut replica = Replica::new(Layout {
         wide: 170,
         dense: 170,
@@ -64,9 +64,9 @@
 
     fn add_job(&mut self, id: &str, job: &Job) {
         let record = Stored::Open(job.record.clone());
-        self.add(job_key(id), &record, job.mark);
+        self.add(job_key(id), &record, job.revision);
         for (page, kept) in &job.pages {
-            self.add_page(id, *page, &kept.record, kept.mark);
+            self.add_page(id, *page, &kept.record, kept.revision);
         }
     }
 
@@ -83,14 +83,14 @@
             self.add_job(id, job);
         }
         for ((id, page), kept) in &replica.orphans {
-            self.add_page(id, *page, &kept.record, kept.mark);
+            self.add_page(id, *page, &kept.record, kept.revision);
         }
         for (id, blocked) in replica.pipelines.all() {
             let record = Stored::Blocked {
                 record: blocked.record.clone(),
                 awaits: blocked.awaits.clone(),
             };
-            self.add(job_key(id), &record, blocked.mark);
+            self.add(job_key(id), &record, blocked.revision);
         }
         for (id, revision) in &replica.closed {
             let outcome = replica.ended(id).unwrap();
@@ -100,24 +100,28 @@
 
     fn add_cluster(&mut self, replica: &Replica) {
         for (name, kept) in &replica.fleet.rentals {
-            self.add(rental_key(name), &kept.record, kept.mark);
+            self.add(rental_key(name), &kept.record, kept.revision);
         }
         for (name, kept) in &replica.presence {
-            self.add(presence_key(name), &kept.record, kept.mark);
+            self.add(presence_key(name), &kept.record, kept.revision);
         }
         for (name, kept) in &replica.outlooks {
-            self.add(outlook_key(name), &kept.record, kept.mark);
+            self.add(outlook_key(name), &kept.record, kept.revision);
         }
         for (team, kept) in &replica.allotments {
             let record = kept.record.as_ref().unwrap();
-            self.add(allotment_key(team), record, kept.mark);
+            self.add(allotment_key(team), record, kept.revision);
         }
         let forms = replica.forms.as_ref().unwrap();
-        self.add(FORMS_KEY.into(), &forms.record, forms.mark);
+        self.add(FORMS_KEY.into(), &forms.record, forms.revision);
         let leader = replica.leader.as_ref().unwrap();
-        self.add(LEADER_KEY.into(), &leader.record, leader.mark);
+        self.add(LEADER_KEY.into(), &leader.record, leader.revision);
         let assignment = replica.assignment.as_ref().unwrap();
-        self.add(ASSIGNMENT_KEY.into(), &assignment.record, assignment.mark);
+        self.add(
+            ASSIGNMENT_KEY.into(),
+            &assignment.record,
+            assignment.revision,
+        );
     }
 }
 
--- a/src/testing/fault_scenarios.rs
+++ b/src/testing/fault_scenarios.rs
@@ -447,7 +447,7 @@
         "the cancellation alone, nothing came between"
     );
     assert_eq!(users.look_closely("job-2").await, cancelled);
-    // A start held back until its job was cancelled changes nothing: it carries the job's mark.
+    // A start held back until its job was cancelled changes nothing: it carries the job's revision.
     site.state.divert("r/p/job-3/", Fate::HeldBack, 1);
     users.submit_until_taken(0, &job("job-3", 2, 1.0)).await;
     until("its start is held back", async || site.state.holds_back()).await;
@@ -478,7 +478,7 @@
 }
 
 /// Rule `ran_twice`: a start is held back while the same task is recorded elsewhere and runs. The
-/// late one carries the page's mark from before, and loses.
+/// late one carries the page's revision from before, and loses.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_start_that_comes_after_the_next_is_none() {
     let site = Site::new(2, Duration::from_secs(600)).await;
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -185,7 +185,7 @@
     pub failed: Vec<TaskId>,
 }
 
-/// Reads a report by the machine's owner. `token` is the mark of the machine's owner key.
+/// Reads a report by the machine's owner. `token` is the revision of the machine's owner key.
 pub fn read(
     report: &Report,
     live: &mut Live,
--- a/src/workers/service/tests.rs
+++ b/src/workers/service/tests.rs
@@ -4,14 +4,14 @@
 use crate::fleet::{Rental, Rented, Use};
 use crate::policy::Policy;
 use crate::settings::Settings;
-use crate::state::{Op, rental_key};
+use crate::state::{Operation, rental_key};
 use rowanmill_config::ConfigFile;
 use serde_json::{Value, json};
 
 struct Scene {
     node: Node,
     start: Instant,
-    mark: u64,
+    revision: u64,
     /// Whether the records were read right before each report, or seconds ago.
     contact: bool,
     trace: String,
@@ -35,7 +35,7 @@
         let scene = Self {
             node: Node::new(1, settings(), Policy::default()),
             start: Instant::now(),
-            mark: 10,
+            revision: 10,
             contact: true,
             trace: String::new(),
         };
@@ -47,9 +47,9 @@
         scene
     }
 
-    fn put(&self, key: &str, data: Value, mark: u64) {
+    fn put(&self, key: &str, data: Value, revision: u64) {
         let mut core = self.node.core();
-        core.replica.put(key, &data.to_string(), mark);
+        core.replica.put(key, &data.to_string(), revision);
     }
 
     /// vm-1 belongs to this node, or to another, under that token.
@@ -72,9 +72,12 @@
                 state: Use::Open,
             }],
         };
-        self.mark += 1;
+        self.revision += 1;
         let mut core = self.node.core();
-        core.apply(vec![Op::set(rental_key("r-1"), &rental)], self.mark);
+        core.apply(
+            vec![Operation::put(rental_key("r-1"), &rental)],
+            self.revision,
+        );
         let me = self.node.me.clone();
         core.note_ownership(&me, self.start);
         self.trace.push_str(&format!(
@@ -85,11 +88,11 @@
 
     /// The records place job-1/0 on vm-1.
     fn placed(&mut self, attempt: u64, session: u64) {
-        self.mark += 1;
+        self.revision += 1;
         self.put(
             "r/p/job-1/0",
             json!([[attempt, "vm-1", session]]),
-            self.mark,
+            self.revision,
         );
         self.trace.push_str(&format!(
             "-- attempt {attempt} recorded in session {session}\n"
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -1,7 +1,7 @@
 //! Versioned traces: a report in, facts and orders out. Each names the failure that it is about.
 
 use super::*;
-use rowanmill_state::Pair;
+use rowanmill_state::KeyValue;
 use serde_json::{Value, json};
 
 const TOKEN: u64 = 20;
@@ -15,10 +15,10 @@
 fn replica(cancelled: bool, page: Value) -> Replica {
     let mut replica = Replica::new(crate::jobs::pages::tests::wide(8));
     let job = json!({"spec": spec("job-1", 4), "accepted_ms": 0, "cancelled": cancelled});
-    let pair = |k: &str, data: Value, mark| Pair {
-        k: k.into(),
-        data: serde_json::value::to_raw_value(&data).unwrap(),
-        mark,
+    let pair = |k: &str, data: Value, revision| KeyValue {
+        key: k.into(),
+        value: serde_json::value::to_raw_value(&data).unwrap(),
+        revision,
     };
     replica.reset(
         vec![pair("r/j/job-1", job, 5), pair("r/p/job-1/0", page, 6)],
@@ -166,10 +166,10 @@
     let mut spec = spec("job-1", 2);
     spec["shape"] = json!("standing");
     let job = json!({"spec": spec, "accepted_ms": 0});
-    let pair = |k: &str, data: Value| Pair {
-        k: k.into(),
-        data: serde_json::value::to_raw_value(&data).unwrap(),
-        mark: 5,
+    let pair = |k: &str, data: Value| KeyValue {
+        key: k.into(),
+        value: serde_json::value::to_raw_value(&data).unwrap(),
+        revision: 5,
     };
     let page = json!([[1, "vm-1", 1]]);
     replica.reset(vec![pair("r/j/job-1", job), pair("r/p/job-1/0", page)], 10);
