--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -184,7 +184,7 @@
     let verdict = match (verdict, fits(node, &record, &awaits)) {
         (_, false) => Verdict::TooLarge,
         // A process that ends for memory takes all its machines' answers with it.
-        (Verdict::Takes, _) if node.memory.is_short(memory::allocated()) => Verdict::NoMemory,
+        (Verdict::Takes, _) if node.memory.update(memory::allocated()) => Verdict::NoMemory,
         (verdict, true) => verdict,
     };
     let (record, awaits, verdict) = match &node.cells {
--- a/src/metrics/memory.rs
+++ b/src/metrics/memory.rs
@@ -1,9 +1,10 @@
-//! Memory that this process has allocated, and whether that comes near what its machine has.
+//! Memory that this process has allocated, and whether it is short. What is then refused is decided
+//! elsewhere.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-/// The system's allocator, with the bytes counted that it has given out.
+/// The system's allocator, which counts the bytes that it has handed out.
 pub struct CountingAllocator;
 
 static ALLOCATED: AtomicUsize = AtomicUsize::new(0);
@@ -42,11 +43,11 @@
 }
 
 const BYTES_PER_MB: f64 = 1e6;
-/// From this part of its machine's memory on a process takes no new work. The rest is for its code, its
-/// stacks, the kernel's buffers of its sockets and what the allocator cannot use again.
+/// Part of its machine's memory from which on memory is short. The rest is for the code, the stacks, the
+/// kernel's buffers of sockets and what the allocator cannot use again.
 const ENTER_PART: f64 = 0.7;
-/// Below this part it takes new work again. In between it stays as it is, so that each job that ends
-/// does not let in another only to refuse the next.
+/// Part below which it is no longer short. In between nothing changes, so that each job that ends does not
+/// let in another only to refuse the next.
 const LEAVE_PART: f64 = 0.6;
 
 /// Whether memory is short, with hysteresis.
@@ -58,7 +59,7 @@
 }
 
 impl MemoryPressure {
-    /// For a machine with so much memory.
+    /// For a machine with `memory_mb` megabytes (10^6 bytes).
     pub fn new(memory_mb: f64) -> Self {
         let part = |part: f64| (memory_mb * BYTES_PER_MB * part) as usize;
         Self {
@@ -68,12 +69,13 @@
         }
     }
 
-    /// Whether memory is short with so much of it allocated.
-    pub fn is_short(&self, allocated: usize) -> bool {
+    /// Records how many bytes are allocated, and returns whether memory is short with that.
+    pub fn update(&self, allocated: usize) -> bool {
         let was_short = self.is_short.load(Ordering::Relaxed);
-        let limit = match was_short {
-            true => self.leave_bytes,
-            false => self.enter_bytes,
+        let limit = if was_short {
+            self.leave_bytes
+        } else {
+            self.enter_bytes
         };
         let is_short = allocated >= limit;
         self.is_short.store(is_short, Ordering::Relaxed);
--- a/src/metrics/memory/tests.rs
+++ b/src/metrics/memory/tests.rs
@@ -6,7 +6,7 @@
     let pressure = MemoryPressure::new(46.0);
     let mut trace = String::new();
     for megabytes in [10, 32, 33, 31, 28, 27, 32, 40, 27, 10] {
-        let is_short = pressure.is_short(megabytes * 1_000_000);
+        let is_short = pressure.update(megabytes * 1_000_000);
         writeln!(
             trace,
             "{megabytes} of 46 MB: {}",
@@ -30,7 +30,7 @@
 
 /// A count that drifted would one day refuse all work, or none.
 #[test]
-fn what_is_given_back_is_counted_off() {
+fn freed_memory_is_no_longer_counted() {
     const BLOCK: usize = 64 << 20;
     let before = allocated();
     let block: Vec<u8> = Vec::with_capacity(BLOCK);
