--- a/src/renting/release.rs
+++ b/src/renting/release.rs
@@ -358,7 +358,7 @@
             let mut core = node.core();
             let core = &mut *core;
             if core.replica.fleet.machines.contains_key(&listed.name) {
-                if listed.stage == "failed"
+                if listed.has_failed()
                     && let Some(live) = core.workers.live.get_mut(&listed.name)
                 {
                     // It stopped by itself: nothing on it can come back, and releasing it
@@ -368,7 +368,7 @@
                 }
                 continue;
             }
-            if core.replica.fleet.is_gone(&listed.name) || listed.stage == "failed" || !settled {
+            if core.replica.fleet.is_gone(&listed.name) || listed.has_failed() || !settled {
                 continue;
             }
         }
--- a/src/testing/compatibility/cloud.rs
+++ b/src/testing/compatibility/cloud.rs
@@ -33,8 +33,8 @@
             Ok(text) => text,
             Err(CloudError::NoCapacity) => "no capacity: nothing is rented".to_owned(),
             Err(CloudError::Malformed) => "malformed".to_owned(),
-            Err(CloudError::Refused) => "not executed, to be sent again".to_owned(),
-            Err(CloudError::Unknown) => "may have been executed, or may be yet".to_owned(),
+            Err(CloudError::NotExecuted) => "not executed, to be sent again".to_owned(),
+            Err(CloudError::OutcomeUnknown) => "may have been executed, or may be yet".to_owned(),
         };
         writeln!(self.0, "{}\n", outcome.trim_end()).unwrap();
     }
