--- a/crates/rowanmill-state/tests/protocol.rs
+++ b/crates/rowanmill-state/tests/protocol.rs
@@ -156,7 +156,7 @@
 #[tokio::test]
 async fn the_log_is_followed_and_each_answer_read() {
     let mut trace = Trace::default();
-    let log = r#"{"ledger":433,"log":[{"set":"c/9","data":{"n":1},"revision":433},{"drop":"c/d","revision":432}]}"#;
+    let log = r#"{"ledger":433,"log":[{"set":"c/9","data":{"n":1},"mark":433},{"drop":"c/d","mark":432}]}"#;
     let replies = [
         ("changes", answer(200, log)),
         ("no changes", answer(200, r#"{"ledger":433,"log":[]}"#)),
@@ -198,12 +198,12 @@
             "a key on a lease",
             answer(
                 200,
-                r#"{"k":"a/b","data":{"n":[1,2]},"revision":412,"tenancy":7}"#,
+                r#"{"k":"a/b","data":{"n":[1,2]},"mark":412,"tenancy":7}"#,
             ),
         ),
         (
             "a key on none",
-            answer(200, r#"{"k":"a/b","data":"done","revision":412}"#),
+            answer(200, r#"{"k":"a/b","data":"done","mark":412}"#),
         ),
         ("no such key", answer(404, r#"{"ledger":431}"#)),
         ("an outage", answer(503, r#"{"error":"trouble"}"#)),
@@ -231,8 +231,8 @@
 #[tokio::test]
 async fn keys_are_listed_page_by_page() {
     let mut trace = Trace::default();
-    let first = r#"{"pairs":[{"k":"c/1","data":1,"revision":3},{"k":"c/7","data":{"a":null},"revision":400}],"more":true,"ledger":431}"#;
-    let last = r#"{"pairs":[{"k":"c/8","data":[],"revision":4}],"ledger":440}"#;
+    let first = r#"{"pairs":[{"k":"c/1","data":1,"mark":3},{"k":"c/7","data":{"a":null},"mark":400}],"more":true,"ledger":431}"#;
+    let last = r#"{"pairs":[{"k":"c/8","data":[],"mark":4}],"ledger":440}"#;
     let page = async |client: StateClient| match client.list("c/", None).await {
         Ok(listing) => listing_text(&listing),
         Err(problem) => problem_text(problem),
