--- a/crates/rowanmill-cells/src/replica.rs
+++ b/crates/rowanmill-cells/src/replica.rs
@@ -11,6 +11,7 @@
     CellPresence, DrainRequest, FinalState, Generation, LedgerJob, LiveKey, generation_key,
     presence_key,
 };
+use crate::transaction;
 use final_states::FinalStateCache;
 use recent_changes::RecentChanges;
 use rowanmill_state::{KeyValue, Precondition, WatchEvent};
@@ -299,10 +300,7 @@
         let generation = state.and_then(|state| state.generation.as_ref());
         [
             Precondition::absent(presence_key(cell)),
-            Precondition {
-                key: generation_key(cell),
-                revision: generation.map_or(0, |held| held.revision),
-            },
+            transaction::unchanged(generation_key(cell), generation),
         ]
     }
 }
--- a/crates/rowanmill-cells/src/transaction.rs
+++ b/crates/rowanmill-cells/src/transaction.rs
@@ -19,6 +19,17 @@
     pub operations: Vec<Operation>,
 }
 
+/// The precondition that a key's record is the one that was read, or that there is none if none was read.
+pub fn unchanged<T>(key: String, held: Option<&Versioned<T>>) -> Precondition {
+    match held {
+        Some(held) => Precondition {
+            key,
+            revision: held.revision,
+        },
+        None => Precondition::absent(key),
+    }
+}
+
 /// The precondition that a job's record is the one of this revision.
 fn job_unchanged(id: &str, revision: u64) -> Precondition {
     Precondition {
@@ -75,14 +86,8 @@
     };
     Transaction {
         preconditions: vec![
-            Precondition {
-                key: presence_key(cell),
-                revision: previous.map_or(0, |held| held.revision),
-            },
-            Precondition {
-                key: generation_key(cell),
-                revision: generation.map_or(0, |held| held.revision),
-            },
+            unchanged(presence_key(cell), previous),
+            unchanged(generation_key(cell), generation),
         ],
         operations: vec![
             Operation::put(presence_key(cell), presence).with_lease(lease),
@@ -99,10 +104,7 @@
     lease: u64,
 ) -> Transaction {
     Transaction {
-        preconditions: vec![Precondition {
-            key: presence_key(cell),
-            revision: held.revision,
-        }],
+        preconditions: vec![unchanged(presence_key(cell), Some(held))],
         operations: vec![Operation::put(presence_key(cell), presence).with_lease(lease)],
     }
 }
--- a/crates/rowanmill-cells/tests/file_format.rs
+++ b/crates/rowanmill-cells/tests/file_format.rs
@@ -8,7 +8,7 @@
 
 const DEPLOYED: &str = include_str!("../../../deploy/cells.json");
 
-fn least() -> Value {
+fn minimal_file() -> Value {
     json!({
         "cells": [
             {"name": "hanoi", "controllers": ["10.0.0.1:8081"]},
@@ -54,28 +54,28 @@
 }
 
 #[test]
-fn the_file_of_the_cells_is_read_field_by_field() {
-    let mut whole = least();
+fn cells_file_is_read_field_by_field() {
+    let mut whole = minimal_file();
     whole["spill"] =
         json!({"after_s": 60.5, "at_once": 4, "moves": 2, "ranking": "ranking.script"});
     whole["later"] = json!({"unknown": true});
-    let mut script_alone = least();
+    let mut script_alone = minimal_file();
     script_alone["spill"] = json!({"ranking": null, "after_s": null});
     let mut trace = String::new();
-    for (what, text) in [
+    for (form, text) in [
         ("as deployed", DEPLOYED.to_owned()),
         ("all fields", whole.to_string()),
-        ("the least", least().to_string()),
+        ("the least", minimal_file().to_string()),
         ("nulls", script_alone.to_string()),
     ] {
         let config = CellsConfig::parse(&text, "cells.json").unwrap();
-        writeln!(trace, "== {what}\n{}", config_text(&config)).unwrap();
+        writeln!(trace, "== {form}\n{}", config_text(&config)).unwrap();
     }
     insta::assert_snapshot!(trace);
 }
 
 #[test]
-fn a_file_without_a_field_that_must_be_there_is_refused_by_its_name() {
+fn cells_file_without_a_required_field_is_refused_by_its_name() {
     let mut trace = String::new();
     for at in [
         "/cells",
@@ -91,22 +91,22 @@
         "/renew_without_ledger_s",
         "/takeover_after_s",
     ] {
-        let mut file = least();
+        let mut file = minimal_file();
         let (parent, field) = at.rsplit_once('/').unwrap();
         let parent = file.pointer_mut(parent).unwrap();
         parent.as_object_mut().unwrap().remove(field).unwrap();
-        let problem = CellsConfig::parse(&file.to_string(), "cells.json").unwrap_err();
-        let problem = problem.to_string();
-        // Where in the text it was missed hangs on the order of the text's fields.
-        let problem = problem.split(" at line").next().unwrap_or_default();
-        writeln!(trace, "without {at}: {problem}").unwrap();
+        let error = CellsConfig::parse(&file.to_string(), "cells.json").unwrap_err();
+        let error = error.to_string();
+        // The position in the text depends on the order of its fields.
+        let error = error.split(" at line").next().unwrap_or_default();
+        writeln!(trace, "without {at}: {error}").unwrap();
     }
     insta::assert_snapshot!(trace);
 }
 
-/// What an operator's script is given to choose from.
+/// What an operator's script chooses from.
 #[test]
-fn a_script_sees_cells_under_the_names_of_the_documented_fields() {
+fn script_sees_candidates_under_the_documented_field_names() {
     let candidate = Candidate {
         name: "hanoi".to_owned(),
         free_cpus: 40.5,
--- a/crates/rowanmill-cells/tests/records.rs
+++ b/crates/rowanmill-cells/tests/records.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn every_kind_of_ledger_record_keeps_its_key() {
+fn ledger_keys_are_stable() {
     let keys = [
         ("what every cell follows", LIVE_PREFIX.to_owned()),
         ("job", job_key("job-000412")),
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn ledger_job_keeps_its_json() {
+fn ledger_job_json_is_stable() {
     let mut trace = String::new();
     let key = job_key("job-000412");
     let plain = LedgerJob {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn final_states_keep_their_json() {
+fn final_states_json_is_stable() {
     let mut trace = String::new();
     let key = final_key("job-000412");
     add(&mut trace, "done", &key, &FinalState::Done);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn cell_presence_keeps_its_json() {
+fn cell_presence_json_is_stable() {
     let mut trace = String::new();
     let key = presence_key("stone");
     let plain = CellPresence {
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn drain_and_registrations_keep_their_json() {
+fn drain_and_registrations_json_is_stable() {
     let mut trace = String::new();
     let drain = DrainRequest {
         requested_ms: 1_796_178_938_037,
@@ -117,9 +117,9 @@
     insta::assert_snapshot!("drain_and_registrations", trace);
 }
 
-/// It is a part of a cell's own record of a job.
+/// A part of a cell's own record of a job.
 #[test]
-fn ownership_version_keeps_its_json() {
+fn ownership_version_json_is_stable() {
     let mut trace = String::new();
     let version = OwnershipVersion {
         epoch: 3,
@@ -131,7 +131,7 @@
 
 /// Records of an earlier version, and of a later one that added a field.
 #[test]
-fn fields_that_are_missing_or_unknown_do_not_keep_a_record_from_being_read() {
+fn missing_and_unknown_fields_are_tolerated() {
     let job = json!({"owner": "stone", "epoch": 1, "home": "wind", "accepted_ms": 5,
         "description": {}, "added_later": true});
     let read: LedgerJob = serde_json::from_value(job).unwrap();
--- a/src/cells/scheduler.rs
+++ b/src/cells/scheduler.rs
@@ -42,6 +42,7 @@
 }
 
 impl CellScheduler {
+    /// The scheduler of the cell that this controller belongs to.
     pub fn new(node: &Arc<Node>, cells: &Arc<CellCoordinator>) -> Self {
         Self {
             node: node.clone(),
