--- /dev/null
+++ b/crates/rowanmill-testing/src/cluster/mod.rs
@@ -0,0 +1,213 @@
+//! Controllers as processes of the real program, with the stand-ins for all that is around them.
+
+mod settings;
+mod users;
+
+use crate::cloud::{Cloud, World};
+use crate::folder::TestFolder;
+use crate::state::State;
+use crate::{Times, free_addr, serve_on_loopback};
+pub use settings::{StateRates, TeamSetting};
+use std::ffi::{OsStr, OsString};
+use std::fs::File;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::process::{Child, Command, Stdio};
+use std::sync::atomic::AtomicBool;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+pub use users::Retry;
+
+/// Lines of each controller's log that a failed test prints.
+const PRINTED_LOG_LINES: usize = 40;
+
+/// What a cluster consists of.
+pub struct ClusterConfig {
+    /// The path of the program, `env!("CARGO_BIN_EXE_rowanmill")` in its tests.
+    pub program: &'static str,
+    /// The number of controllers.
+    pub controllers: usize,
+    /// The teams of the settings.
+    pub teams: Vec<TeamSetting>,
+    /// How long each task runs.
+    pub task_duration: Duration,
+    /// The timeouts of the settings, which the workers keep to.
+    pub times: Times,
+    /// What the settings say of the state service.
+    pub state_rates: StateRates,
+    /// The most sockets that a controller may open, by the settings.
+    pub max_sockets: u32,
+    /// How users repeat requests that are refused.
+    pub retry: Retry,
+    /// What the machines see; clusters may share it.
+    pub world: Arc<Mutex<World>>,
+}
+
+/// Controllers with a state service and a cloud of their own. Dropping it kills them; if the test failed, the
+/// ends of their logs are printed.
+pub struct Cluster {
+    config: ClusterConfig,
+    /// The state service.
+    pub state: State,
+    /// The cloud.
+    pub cloud: Cloud,
+    /// For each controller, whether its connection to the state service is cut.
+    pub state_cuts: Vec<Arc<AtomicBool>>,
+    /// The addresses at which users and workers reach the controllers.
+    pub api: Vec<SocketAddr>,
+    /// The addresses at which controllers reach one another.
+    pub mesh: Vec<SocketAddr>,
+    state_addrs: Vec<SocketAddr>,
+    cloud_addr: SocketAddr,
+    arguments: Vec<OsString>,
+    folder: TestFolder,
+    processes: Vec<Option<Child>>,
+}
+
+impl Cluster {
+    /// Serves the stand-ins; the controllers are not started yet.
+    pub async fn new(config: ClusterConfig) -> Self {
+        let count = config.controllers;
+        let api: Vec<SocketAddr> = (0..count).map(|_| free_addr()).collect();
+        let state = State::default();
+        let state_cuts: Vec<Arc<AtomicBool>> = (0..count).map(|_| Arc::default()).collect();
+        let mut state_addrs = Vec::new();
+        for cut in &state_cuts {
+            state_addrs.push(serve_on_loopback(state.line(cut.clone())).await);
+        }
+        let cloud =
+            Cloud::new(api.clone(), config.task_duration, config.times).in_world(&config.world);
+        Self {
+            mesh: (0..count).map(|_| free_addr()).collect(),
+            cloud_addr: serve_on_loopback(cloud.handler()).await,
+            processes: (0..count).map(|_| None).collect(),
+            folder: TestFolder::new("rowanmill-cluster"),
+            arguments: Vec::new(),
+            config,
+            state,
+            cloud,
+            state_cuts,
+            api,
+            state_addrs,
+        }
+    }
+
+    /// Adds arguments with which controllers are started from now on.
+    pub fn add_arguments(&mut self, arguments: impl IntoIterator<Item = impl AsRef<OsStr>>) {
+        let arguments = arguments.into_iter();
+        self.arguments
+            .extend(arguments.map(|argument| argument.as_ref().to_owned()));
+    }
+
+    /// Starts controllers from now on with this policy.
+    pub fn set_policy(&mut self, policy: &str) {
+        let file = self.folder.write("policy", policy);
+        self.add_arguments(["--policy".as_ref(), file.as_os_str()]);
+    }
+
+    /// The path of a controller's settings.
+    pub fn settings_file(&self, number: usize) -> PathBuf {
+        self.folder.path().join(format!("settings-{number}.json"))
+    }
+
+    fn log_file(&self, number: usize) -> PathBuf {
+        self.folder.path().join(format!("log-{number}.txt"))
+    }
+
+    /// Starts a controller, or starts it again.
+    pub fn start(&mut self, number: usize) {
+        let settings = self.settings_file(number);
+        let written = std::fs::write(&settings, self.settings(number).to_string());
+        written.expect("the temporary folder is writable");
+        let mut log = File::options();
+        let log = log.create(true).append(true).open(self.log_file(number));
+        let log = log.expect("the temporary folder is writable");
+        let process = Command::new(self.config.program)
+            .arg("serve")
+            .args(&self.arguments)
+            .arg("--config")
+            .arg(settings)
+            .stderr(Stdio::from(log))
+            .spawn();
+        self.processes[number] = Some(process.expect("the program can be run"));
+    }
+
+    /// Starts all controllers.
+    pub fn start_all(&mut self) {
+        (0..self.config.controllers).for_each(|number| self.start(number));
+    }
+
+    /// Whether a controller answers that it is healthy.
+    pub async fn is_healthy(&self, number: usize) -> bool {
+        self.get(number, "/healthz").await.0 == 200
+    }
+
+    /// Ends a controller in the middle of whatever it does.
+    pub fn kill(&mut self, number: usize) {
+        if let Some(mut process) = self.processes[number].take() {
+            // Both fail only for a process that has ended by itself.
+            let _ = process.kill();
+            let _ = process.wait();
+        }
+    }
+
+    /// Ends all controllers.
+    pub fn kill_all(&mut self) {
+        (0..self.config.controllers).for_each(|number| self.kill(number));
+    }
+
+    /// Sends a signal, such as `-STOP` or `-CONT`, to a controller's process.
+    pub fn signal(&self, number: usize, signal: &str) {
+        if let Some(process) = &self.processes[number] {
+            let pid = process.id().to_string();
+            let sent = Command::new("kill").args([signal, &pid]).status();
+            assert!(sent.unwrap().success(), "{signal} is sent");
+        }
+    }
+
+    /// The number of the controller that is the leader, if there is one.
+    pub fn leader(&self) -> Option<usize> {
+        let record = self.state.stored("r/leader").into_values().next()?;
+        settings::number_of(record["member"].as_str()?)
+    }
+
+    fn print_logs(&self) {
+        for number in 0..self.config.controllers {
+            let text = std::fs::read_to_string(self.log_file(number)).unwrap_or_default();
+            let lines: Vec<&str> = text.lines().collect();
+            let last = &lines[lines.len().saturating_sub(PRINTED_LOG_LINES)..];
+            println!("---- controller {number}\n{}", last.join("\n"));
+        }
+    }
+}
+
+impl Drop for Cluster {
+    fn drop(&mut self) {
+        if std::thread::panicking() {
+            self.print_logs();
+        }
+        self.kill_all();
+    }
+}
+
+/// What the command-line client did.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct ClientOutput {
+    /// The exit code.
+    pub code: i32,
+    /// What it printed to standard output.
+    pub text: String,
+}
+
+/// Runs a command of the program until it ends.
+pub fn run_client(
+    program: &str,
+    arguments: impl IntoIterator<Item = impl AsRef<OsStr>>,
+) -> ClientOutput {
+    let output = Command::new(program).args(arguments).output();
+    let output = output.expect("the program can be run");
+    ClientOutput {
+        code: output.status.code().unwrap_or(-1),
+        text: String::from_utf8_lossy(&output.stdout).into_owned(),
+    }
+}
--- /dev/null
+++ b/crates/rowanmill-testing/src/cluster/users.rs
@@ -0,0 +1,137 @@
+//! Users of a cluster: they submit, poll and cancel, and what they are told is recorded for the checker.
+
+use super::Cluster;
+use crate::ask;
+use crate::history::{Event, Told};
+use hyper::Method;
+use serde_json::Value;
+use std::time::{Duration, Instant};
+
+/// How often a request is repeated that is refused for now, and how long users wait between any two.
+#[derive(Debug, Clone, Copy)]
+pub struct Retry {
+    /// The most attempts.
+    pub attempts: usize,
+    /// The pause after each.
+    pub pause: Duration,
+}
+
+/// How long users wait between two polls of a job.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Whether a request may be repeated: there was no answer, or it was refused for now.
+fn is_refused_for_now(status: u16) -> bool {
+    matches!(status, 0 | 429 | 503)
+}
+
+impl Cluster {
+    /// Sends a GET request to a controller; returns the status, 0 without an answer, and the body.
+    pub async fn get(&self, number: usize, path: &str) -> (u16, Value) {
+        ask(self.api[number], Method::GET, path, Value::Null).await
+    }
+
+    /// Sends a POST request to a controller; returns the status, 0 without an answer, and the body.
+    pub async fn post(&self, number: usize, path: &str, body: Value) -> (u16, Value) {
+        ask(self.api[number], Method::POST, path, body).await
+    }
+
+    /// Submits a job to one controller after the other, beginning with `first`, until it is accepted; returns
+    /// the answer.
+    pub async fn submit(&self, first: usize, job: &Value) -> Value {
+        let id = job["nameId"].as_str().unwrap();
+        self.record_submission(id, job);
+        let Retry { attempts, pause } = self.config.retry;
+        for attempt in 0..attempts {
+            let number = (first + attempt) % self.config.controllers;
+            let (status, answer) = self.post(number, "/v1/jobs", job.clone()).await;
+            if matches!(status, 200 | 201) {
+                self.record_told(id, answer["stage"].as_str().unwrap());
+                return answer;
+            }
+            assert!(is_refused_for_now(status), "{status} {answer}");
+            tokio::time::sleep(pause).await;
+        }
+        panic!("never accepted: {job}");
+    }
+
+    /// Cancels a job until that is confirmed; returns the stage in the answer.
+    pub async fn cancel(&self, id: &str) -> String {
+        let path = format!("/v1/jobs/{id}/abort");
+        let Retry { attempts, pause } = self.config.retry;
+        for attempt in 0..attempts {
+            let number = attempt % self.config.controllers;
+            let (status, answer) = self.post(number, &path, Value::Null).await;
+            if status == 200 {
+                let stage = answer["stage"].as_str().unwrap().to_owned();
+                self.record_told(id, &stage);
+                if stage == "cancelled" {
+                    self.cloud.world.lock().unwrap().note_cancelled(id);
+                }
+                return stage;
+            }
+            assert!(is_refused_for_now(status), "{status} {answer}");
+            tokio::time::sleep(pause).await;
+        }
+        panic!("never cancelled: {id}");
+    }
+
+    /// A job's stage by the first controller that answers; empty if none does.
+    pub async fn stage(&self, id: &str) -> String {
+        for number in 0..self.config.controllers {
+            let (status, answer) = self.get(number, &format!("/v1/jobs/{id}")).await;
+            assert_ne!(status, 404, "{id} is forgotten");
+            if status == 200 {
+                let stage = answer["stage"].as_str().unwrap_or_default();
+                self.record_told(id, stage);
+                return stage.to_owned();
+            }
+        }
+        String::new()
+    }
+
+    /// Polls until all these jobs have ended, for no longer than `timeout`.
+    pub async fn wait_until_all_end(&self, ids: &[String], timeout: Duration) {
+        let deadline = Instant::now() + timeout;
+        for id in ids {
+            loop {
+                let stage = self.stage(id).await;
+                if matches!(stage.as_str(), "done" | "cancelled") {
+                    break;
+                }
+                assert!(Instant::now() < deadline, "{id} is {stage} for too long");
+                tokio::time::sleep(POLL_INTERVAL).await;
+            }
+        }
+    }
+
+    fn record_submission(&self, id: &str, job: &Value) {
+        let mut world = self.cloud.world.lock().unwrap();
+        let millicpus = (job["cpus"].as_f64().unwrap() * 1000.0) as u64;
+        world
+            .quota
+            .submit(id, job["crew"].as_str().unwrap(), millicpus);
+        world.history.note(Event::Submitted {
+            job: id.to_owned(),
+            tasks: job["sacks"].as_u64().unwrap() as u32,
+        });
+    }
+
+    fn record_told(&self, id: &str, stage: &str) {
+        let stage = match stage {
+            "done" => Told::Done,
+            "cancelled" => Told::Cancelled,
+            _ => Told::Open,
+        };
+        let job = id.to_owned();
+        let mut world = self.cloud.world.lock().unwrap();
+        world.history.note(Event::Told { job, stage });
+    }
+
+    /// Rules that the machines found broken, and violations in what users were told and machines ran.
+    pub fn broken(&self) -> Vec<String> {
+        let world = self.cloud.world.lock().unwrap();
+        let violations = world.history.violations(false);
+        let violations = violations.iter().map(ToString::to_string);
+        world.broken.iter().cloned().chain(violations).collect()
+    }
+}
--- /dev/null
+++ b/crates/rowanmill-testing/src/folder.rs
@@ -0,0 +1,38 @@
+//! Temporary folders of tests.
+
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicUsize, Ordering};
+
+/// A folder of its own, deleted with all it contains when dropped.
+pub struct TestFolder(PathBuf);
+
+impl TestFolder {
+    /// Creates a folder whose name begins with `prefix`, different from all others.
+    pub fn new(prefix: &str) -> Self {
+        static FOLDERS: AtomicUsize = AtomicUsize::new(0);
+        let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
+        let name = format!("{prefix}-{}-{number}", std::process::id());
+        let path = std::env::temp_dir().join(name);
+        std::fs::create_dir_all(&path).expect("the temporary folder is writable");
+        Self(path)
+    }
+
+    /// The folder's path.
+    pub fn path(&self) -> &Path {
+        &self.0
+    }
+
+    /// Writes a file and returns its path.
+    pub fn write(&self, name: &str, text: &str) -> PathBuf {
+        let path = self.0.join(name);
+        std::fs::write(&path, text).expect("the temporary folder is writable");
+        path
+    }
+}
+
+impl Drop for TestFolder {
+    fn drop(&mut self) {
+        // A folder that stays behind does no harm, and a panic here would hide the test's own.
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
--- a/crates/rowanmill-testing/src/lib.rs
+++ b/crates/rowanmill-testing/src/lib.rs
@@ -3,8 +3,11 @@
 #![deny(missing_docs)]
 
 pub mod cloud;
+pub mod cluster;
 pub mod exchange;
+pub mod folder;
 pub mod history;
+pub mod jobs;
 pub mod quota;
 pub mod state;
 
@@ -22,6 +25,7 @@
 use std::pin::Pin;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, Ordering};
+use std::task::Poll;
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
 
@@ -55,6 +59,15 @@
     }
 }
 
+/// Serves a stand-in on a free port of loopback; returns its address.
+pub async fn serve_on_loopback(handler: Handler) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").await;
+    let listener = listener.expect("loopback has a free port");
+    let addr = listener.local_addr().expect("the listener is bound");
+    tokio::spawn(serve(listener, handler));
+    addr
+}
+
 async fn answer(
     handler: Handler,
     request: Request<Incoming>,
@@ -129,11 +142,36 @@
     }
 }
 
-/// Waits until something holds, and fails the test after 40 s.
-pub async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let end = Instant::now() + Duration::from_secs(40);
+/// How long [`until`] waits: longer than a takeover takes.
+const USUAL_WAIT: Duration = Duration::from_secs(40);
+/// The pause between two checks of a condition that a test waits for.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Waits until a condition holds, and fails the test after 40 s. `what` names the condition in the failure.
+pub async fn until(what: &str, holds: impl AsyncFnMut() -> bool) {
+    until_within(USUAL_WAIT, what, holds).await;
+}
+
+/// Waits until a condition holds, and fails the test after `timeout`. `what` names the condition in the
+/// failure.
+pub async fn until_within(timeout: Duration, what: &str, mut holds: impl AsyncFnMut() -> bool) {
+    let deadline = Instant::now() + timeout;
     while !holds().await {
-        assert!(Instant::now() < end, "waited in vain: {what}");
-        tokio::time::sleep(Duration::from_millis(50)).await;
+        assert!(Instant::now() < deadline, "waited in vain: {what}");
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
+
+/// Runs futures concurrently until all of them are complete.
+pub async fn join_all(futures: impl Iterator<Item = impl Future>) {
+    let mut pending: Vec<_> = futures.map(Box::pin).collect();
+    std::future::poll_fn(|context| {
+        pending.retain_mut(|future| future.as_mut().poll(context).is_pending());
+        if pending.is_empty() {
+            Poll::Ready(())
+        } else {
+            Poll::Pending
+        }
+    })
+    .await;
+}
--- a/tests/cells/cancel.rs
+++ b/tests/cells/cancel.rs
@@ -46,8 +46,8 @@
     site.submit(0, &job(0, 2)).await;
     let runs = async || site.world.lock().unwrap().starts == 2;
     until("it runs", runs).await;
-    site.cells[0].kill_all();
-    site.cells[0].cloud.power_off();
+    site.cells[0].cluster.kill_all();
+    site.cells[0].cluster.cloud.power_off();
     assert_eq!(site.cancel(1, "job-0").await, "cancelled");
     let over = async || site.ledger.stored("c/e/").len() == 1;
     until("its end is recorded", over).await;
--- a/tests/cells/client.rs
+++ b/tests/cells/client.rs
@@ -2,6 +2,7 @@
 
 use super::kill::all_done;
 use super::site::{Site, job, until};
+use rowanmill_testing::cluster::ClientOutput;
 use serde_json::Value;
 use std::time::Duration;
 
@@ -11,15 +12,15 @@
 const NO_LEDGER: i32 = 4;
 
 fn status(site: &Site) -> Value {
-    let (code, answer) = site.client(&["status", "--output", "json"]);
-    assert_eq!(code, 0, "{answer}");
-    serde_json::from_str(&answer).unwrap()
+    let ClientOutput { code, text } = site.client(&["status", "--output", "json"]);
+    assert_eq!(code, 0, "{text}");
+    serde_json::from_str(&text).unwrap()
 }
 
 fn explain(site: &Site, id: &str) -> Value {
-    let (code, answer) = site.client(&["explain", id, "--output", "json"]);
-    assert_eq!(code, 0, "{answer}");
-    serde_json::from_str(&answer).unwrap()
+    let ClientOutput { code, text } = site.client(&["explain", id, "--output", "json"]);
+    assert_eq!(code, 0, "{text}");
+    serde_json::from_str(&text).unwrap()
 }
 
 /// Asked while a cell is dead, during the takeover and after it, the client always has an answer, by which the
@@ -36,8 +37,8 @@
         (&before["owner"], &before["epoch"]),
         (&"hanoi".into(), &1.into())
     );
-    site.cells[0].kill_all();
-    site.cells[0].cloud.power_off();
+    site.cells[0].cluster.kill_all();
+    site.cells[0].cluster.cloud.power_off();
     let missing = async || status(&site)["cells"][1]["present"] == false;
     until("the cell is missing", missing).await;
     assert_eq!(explain(&site, "job-0")["owner_present"], false);
@@ -46,9 +47,9 @@
     all_done(&site, 1, 1).await;
     let over = async || explain(&site, "job-0")["state"] == "done";
     until("its end is known", over).await;
-    assert_eq!(site.client(&["explain", "job-77"]).0, UNKNOWN_JOB);
+    assert_eq!(site.client(&["explain", "job-77"]).code, UNKNOWN_JOB);
     site.ledger.set_out(true);
-    assert_eq!(site.client(&["status"]).0, NO_LEDGER);
+    assert_eq!(site.client(&["status"]).code, NO_LEDGER);
 }
 
 /// A drained cell is left by what waits there, gets nothing, and takes work again afterwards.
@@ -56,20 +57,20 @@
 async fn a_drained_cell_is_left_and_comes_back() {
     let mut site = Site::new(Duration::from_millis(800)).await;
     site.start_all().await;
-    assert_eq!(site.client(&["drain", "nowhere"]).0, UNKNOWN_CELL);
-    assert_eq!(site.client(&["drain", "hanoi"]).0, 0);
-    site.cells[0].cloud.set_capacity(0);
+    assert_eq!(site.client(&["drain", "nowhere"]).code, UNKNOWN_CELL);
+    assert_eq!(site.client(&["drain", "hanoi"]).code, 0);
+    site.cells[0].cluster.cloud.set_capacity(0);
     for number in 0..4 {
         site.submit(0, &job(number, 2)).await;
     }
     all_done(&site, 0, 4).await;
-    assert_eq!(site.cells[0].cloud.rented(), 0);
+    assert_eq!(site.cells[0].cluster.cloud.rented(), 0);
     assert_eq!(status(&site)["cells"][1]["draining"], true);
-    assert_eq!(site.client(&["undrain", "hanoi"]).0, 0);
-    site.cells[0].cloud.set_capacity(8);
+    assert_eq!(site.client(&["undrain", "hanoi"]).code, 0);
+    site.cells[0].cluster.cloud.set_capacity(8);
     site.submit(0, &job(4, 2)).await;
     let done = async || site.stage(0, "job-4").await == "done";
     until("it takes work again", done).await;
-    assert!(site.cells[0].cloud.rented() > 0);
+    assert!(site.cells[0].cluster.cloud.rented() > 0);
     assert_eq!(site.broken(), Vec::<String>::new());
 }
--- a/tests/cells/kill.rs
+++ b/tests/cells/kill.rs
@@ -27,8 +27,8 @@
     }
     let runs = async || site.stage(0, "job-0").await == "running";
     until("the first cell runs its work", runs).await;
-    site.cells[0].kill_all();
-    site.cells[0].cloud.power_off();
+    site.cells[0].cluster.kill_all();
+    site.cells[0].cluster.cloud.power_off();
     let killed = Instant::now();
     all_done(&site, 1, JOBS).await;
     println!(
@@ -50,7 +50,7 @@
     }
     let runs = async || site.stage(0, "job-5").await == "running";
     until("the first cell runs its work", runs).await;
-    site.cells[0].kill_all();
+    site.cells[0].cluster.kill_all();
     let taken = async || {
         let jobs = site.ledger.stored("c/l/j/");
         !jobs.values().any(|job| job["owner"] == NAMES[0])
@@ -76,7 +76,7 @@
     }
     let runs = async || site.stage(0, "job-5").await == "running";
     until("the first cell runs its work", runs).await;
-    site.cells[0].kill_all();
+    site.cells[0].cluster.kill_all();
     site.start_cell(0);
     all_done(&site, 0, 6).await;
     let finals = site.ledger.stored("c/e/");
--- a/tests/cells/ledger.rs
+++ b/tests/cells/ledger.rs
@@ -119,7 +119,7 @@
     until_all_run(&site, 2).await;
     // All tries of both others are held back.
     site.ledger.divert("job-0", Fate::HeldBack, 1000);
-    site.cells[0].kill_all();
+    site.cells[0].cluster.kill_all();
     let tried = async || site.ledger.holds_back();
     until("a takeover is sent", tried).await;
     site.start_cell(0);
--- a/tests/cells/measure.rs
+++ b/tests/cells/measure.rs
@@ -33,8 +33,8 @@
         }
         let runs = async || site.world.lock().unwrap().starts == 2 * JOBS_OF_A_ROUND;
         until("all tasks run", runs).await;
-        site.cells[0].kill_all();
-        site.cells[0].cloud.power_off();
+        site.cells[0].cluster.kill_all();
+        site.cells[0].cluster.cloud.power_off();
         let ended = Instant::now();
         let mut again = [None; JOBS_OF_A_ROUND];
         let all_again = async || {
@@ -64,9 +64,15 @@
     const JOBS: usize = 300;
     for round in 0..3 {
         for with_cells in [false, true] {
-            let mut site = Site::new(Duration::from_millis(300)).await;
-            site.with_cells = with_cells;
-            site.start_all().await;
+            let task_duration = Duration::from_millis(300);
+            let mut site;
+            if with_cells {
+                site = Site::new(task_duration).await;
+                site.start_all().await;
+            } else {
+                site = Site::without_cells(task_duration).await;
+                site.start_all_unregistered().await;
+            }
             let changes = site.ledger.changes();
             let began = Instant::now();
             let mut answers = Vec::new();
--- a/tests/cells/protection.rs
+++ b/tests/cells/protection.rs
@@ -13,22 +13,24 @@
 async fn work_that_spills_leaves_protected_machines_alone() {
     let spill = json!({"spill": {"after_s": 1.0, "at_once": 4, "moves": 3}});
     let mut site = Site::with(Duration::from_millis(800), spill).await;
-    site.cells[0].cloud.set_capacity(0);
-    site.cells[1].policy = Some("protected = zone == \"a\"\n");
+    site.cells[0].cluster.cloud.set_capacity(0);
+    site.cells[1]
+        .cluster
+        .set_policy("protected = zone == \"a\"\n");
     site.start_all().await;
     for number in 0..JOBS {
         site.submit(0, &job(number, 2)).await;
     }
     all_done(&site, 0, JOBS).await;
     assert_eq!(
-        site.cells[1].cloud.rented(),
+        site.cells[1].cluster.cloud.rented(),
         0,
         "nothing was rented there for it"
     );
     site.submit(1, &job(JOBS, 2)).await;
     let done = async || site.stage(1, &format!("job-{JOBS}")).await == "done";
     until("its own work is done there", done).await;
-    assert!(site.cells[1].cloud.rented() > 0);
+    assert!(site.cells[1].cluster.cloud.rented() > 0);
     assert_eq!(site.world.lock().unwrap().starts, 2 * (JOBS + 1));
     assert_eq!(site.broken(), Vec::<String>::new());
 }
@@ -39,9 +41,9 @@
 async fn a_job_that_fits_protected_room_only_comes_home() {
     let spill = json!({"spill": {"after_s": 0.5, "at_once": 4, "moves": 8}});
     let mut site = Site::with(Duration::from_millis(800), spill).await;
-    site.cells[0].cloud.set_capacity(0);
+    site.cells[0].cluster.cloud.set_capacity(0);
     for at in [1, 2] {
-        site.cells[at].policy = Some("protected = true\n");
+        site.cells[at].cluster.set_policy("protected = true\n");
     }
     site.start_all().await;
     for number in 0..3 {
@@ -54,10 +56,10 @@
             .all(|job| declined(job) == 2 && job["owner"] == "hanoi")
     };
     until("all are home, declined by both others", home).await;
-    site.cells[0].cloud.set_capacity(8);
+    site.cells[0].cluster.cloud.set_capacity(8);
     all_done(&site, 0, 3).await;
     assert_eq!(
-        site.cells[1].cloud.rented() + site.cells[2].cloud.rented(),
+        site.cells[1].cluster.cloud.rented() + site.cells[2].cluster.cloud.rented(),
         0
     );
     assert_eq!(site.broken(), Vec::<String>::new());
--- a/tests/cells/spill.rs
+++ b/tests/cells/spill.rs
@@ -12,7 +12,7 @@
 async fn work_without_a_machine_spills_into_other_cells() {
     let spill = json!({"spill": {"after_s": 1.0, "at_once": 4, "moves": 3}});
     let mut site = Site::with(Duration::from_millis(800), spill).await;
-    site.cells[0].cloud.set_capacity(0);
+    site.cells[0].cluster.cloud.set_capacity(0);
     site.start_all().await;
     let began = Instant::now();
     for number in 0..JOBS {
@@ -34,7 +34,7 @@
     let spill = json!({"spill": {"after_s": 0.5, "at_once": 4, "moves": 3}});
     let mut site = Site::with(Duration::from_millis(800), spill).await;
     for cell in &site.cells {
-        cell.cloud.set_capacity(0);
+        cell.cluster.cloud.set_capacity(0);
     }
     site.start_all().await;
     for number in 0..JOBS {
@@ -46,7 +46,7 @@
     println!("moves: {moves:?}");
     assert!(moves.len() == JOBS && moves.iter().all(|moves| *moves <= 3));
     for cell in &site.cells {
-        cell.cloud.set_capacity(8);
+        cell.cluster.cloud.set_capacity(8);
     }
     all_done(&site, 1, JOBS).await;
     assert_eq!(site.broken(), Vec::<String>::new());
--- a/tests/cells/storm.rs
+++ b/tests/cells/storm.rs
@@ -26,9 +26,9 @@
 impl Storm {
     fn end_some_cell(&mut self) {
         let cell = self.rng.random_range(0..NAMES.len());
-        self.site.cells[cell].kill_all();
+        self.site.cells[cell].cluster.kill_all();
         if self.rng.random_bool(0.5) {
-            self.site.cells[cell].cloud.power_off();
+            self.site.cells[cell].cluster.cloud.power_off();
         }
         let away = Duration::from_millis(self.rng.random_range(50..10_000));
         let back = Instant::now() + away;
--- a/tests/limits/client.rs
+++ b/tests/limits/client.rs
@@ -1,6 +1,8 @@
 //! What the client tells, in a format that scripts rely on, and during a takeover.
 
-use crate::site::{CONTROLLERS, Site, job, until};
+use crate::site::{CONTROLLERS, Site, job};
+use rowanmill_testing::cluster::ClientOutput;
+use rowanmill_testing::until;
 use serde_json::Value;
 use std::time::Duration;
 
@@ -34,20 +36,25 @@
     let running = |id: &str| world.lock().unwrap().tasks_of(id);
     let full = || running("job-1") == 2 && running("job-2") == 1;
     until("the limit is used", async || full()).await;
-    let (code, status) = site.client(&["status", "--output", "json"]);
-    assert_eq!(code, 0);
-    let (code, held) = site.client(&["explain", "job-1", "--output", "json"]);
-    assert_eq!(code, 0);
-    let (_, free) = site.client(&["explain", "job-2", "--output", "json"]);
-    let shown = [status, held, free].map(|text| shape(&text)).join("\n");
+    let status = site.client(&["status", "--output", "json"]);
+    assert_eq!(status.code, 0);
+    let held = site.client(&["explain", "job-1", "--output", "json"]);
+    assert_eq!(held.code, 0);
+    let free = site.client(&["explain", "job-2", "--output", "json"]);
+    let outputs = [status, held, free];
+    let shown = outputs.map(|output| shape(&output.text)).join("\n");
     insta::assert_snapshot!(shown);
-    assert_eq!(site.client(&["explain", "job-77"]).0, 3, "never accepted");
+    assert_eq!(
+        site.client(&["explain", "job-77"]).code,
+        3,
+        "never accepted"
+    );
     // No controller is there; the records still tell.
     (0..CONTROLLERS).for_each(|number| site.kill(number));
-    let (code, text) = site.client(&["explain", "job-1"]);
+    let ClientOutput { code, text } = site.client(&["explain", "job-1"]);
     assert_eq!(code, 0);
     assert!(text.contains("the limit of team t holds it"), "{text}");
     site.state.set_out(true);
-    let (code, _) = site.client(&["status"]);
-    assert_eq!(code, 4, "to be asked again");
+    let status = site.client(&["status"]);
+    assert_eq!(status.code, 4, "to be asked again");
 }
--- a/tests/limits/failures.rs
+++ b/tests/limits/failures.rs
@@ -1,10 +1,10 @@
 //! Limits hold while controllers end, stand still or are cut off, and the state service answers late.
 
-use crate::races::for_all;
-use crate::site::{CONTROLLERS, Site, TIMES, Teams, job, until};
+use crate::site::{CONTROLLERS, Site, TIMES, Teams, job};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rowanmill_testing::state::Fate;
+use rowanmill_testing::until;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
@@ -21,8 +21,7 @@
     let jobs: Vec<_> = (0..JOBS).map(|n| job(n, team(n), 1, 0.5)).collect();
     let mut random = StdRng::seed_from_u64(7);
     for wave in jobs.chunks(JOBS / 5) {
-        let submissions = wave.iter().enumerate();
-        for_all(submissions.map(|(n, job)| site.submit(n % CONTROLLERS, job))).await;
+        site.submit_all(wave).await;
         let victim = match site.leader() {
             Some(leader) if random.random_bool(0.5) => leader,
             _ => random.random_range(0..CONTROLLERS),
@@ -35,7 +34,8 @@
         site.start(victim);
     }
     let ids: Vec<String> = (0..JOBS).map(|n| format!("job-{n}")).collect();
-    site.see_all_end(&ids, Duration::from_secs(150)).await;
+    site.wait_until_all_end(&ids, Duration::from_secs(150))
+        .await;
     assert_eq!(site.broken(), Vec::<String>::new());
 }
 
@@ -46,8 +46,7 @@
     let mut site = Site::new(&[("t", 6.0)], Duration::from_millis(400)).await;
     site.start_all().await;
     let jobs: Vec<_> = (0..30).map(|n| job(n, "t", 10, 1.0)).collect();
-    let submissions = jobs.iter().enumerate();
-    for_all(submissions.map(|(n, job)| site.submit(n % CONTROLLERS, job))).await;
+    site.submit_all(&jobs).await;
     let full = || site.most()["t"] == 6.0;
     until("the limit is used", async || full()).await;
     for key in ["r/p/", "r/q/", "r/a/"] {
@@ -64,12 +63,13 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     site.state.set_out(false);
     let refused = (leader + 1) % CONTROLLERS;
-    site.cuts[refused].store(true, Ordering::Relaxed);
+    site.state_cuts[refused].store(true, Ordering::Relaxed);
     tokio::time::sleep(Duration::from_secs(3)).await;
-    site.cuts[refused].store(false, Ordering::Relaxed);
+    site.state_cuts[refused].store(false, Ordering::Relaxed);
     site.state.let_go();
     let ids: Vec<String> = (0..30).map(|n| format!("job-{n}")).collect();
-    site.see_all_end(&ids, Duration::from_secs(120)).await;
+    site.wait_until_all_end(&ids, Duration::from_secs(120))
+        .await;
     assert_eq!(site.broken(), Vec::<String>::new());
 }
 
--- a/tests/limits/races.rs
+++ b/tests/limits/races.rs
@@ -1,6 +1,7 @@
 //! Several controllers draw on one limit at the same instant.
 
-use crate::site::{CONTROLLERS, Site, gang, job, until};
+use crate::site::{CONTROLLERS, Site, gang, job};
+use rowanmill_testing::until;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
@@ -11,11 +12,9 @@
     let mut site = Site::new(&[("t", 3.0)], Duration::from_millis(300)).await;
     site.start_all().await;
     let jobs: Vec<_> = (0..60).map(|n| job(n, "t", 1, 1.0)).collect();
-    let submissions = jobs.iter().enumerate();
-    let submissions = submissions.map(|(n, job)| site.submit(n % CONTROLLERS, job));
-    for_all(submissions).await;
+    site.submit_all(&jobs).await;
     let ids: Vec<String> = (0..60).map(|n| format!("job-{n}")).collect();
-    site.see_all_end(&ids, Duration::from_secs(90)).await;
+    site.wait_until_all_end(&ids, Duration::from_secs(90)).await;
     assert_eq!(site.broken(), Vec::<String>::new());
     assert_eq!(site.most()["t"], 3.0, "the whole limit is used");
 }
@@ -32,8 +31,7 @@
     let mut site = Site::new(&[("t", 8.0)], Duration::from_millis(700)).await;
     site.start_all().await;
     let flood: Vec<_> = (0..12).map(|n| job(n, "t", 60, 1.0)).collect();
-    let submissions = flood.iter().enumerate();
-    for_all(submissions.map(|(n, job)| site.submit(n % CONTROLLERS, job))).await;
+    site.submit_all(&flood).await;
     let running = |id: &str| site.cloud.world.lock().unwrap().tasks_of(id);
     let flooded = || site.most()["t"] == 8.0;
     until("the limit is used", async || flooded()).await;
@@ -64,16 +62,3 @@
     let full = || site.most()["t"] == 12.0;
     until("the limit is used", async || full()).await;
 }
-
-/// Runs all of them at the same time.
-pub async fn for_all(work: impl Iterator<Item = impl Future<Output = ()>>) {
-    let mut work: Vec<_> = work.map(Box::pin).collect();
-    std::future::poll_fn(|context| {
-        work.retain_mut(|one| one.as_mut().poll(context).is_pending());
-        match work.is_empty() {
-            true => std::task::Poll::Ready(()),
-            false => std::task::Poll::Pending,
-        }
-    })
-    .await;
-}
