--- a/crates/rowanmill-state/tests/protocol.rs
+++ b/crates/rowanmill-state/tests/protocol.rs
@@ -5,7 +5,7 @@
     KeyValue, Listing, Operation, Precondition, ReadError, StateClient, StateShare,
     TransactionError, WatchEvent, WatchResponse,
 };
-use rowanmill_testing::exchange::{Recorder, Reply};
+use rowanmill_testing::exchange::{Recorder, ScriptedAnswer};
 use serde_json::json;
 use std::fmt::Write;
 use std::time::Duration;
@@ -15,8 +15,8 @@
     writes: 1000.0,
 };
 
-fn answer(status: u16, body: &str) -> Reply {
-    Reply::Answer(status, body.to_owned())
+fn answer(status: u16, body: &str) -> ScriptedAnswer {
+    ScriptedAnswer::Answer(status, body.to_owned())
 }
 
 #[derive(Default)]
@@ -27,7 +27,7 @@
     async fn call(
         &mut self,
         what: &str,
-        replies: &[Reply],
+        replies: &[ScriptedAnswer],
         call: impl AsyncFnOnce(StateClient) -> String,
     ) {
         let recorder = Recorder::start(replies.to_vec());
@@ -36,8 +36,10 @@
         for (request, reply) in recorder.requests().iter().zip(replies) {
             self.0.push_str(request);
             match reply {
-                Reply::Answer(status, body) => writeln!(self.0, "< {status} {body}").unwrap(),
-                Reply::HangUp => writeln!(self.0, "< no answer").unwrap(),
+                ScriptedAnswer::Answer(status, body) => {
+                    writeln!(self.0, "< {status} {body}").unwrap()
+                }
+                ScriptedAnswer::HangUp => writeln!(self.0, "< no answer").unwrap(),
             }
         }
         writeln!(self.0, "{}\n", outcome.trim_end()).unwrap();
@@ -124,7 +126,7 @@
         ("an outage", answer(503, r#"{"error":"trouble"}"#)),
         ("another status", answer(500, "")),
         ("an answer that cannot be read", answer(200, "{}")),
-        ("no answer", Reply::HangUp),
+        ("no answer", ScriptedAnswer::HangUp),
     ];
     for (what, reply) in replies {
         let call = async |client: StateClient| {
@@ -166,7 +168,7 @@
         ("over the limit", answer(429, r#"{"error":"too many"}"#)),
         ("an outage", answer(503, r#"{"error":"trouble"}"#)),
         ("an answer that cannot be read", answer(200, "[]")),
-        ("no answer", Reply::HangUp),
+        ("no answer", ScriptedAnswer::HangUp),
     ];
     for (what, reply) in replies {
         let call = async |client: StateClient| {
@@ -208,7 +210,7 @@
         ("no such key", answer(404, r#"{"ledger":431}"#)),
         ("an outage", answer(503, r#"{"error":"trouble"}"#)),
         ("an answer that cannot be read", answer(200, "{}")),
-        ("no answer", Reply::HangUp),
+        ("no answer", ScriptedAnswer::HangUp),
     ];
     for (what, reply) in replies {
         let pair = async |client: StateClient| match client.get_key_value("a/b").await {
@@ -277,7 +279,7 @@
             answer(503, r#"{"error":"trouble"}"#),
         ),
         ("made, not readable", answer(200, "{}")),
-        ("made, no answer", Reply::HangUp),
+        ("made, no answer", ScriptedAnswer::HangUp),
     ];
     for (what, reply) in replies {
         trace.call(what, &[reply], made).await;
--- /dev/null
+++ b/crates/rowanmill-testing/src/cloud/worker.rs
@@ -0,0 +1,193 @@
+//! The worker on a machine: it sends heartbeats, obeys the commands in their answers, heeds fencing tokens
+//! and its lease, and runs each task for a set time.
+
+use super::Cloud;
+use crate::ask;
+use hyper::Method;
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+/// The pause between two heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
+
+/// A task that a controller gave to the worker and has not told it to forget.
+struct Task {
+    attempt: u64,
+    started: Instant,
+    has_ended: bool,
+}
+
+pub(super) struct Worker {
+    machine: String,
+    cloud: Cloud,
+    fencing_token: u64,
+    incarnation: u64,
+    /// The number of its last heartbeat.
+    sequence: u64,
+    /// The index of the controller that it reports to.
+    controller: usize,
+    /// When the last answered heartbeat was sent, or this incarnation began.
+    lease_renewed: Instant,
+    tasks: BTreeMap<String, Task>,
+}
+
+/// What becomes of a worker's messages, by the faults of its machine.
+struct Faults {
+    is_hung: bool,
+    cannot_send: bool,
+}
+
+impl Worker {
+    pub fn new(machine: String, cloud: Cloud) -> Self {
+        Self {
+            machine,
+            cloud,
+            fencing_token: 0,
+            incarnation: 1,
+            sequence: 0,
+            controller: 0,
+            lease_renewed: Instant::now(),
+            tasks: BTreeMap::new(),
+        }
+    }
+
+    /// Runs until the machine is released.
+    pub async fn run(mut self) {
+        loop {
+            tokio::time::sleep(HEARTBEAT_INTERVAL).await;
+            let faults = self.observe_world();
+            if faults.is_hung {
+                continue;
+            }
+            if self.lease_renewed.elapsed() > self.cloud.timeouts.lease() {
+                self.expire_lease();
+            }
+            self.complete_tasks();
+            if !faults.cannot_send {
+                self.send_heartbeat().await;
+            }
+        }
+    }
+
+    fn observe_world(&self) -> Faults {
+        let mut world = self.cloud.world.lock().unwrap();
+        world.check_cancelled(self.cloud.timeouts.cancel());
+        Faults {
+            is_hung: world.hung.contains(&self.machine),
+            cannot_send: world.cannot_send.contains(&self.machine),
+        }
+    }
+
+    /// Sends a heartbeat, and waits for the answer no longer than its lease holds.
+    async fn send_heartbeat(&mut self) {
+        let heartbeat = self.heartbeat();
+        let addr = self.cloud.controllers[self.controller];
+        let sent = Instant::now();
+        let lease = self.cloud.timeouts.lease();
+        let lease_left = lease.saturating_sub(self.lease_renewed.elapsed());
+        let answer = ask(addr, Method::POST, "/hello", heartbeat);
+        let Ok((status, body)) = tokio::time::timeout(lease_left, answer).await else {
+            self.try_next_controller();
+            return;
+        };
+        if self.cannot_receive() {
+            return;
+        }
+        match (status, body["miller"].as_str()) {
+            (200, _) => self.handle_answer(&body, sent),
+            (421, Some(owner)) => {
+                let number = owner.trim_start_matches("millstone-");
+                self.controller = number.parse().unwrap();
+            }
+            _ => self.try_next_controller(),
+        }
+    }
+
+    fn cannot_receive(&self) -> bool {
+        let world = self.cloud.world.lock().unwrap();
+        world.cannot_receive.contains(&self.machine)
+    }
+
+    fn try_next_controller(&mut self) {
+        self.controller = (self.controller + 1) % self.cloud.controllers.len();
+    }
+
+    fn heartbeat(&mut self) -> Value {
+        let tasks = self.tasks.iter().map(|(id, task)| {
+            if task.has_ended {
+                json!({"sack": id, "turn": task.attempt, "stage": "ended", "cause": "done"})
+            } else {
+                json!({"sack": id, "turn": task.attempt, "stage": "running"})
+            }
+        });
+        self.sequence += 1;
+        json!({"millstone": self.machine, "endpoint": "127.0.0.1:9", "stone": "m4",
+            "yard": "a", "borrowed": false, "shift": self.incarnation, "tally": self.sequence,
+            "warrant": self.fencing_token, "recallS": null, "sacks": tasks.collect::<Vec<_>>()})
+    }
+
+    /// Kills and forgets every task, and continues with the next incarnation.
+    fn expire_lease(&mut self) {
+        let mut world = self.cloud.world.lock().unwrap();
+        world.expired_leases += usize::from(!self.tasks.is_empty());
+        world.end_tasks_on(&self.machine);
+        self.tasks.clear();
+        self.incarnation += 1;
+        self.lease_renewed = Instant::now();
+    }
+
+    /// Completes the tasks that have run for long enough.
+    fn complete_tasks(&mut self) {
+        let duration = self.cloud.task_duration;
+        let mut world = self.cloud.world.lock().unwrap();
+        for (id, task) in &mut self.tasks {
+            if !task.has_ended && task.started.elapsed() >= duration {
+                task.has_ended = true;
+                world.record_completion(id);
+            }
+        }
+    }
+
+    /// Renews the lease and carries out the commands, unless the answer is from an owner that was replaced.
+    fn handle_answer(&mut self, answer: &Value, sent: Instant) {
+        let token = answer["warrant"].as_u64().unwrap();
+        if token < self.fencing_token {
+            return;
+        }
+        self.fencing_token = token;
+        self.lease_renewed = sent;
+        for command in answer["orders"].as_array().unwrap() {
+            let id = command["sack"].as_str().unwrap();
+            match command["verb"].as_str().unwrap() {
+                "run" => self.run_task(id, command["turn"].as_u64().unwrap()),
+                "stop" => self.stop_task(id),
+                "reap" => {
+                    self.tasks.remove(id);
+                }
+                _ => {}
+            }
+        }
+    }
+
+    fn run_task(&mut self, id: &str, attempt: u64) {
+        if self.tasks.contains_key(id) {
+            return;
+        }
+        let mut world = self.cloud.world.lock().unwrap();
+        world.record_start(id, &self.machine);
+        let task = Task {
+            attempt,
+            started: Instant::now(),
+            has_ended: false,
+        };
+        self.tasks.insert(id.to_owned(), task);
+    }
+
+    fn stop_task(&mut self, id: &str) {
+        if let Some(task) = self.tasks.get_mut(id) {
+            task.has_ended = true;
+            self.cloud.world.lock().unwrap().record_stop(id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/rowanmill-testing/src/cloud/world.rs
@@ -0,0 +1,190 @@
+//! What the machines of one cloud or several see, and the rules that they find broken by it.
+
+use crate::history::{Event, History, job_of};
+use crate::quota::QuotaMonitor;
+use std::collections::{BTreeMap, HashMap, HashSet};
+use std::time::{Duration, Instant};
+use tokio::task::AbortHandle;
+
+/// What the machines see, whichever controllers they belong to. Clouds may share one world: then a
+/// task that runs on machines of two clouds is noticed too.
+#[derive(Default)]
+pub struct World {
+    machines: BTreeMap<String, AbortHandle>,
+    released: HashSet<String>,
+    /// Which machine each running task is on.
+    machine_by_task: HashMap<String, String>,
+    completed: HashSet<String>,
+    /// By job, the tasks that must be completed before any of its own starts.
+    pub dependencies: HashMap<String, Vec<String>>,
+    /// Jobs that users were told are cancelled, and when first.
+    cancelled: HashMap<String, Instant>,
+    /// Machines that do nothing.
+    pub hung: HashSet<String>,
+    /// Machines whose heartbeats reach no controller.
+    pub cannot_send: HashSet<String>,
+    /// Machines that no answer reaches.
+    pub cannot_receive: HashSet<String>,
+    /// Worker leases that expired while there were tasks.
+    pub expired_leases: usize,
+    /// How often each task started.
+    pub starts_by_task: BTreeMap<String, usize>,
+    /// Starts of all tasks.
+    pub starts: usize,
+    /// The most tasks that ran at a time.
+    pub peak_running: usize,
+    /// What users were told and machines ran, for the checker.
+    pub history: History,
+    /// What the teams' tasks use, against their limits.
+    pub quota: QuotaMonitor,
+    /// Rules that were broken.
+    pub broken_rules: Vec<String>,
+}
+
+impl World {
+    /// Whether no task runs.
+    pub fn nothing_runs(&self) -> bool {
+        self.machine_by_task.is_empty()
+    }
+
+    /// Records that a user was told that a job is cancelled.
+    pub fn record_cancellation(&mut self, job: &str) {
+        self.cancelled
+            .entry(job.to_owned())
+            .or_insert_with(Instant::now);
+    }
+
+    /// How many tasks of a job run.
+    pub fn running_tasks(&self, job: &str) -> usize {
+        let tasks = self.machine_by_task.keys();
+        tasks.filter(|task| job_of(task) == job).count()
+    }
+
+    /// The machines that are rented and not released.
+    pub fn machines(&self) -> HashSet<String> {
+        let rented = self.machines.keys();
+        rented
+            .filter(|machine| !self.is_released(machine))
+            .cloned()
+            .collect()
+    }
+
+    /// The machines that run tasks of a job.
+    pub fn machines_running(&self, job: &str) -> HashSet<String> {
+        let running = self.machine_by_task.iter();
+        running
+            .filter(|(task, _)| job_of(task) == job)
+            .map(|(_, machine)| machine.clone())
+            .collect()
+    }
+
+    /// How many machines were ever rented.
+    pub(super) fn machine_count(&self) -> usize {
+        self.machines.len()
+    }
+
+    pub(super) fn is_released(&self, machine: &str) -> bool {
+        self.released.contains(machine)
+    }
+
+    /// Adds a rented machine with the handle that ends its worker.
+    pub(super) fn add_machine(&mut self, name: &str, worker: AbortHandle) {
+        self.machines.insert(name.to_owned(), worker);
+    }
+
+    /// Ends a machine, with what runs on it.
+    pub(super) fn release(&mut self, machine: &str) {
+        if let Some(worker) = self.machines.get(machine) {
+            worker.abort();
+        }
+        self.released.insert(machine.to_owned());
+        self.end_tasks_on(machine);
+    }
+
+    /// Records that a machine starts a task, and which rules that breaks.
+    pub(super) fn record_start(&mut self, task: &str, machine: &str) {
+        self.history.record(Event::Started {
+            task: task.to_owned(),
+            machine: machine.to_owned(),
+        });
+        let other = self
+            .machine_by_task
+            .insert(task.to_owned(), machine.to_owned());
+        if let Some(other) = other {
+            let broken = format!("{task} runs on {other} and on {machine}");
+            self.broken_rules.push(broken);
+        } else if let Err(over_limit) = self.quota.record_start(task) {
+            self.record_broken_rule(over_limit.to_string());
+        }
+        self.check_cancellation_and_dependencies(task);
+        self.starts += 1;
+        *self.starts_by_task.entry(task.to_owned()).or_default() += 1;
+        self.peak_running = self.peak_running.max(self.machine_by_task.len());
+    }
+
+    fn check_cancellation_and_dependencies(&mut self, task: &str) {
+        let job = job_of(task);
+        if self.cancelled.contains_key(job) {
+            self.record_broken_rule(format!("{task} is started after its cancellation"));
+        }
+        let dependencies = self.dependencies.get(job).into_iter().flatten();
+        let missing: Vec<&String> = dependencies
+            .filter(|dependency| !self.completed.contains(*dependency))
+            .collect();
+        if !missing.is_empty() {
+            let broken = format!("{task} starts before {missing:?}");
+            self.broken_rules.push(broken);
+        }
+    }
+
+    /// Records that a task completed.
+    pub(super) fn record_completion(&mut self, task: &str) {
+        self.record_end(task, true);
+        self.completed.insert(task.to_owned());
+    }
+
+    /// Records that a task ended without completing.
+    pub(super) fn record_stop(&mut self, task: &str) {
+        self.record_end(task, false);
+    }
+
+    fn record_end(&mut self, task: &str, completed: bool) {
+        if self.machine_by_task.remove(task).is_some() {
+            self.quota.record_end(task);
+            let task = task.to_owned();
+            self.history.record(Event::Left { task, completed });
+        }
+    }
+
+    /// Records that all tasks on a machine ended without completing.
+    pub(super) fn end_tasks_on(&mut self, machine: &str) {
+        let running = self.machine_by_task.iter();
+        let tasks: Vec<String> = running
+            .filter(|(_, on)| *on == machine)
+            .map(|(task, _)| task.clone())
+            .collect();
+        for task in tasks {
+            self.record_stop(&task);
+        }
+    }
+
+    fn record_broken_rule(&mut self, broken: String) {
+        if !self.broken_rules.contains(&broken) {
+            self.broken_rules.push(broken);
+        }
+    }
+
+    /// Checks rule `ran_cancelled`: no task runs for longer than `timeout` after its job's cancellation was
+    /// confirmed.
+    pub(super) fn check_cancelled(&mut self, timeout: Duration) {
+        let is_late = |task: &&String| {
+            let since = self.cancelled.get(job_of(task));
+            since.is_some_and(|since| since.elapsed() > timeout)
+        };
+        let tasks = self.machine_by_task.keys();
+        let late: Vec<String> = tasks.filter(is_late).cloned().collect();
+        for task in late {
+            self.record_broken_rule(format!("{task} runs on, too long after its cancellation"));
+        }
+    }
+}
--- a/crates/rowanmill-testing/src/cluster/mod.rs
+++ b/crates/rowanmill-testing/src/cluster/mod.rs
@@ -5,8 +5,8 @@
 
 use crate::cloud::{Cloud, World};
 use crate::folder::TestFolder;
-use crate::state::State;
-use crate::{Times, free_addr, serve_on_loopback};
+use crate::state::StateService;
+use crate::{Timeouts, free_addr, serve_on_loopback};
 pub use settings::{StateRates, TeamSetting};
 use std::ffi::{OsStr, OsString};
 use std::fs::File;
@@ -32,7 +32,7 @@
     /// How long each task runs.
     pub task_duration: Duration,
     /// The timeouts of the settings, which the workers keep to.
-    pub times: Times,
+    pub timeouts: Timeouts,
     /// What the settings say of the state service.
     pub state_rates: StateRates,
     /// The most sockets that a controller may open, by the settings.
@@ -48,7 +48,7 @@
 pub struct Cluster {
     config: ClusterConfig,
     /// The state service.
-    pub state: State,
+    pub state: StateService,
     /// The cloud.
     pub cloud: Cloud,
     /// For each controller, whether its connection to the state service is cut.
@@ -69,14 +69,14 @@
     pub async fn new(config: ClusterConfig) -> Self {
         let count = config.controllers;
         let api: Vec<SocketAddr> = (0..count).map(|_| free_addr()).collect();
-        let state = State::default();
+        let state = StateService::default();
         let state_cuts: Vec<Arc<AtomicBool>> = (0..count).map(|_| Arc::default()).collect();
         let mut state_addrs = Vec::new();
         for cut in &state_cuts {
-            state_addrs.push(serve_on_loopback(state.line(cut.clone())).await);
+            state_addrs.push(serve_on_loopback(state.handler_with_cut(cut.clone())).await);
         }
         let cloud =
-            Cloud::new(api.clone(), config.task_duration, config.times).in_world(&config.world);
+            Cloud::new(api.clone(), config.task_duration, config.timeouts).in_world(&config.world);
         Self {
             mesh: (0..count).map(|_| free_addr()).collect(),
             cloud_addr: serve_on_loopback(cloud.handler()).await,
--- a/crates/rowanmill-testing/src/cluster/users.rs
+++ b/crates/rowanmill-testing/src/cluster/users.rs
@@ -2,7 +2,7 @@
 
 use super::Cluster;
 use crate::ask;
-use crate::history::{Event, Told};
+use crate::history::{Event, ReportedStage};
 use hyper::Method;
 use serde_json::Value;
 use std::time::{Duration, Instant};
@@ -45,7 +45,7 @@
             let number = (first + attempt) % self.config.controllers;
             let (status, answer) = self.post(number, "/v1/jobs", job.clone()).await;
             if matches!(status, 200 | 201) {
-                self.record_told(id, answer["stage"].as_str().unwrap());
+                self.record_reported_stage(id, answer["stage"].as_str().unwrap());
                 return answer;
             }
             assert!(is_refused_for_now(status), "{status} {answer}");
@@ -63,9 +63,9 @@
             let (status, answer) = self.post(number, &path, Value::Null).await;
             if status == 200 {
                 let stage = answer["stage"].as_str().unwrap().to_owned();
-                self.record_told(id, &stage);
+                self.record_reported_stage(id, &stage);
                 if stage == "cancelled" {
-                    self.cloud.world.lock().unwrap().note_cancelled(id);
+                    self.cloud.world.lock().unwrap().record_cancellation(id);
                 }
                 return stage;
             }
@@ -82,7 +82,7 @@
             assert_ne!(status, 404, "{id} is forgotten");
             if status == 200 {
                 let stage = answer["stage"].as_str().unwrap_or_default();
-                self.record_told(id, stage);
+                self.record_reported_stage(id, stage);
                 return stage.to_owned();
             }
         }
@@ -109,29 +109,34 @@
         let millicpus = (job["cpus"].as_f64().unwrap() * 1000.0) as u64;
         world
             .quota
-            .submit(id, job["crew"].as_str().unwrap(), millicpus);
-        world.history.note(Event::Submitted {
+            .record_job(id, job["crew"].as_str().unwrap(), millicpus);
+        world.history.record(Event::Submitted {
             job: id.to_owned(),
             tasks: job["sacks"].as_u64().unwrap() as u32,
         });
     }
 
-    fn record_told(&self, id: &str, stage: &str) {
+    fn record_reported_stage(&self, id: &str, stage: &str) {
         let stage = match stage {
-            "done" => Told::Done,
-            "cancelled" => Told::Cancelled,
-            _ => Told::Open,
+            "done" => ReportedStage::Done,
+            "cancelled" => ReportedStage::Cancelled,
+            _ => ReportedStage::Open,
         };
         let job = id.to_owned();
         let mut world = self.cloud.world.lock().unwrap();
-        world.history.note(Event::Told { job, stage });
+        world.history.record(Event::StageReported { job, stage });
     }
 
     /// Rules that the machines found broken, and violations in what users were told and machines ran.
-    pub fn broken(&self) -> Vec<String> {
+    pub fn broken_rules(&self) -> Vec<String> {
         let world = self.cloud.world.lock().unwrap();
         let violations = world.history.violations(false);
         let violations = violations.iter().map(ToString::to_string);
-        world.broken.iter().cloned().chain(violations).collect()
+        world
+            .broken_rules
+            .iter()
+            .cloned()
+            .chain(violations)
+            .collect()
     }
 }
--- a/crates/rowanmill-testing/src/exchange.rs
+++ b/crates/rowanmill-testing/src/exchange.rs
@@ -1,5 +1,5 @@
-//! HTTP as it is on the wire: requests recorded as they came, answers shown as they were sent. For tests
-//! that freeze an interface.
+//! HTTP as it is on the wire: a server that records the requests it gets, and a client that shows the answer
+//! it gets. For tests that freeze an interface.
 
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -7,38 +7,41 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What a recorder does with a request.
+/// How long a message may take to arrive.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// What a [`Recorder`] does with a request.
 #[derive(Debug, Clone)]
-pub enum Reply {
+pub enum ScriptedAnswer {
     /// It answers with this status and this body.
     Answer(u16, String),
     /// It closes the connection without an answer.
     HangUp,
 }
 
-/// A server that answers by a script, each request on a connection of its own, and keeps what it was sent.
+/// A server that answers by a script, each request on a connection of its own, and keeps the requests.
 pub struct Recorder {
-    /// Where it listens.
+    /// The address at which it listens.
     pub addr: SocketAddr,
     requests: Arc<Mutex<Vec<String>>>,
 }
 
 impl Recorder {
-    /// Starts a recorder with a reply for each request to come.
-    pub fn start(replies: Vec<Reply>) -> Self {
+    /// Starts a recorder with an answer for each request to come.
+    pub fn start(answers: Vec<ScriptedAnswer>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
         let addr = listener.local_addr().expect("it is bound");
         let requests: Arc<Mutex<Vec<String>>> = Arc::default();
-        let kept = requests.clone();
+        let recorded = requests.clone();
         std::thread::spawn(move || {
-            let mut replies = VecDeque::from(replies);
-            while let Some(reply) = replies.pop_front() {
+            let mut answers = VecDeque::from(answers);
+            while let Some(answer) = answers.pop_front() {
                 let Ok((mut stream, _)) = listener.accept() else {
                     return;
                 };
                 let message = read_message(&mut stream);
-                kept.lock().unwrap().push(request_text(&message));
-                if let Reply::Answer(status, body) = reply {
+                recorded.lock().unwrap().push(request_text(&message));
+                if let ScriptedAnswer::Answer(status, body) = answer {
                     let head = format!(
                         "HTTP/1.1 {status} Status\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
                         body.len()
@@ -51,20 +54,22 @@
         Self { addr, requests }
     }
 
-    /// All requests so far: method and path, content type, body.
+    /// All requests so far, each as its first line, its content type and its body.
     pub fn requests(&self) -> Vec<String> {
         self.requests.lock().unwrap().clone()
     }
 }
 
+/// A request or an answer.
 struct Message {
     first_line: String,
     headers: Vec<String>,
     body: String,
 }
 
+/// Reads one message, and fails the test if it is incomplete.
 fn read_message(stream: &mut TcpStream) -> Message {
-    let timeout = stream.set_read_timeout(Some(Duration::from_secs(20)));
+    let timeout = stream.set_read_timeout(Some(READ_TIMEOUT));
     timeout.expect("the timeout is not zero");
     let mut reader = BufReader::new(stream);
     let mut lines = Vec::new();
@@ -91,6 +96,7 @@
     }
 }
 
+/// A request as [`Recorder::requests`] shows it.
 fn request_text(message: &Message) -> String {
     let mut text = format!("> {}\n", message.first_line);
     let is_type = |line: &&String| line.to_lowercase().starts_with("content-type:");
@@ -103,8 +109,8 @@
     text
 }
 
-/// Sends one request as it stands and shows the answer: the status, all headers but `date`, the body.
-/// Blocks until the answer is there.
+/// Sends one request with this body and returns the answer as text: the status, all headers but `date`, the
+/// body. Blocks until the answer is complete.
 pub fn exchange(addr: SocketAddr, method: &str, path: &str, body: &str) -> String {
     let mut stream = TcpStream::connect(addr).expect("the server listens");
     let head = format!(
--- a/crates/rowanmill-testing/src/history.rs
+++ b/crates/rowanmill-testing/src/history.rs
@@ -1,37 +1,37 @@
-//! What users were told and what machines ran, and whether it was right. It knows nothing of controllers,
+//! What users were told and what machines ran, and a checker of both. It knows nothing of controllers,
 //! cells or records.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a user was told of a job.
+/// The stage of a job that a user was told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Told {
-    /// It is accepted, and has not ended.
+pub enum ReportedStage {
+    /// Accepted, and not ended.
     Open,
     /// All its tasks completed.
     Done,
-    /// It is cancelled.
+    /// Cancelled.
     Cancelled,
-    /// Nobody knows it.
+    /// No such job is known.
     Unknown,
 }
 
-/// Something that was seen from outside.
+/// Something that was observed from outside.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A user submitted a job of so many tasks.
+    /// A user submitted a job.
     Submitted {
         /// The job.
         job: String,
-        /// Its tasks.
+        /// The number of its tasks.
         tasks: u32,
     },
-    /// A user was told how a job stands.
-    Told {
+    /// A user was told the stage of a job.
+    StageReported {
         /// The job.
         job: String,
-        /// How it stands.
-        stage: Told,
+        /// The stage.
+        stage: ReportedStage,
     },
     /// A machine began to run a task.
     Started {
@@ -40,16 +40,16 @@
         /// The machine.
         machine: String,
     },
-    /// A machine runs a task no longer: it completed, or was lost.
+    /// A task has left its machine: it completed, or was lost.
     Left {
         /// The task.
         task: String,
-        /// It completed.
+        /// Whether it completed.
         completed: bool,
     },
 }
 
-/// What was wrong.
+/// A contradiction in what was observed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     /// A task ran on two machines at a time.
@@ -57,24 +57,24 @@
     Overlap {
         /// The task.
         task: String,
-        /// Where it was.
+        /// The machine that it was on.
         first: String,
-        /// Where it started too.
+        /// The machine that it started on.
         second: String,
     },
-    /// Users were told an end, and then anything else.
+    /// Users were told a final stage, and then another stage.
     #[error("{job} was told {first:?} and then {second:?}")]
-    WentBack {
+    FinalStageChanged {
         /// The job.
         job: String,
         /// What was told first.
-        first: Told,
+        first: ReportedStage,
         /// What was told later.
-        second: Told,
+        second: ReportedStage,
     },
-    /// A job was told done before its tasks were.
+    /// Users were told that a job is done before all its tasks had completed.
     #[error("{job} was told done with {completed} of {tasks} tasks completed")]
-    NotDone {
+    DoneTooEarly {
         /// The job.
         job: String,
         /// Tasks that had completed.
@@ -82,74 +82,79 @@
         /// Its tasks.
         tasks: u32,
     },
-    /// A task started after its job's cancellation was told.
+    /// A task started after users were told of its job's cancellation.
     #[error("{task} starts after its job's cancellation was told")]
     StartedCancelled {
         /// The task.
         task: String,
     },
-    /// An accepted job is unknown, or was never told an end.
+    /// An accepted job became unknown, or users were never told a final stage.
     #[error("{job} is lost")]
     Lost {
         /// The job.
         job: String,
     },
-    /// A job that nobody submitted is told of.
+    /// Users were told a stage of a job that was never submitted.
     #[error("{job} was never submitted")]
-    Invented {
+    NeverSubmitted {
         /// The job.
         job: String,
     },
 }
 
-/// All that was seen, in order.
+/// All that was observed, in order.
 #[derive(Debug, Clone, Default)]
 pub struct History {
     events: Vec<Event>,
 }
 
+/// The state of the checker after some of the events.
 #[derive(Default)]
-struct Seen {
+struct Checker {
+    /// The number of each job's tasks.
     submitted: BTreeMap<String, u32>,
-    told: BTreeMap<String, Told>,
-    on: BTreeMap<String, String>,
+    /// The last stage of each job that users were told.
+    reported: BTreeMap<String, ReportedStage>,
+    /// The machine that each running task is on.
+    machine_by_task: BTreeMap<String, String>,
     completed: BTreeSet<String>,
-    wrong: Vec<Violation>,
+    violations: Vec<Violation>,
 }
 
+/// The job of a task, whose id is that of the job, a slash and a number.
 pub(crate) fn job_of(task: &str) -> &str {
     task.split('/').next().unwrap_or(task)
 }
 
 impl History {
-    /// Adds what was seen last.
-    pub fn note(&mut self, event: Event) {
+    /// Records the latest event.
+    pub fn record(&mut self, event: Event) {
         self.events.push(event);
     }
 
-    /// All that was wrong. `is_over`: every accepted job should have ended by now.
+    /// All violations. `is_over`: every accepted job should have ended by now.
     pub fn violations(&self, is_over: bool) -> Vec<Violation> {
-        let mut seen = Seen::default();
+        let mut checker = Checker::default();
         for event in &self.events {
-            seen.take(event);
+            checker.apply(event);
         }
         if is_over {
-            seen.find_lost();
+            checker.find_lost();
         }
-        seen.wrong
+        checker.violations
     }
 }
 
-impl Seen {
-    fn take(&mut self, event: &Event) {
+impl Checker {
+    fn apply(&mut self, event: &Event) {
         match event {
             Event::Submitted { job, tasks } => {
                 self.submitted.insert(job.clone(), *tasks);
             }
-            Event::Told { job, stage } => self.tell(job, *stage),
-            Event::Started { task, machine } => self.start(task, machine),
+            Event::StageReported { job, stage } => self.check_stage(job, *stage),
+            Event::Started { task, machine } => self.check_start(task, machine),
             Event::Left { task, completed } => {
-                self.on.remove(task);
+                self.machine_by_task.remove(task);
                 if *completed {
                     self.completed.insert(task.clone());
                 }
@@ -157,63 +162,66 @@
         }
     }
 
-    fn tell(&mut self, job: &str, stage: Told) {
-        let before = self.told.get(job).copied();
+    fn check_stage(&mut self, job: &str, stage: ReportedStage) {
+        let before = self.reported.get(job).copied();
         let Some(tasks) = self.submitted.get(job).copied() else {
-            if stage != Told::Unknown {
+            if stage != ReportedStage::Unknown {
                 let job = job.to_owned();
-                self.wrong.push(Violation::Invented { job });
+                self.violations.push(Violation::NeverSubmitted { job });
             }
             return;
         };
         match (before, stage) {
-            (Some(Told::Done | Told::Cancelled), _) if before != Some(stage) => {
-                self.wrong.push(Violation::WentBack {
+            (Some(ReportedStage::Done | ReportedStage::Cancelled), _) if before != Some(stage) => {
+                self.violations.push(Violation::FinalStageChanged {
                     job: job.to_owned(),
-                    first: before.unwrap_or(Told::Open),
+                    first: before.unwrap_or(ReportedStage::Open),
                     second: stage,
                 });
                 return;
             }
-            (Some(_), Told::Unknown) => {
+            (Some(_), ReportedStage::Unknown) => {
                 let job = job.to_owned();
-                self.wrong.push(Violation::Lost { job });
+                self.violations.push(Violation::Lost { job });
                 return;
             }
-            (None, Told::Unknown) => return,
+            (None, ReportedStage::Unknown) => return,
             _ => {}
         }
         let of_job = |task: &&String| job_of(task) == job;
         let completed = self.completed.iter().filter(of_job).count() as u32;
-        if stage == Told::Done && completed < tasks {
-            self.wrong.push(Violation::NotDone {
+        if stage == ReportedStage::Done && completed < tasks {
+            self.violations.push(Violation::DoneTooEarly {
                 job: job.to_owned(),
                 completed,
                 tasks,
             });
         }
-        self.told.insert(job.to_owned(), stage);
+        self.reported.insert(job.to_owned(), stage);
     }
 
-    fn start(&mut self, task: &str, machine: &str) {
-        if let Some(first) = self.on.insert(task.to_owned(), machine.to_owned()) {
-            self.wrong.push(Violation::Overlap {
+    fn check_start(&mut self, task: &str, machine: &str) {
+        if let Some(first) = self
+            .machine_by_task
+            .insert(task.to_owned(), machine.to_owned())
+        {
+            self.violations.push(Violation::Overlap {
                 task: task.to_owned(),
                 first,
                 second: machine.to_owned(),
             });
         }
-        if self.told.get(job_of(task)) == Some(&Told::Cancelled) {
+        if self.reported.get(job_of(task)) == Some(&ReportedStage::Cancelled) {
             let task = task.to_owned();
-            self.wrong.push(Violation::StartedCancelled { task });
+            self.violations.push(Violation::StartedCancelled { task });
         }
     }
 
     fn find_lost(&mut self) {
-        for (job, told) in &self.told {
-            if *told == Told::Open {
+        for (job, stage) in &self.reported {
+            if *stage == ReportedStage::Open {
                 let job = job.clone();
-                self.wrong.push(Violation::Lost { job });
+                self.violations.push(Violation::Lost { job });
             }
         }
     }
--- a/crates/rowanmill-testing/src/history/tests.rs
+++ b/crates/rowanmill-testing/src/history/tests.rs
@@ -7,9 +7,9 @@
     }
 }
 
-fn told(job: &str, stage: Told) -> Event {
+fn reported(job: &str, stage: ReportedStage) -> Event {
     let job = job.to_owned();
-    Event::Told { job, stage }
+    Event::StageReported { job, stage }
 }
 
 fn started(task: &str, machine: &str) -> Event {
@@ -27,35 +27,35 @@
 fn violations(events: &[Event]) -> Vec<String> {
     let mut history = History::default();
     for event in events {
-        history.note(event.clone());
+        history.record(event.clone());
     }
     let violations = history.violations(true);
     violations.iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn a_right_history_passes() {
+fn a_consistent_history_has_no_violations() {
     let right = [
         submitted("job-1"),
-        told("job-1", Told::Open),
+        reported("job-1", ReportedStage::Open),
         started("job-1/0", "vm-1"),
         left("job-1/0", false),
         started("job-1/0", "vm-2"),
         left("job-1/0", true),
-        told("job-1", Told::Done),
-        told("job-1", Told::Done),
+        reported("job-1", ReportedStage::Done),
+        reported("job-1", ReportedStage::Done),
         submitted("job-2"),
-        told("job-2", Told::Open),
-        told("job-2", Told::Cancelled),
-        told("job-3", Told::Unknown),
+        reported("job-2", ReportedStage::Open),
+        reported("job-2", ReportedStage::Cancelled),
+        reported("job-3", ReportedStage::Unknown),
     ];
     assert_eq!(violations(&right), Vec::<String>::new());
 }
 
 /// The checker is able to fail, on each kind of wrong history.
 #[test]
-fn wrong_histories_are_found() {
-    let accepted = [submitted("job-1"), told("job-1", Told::Open)];
+fn each_kind_of_violation_is_found() {
+    let accepted = [submitted("job-1"), reported("job-1", ReportedStage::Open)];
     let wrong: [(&str, &[Event]); 8] = [
         ("a lost job", &[]),
         (
@@ -65,24 +65,33 @@
         (
             "two ends",
             &[
-                told("job-1", Told::Cancelled),
+                reported("job-1", ReportedStage::Cancelled),
                 started("job-2/0", "vm-1"),
-                told("job-1", Told::Done),
+                reported("job-1", ReportedStage::Done),
             ],
         ),
         (
             "an end taken back",
-            &[told("job-1", Told::Cancelled), told("job-1", Told::Open)],
+            &[
+                reported("job-1", ReportedStage::Cancelled),
+                reported("job-1", ReportedStage::Open),
+            ],
         ),
-        ("done too early", &[told("job-1", Told::Done)]),
+        ("done too early", &[reported("job-1", ReportedStage::Done)]),
         (
             "a start after a cancellation",
-            &[told("job-1", Told::Cancelled), started("job-1/0", "vm-1")],
+            &[
+                reported("job-1", ReportedStage::Cancelled),
+                started("job-1/0", "vm-1"),
+            ],
         ),
-        ("forgotten", &[told("job-1", Told::Unknown)]),
+        ("forgotten", &[reported("job-1", ReportedStage::Unknown)]),
         (
             "invented",
-            &[told("job-1", Told::Cancelled), told("job-9", Told::Open)],
+            &[
+                reported("job-1", ReportedStage::Cancelled),
+                reported("job-9", ReportedStage::Open),
+            ],
         ),
     ];
     let mut trace = String::new();
--- a/crates/rowanmill-testing/src/quota.rs
+++ b/crates/rowanmill-testing/src/quota.rs
@@ -1,60 +1,77 @@
-//! What the teams' tasks use at each instant, by what the machines run, against the teams' limits.
+//! What the teams' tasks use at each instant, by what the machines run, checked against the teams' limits.
 
 use crate::history::job_of;
 use std::collections::{BTreeMap, HashMap};
 
-/// A team's tasks use more than its limit.
+/// The tasks of a team use more than its limit.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("with {task} team {team} uses {used} of {limit} thousandths of a CPU")]
 pub struct OverLimit {
-    /// The task that was one too many.
+    /// The task with whose start the limit was exceeded.
     pub task: String,
     /// Its team.
     pub team: String,
-    /// What the team uses with it.
+    /// What the team uses with it, in thousandths of a CPU.
     pub used: u64,
-    /// The team's limit.
+    /// The team's limit, in thousandths of a CPU.
     pub limit: u64,
 }
 
+/// A team's limit and usage, in thousandths of a CPU.
 #[derive(Debug, Clone, Default)]
 struct Team {
     limit: Option<u64>,
     used: u64,
-    most: u64,
+    peak: u64,
 }
 
-/// The teams' limits and uses, in thousandths of a CPU.
+/// A submitted job.
+#[derive(Debug, Clone)]
+struct Job {
+    team: String,
+    /// Thousandths of a CPU that a task uses.
+    task_millicpus: u64,
+}
+
+/// The teams' limits and usage.
 #[derive(Debug, Default)]
-pub struct Quota {
+pub struct QuotaMonitor {
     teams: BTreeMap<String, Team>,
-    /// Each job's team, and what a task of it takes.
-    jobs: HashMap<String, (String, u64)>,
+    jobs: HashMap<String, Job>,
 }
 
-impl Quota {
-    /// A team has this limit from now on.
-    pub fn limit(&mut self, team: &str, cpus: u64) {
-        self.teams.entry(team.to_owned()).or_default().limit = Some(cpus);
+impl QuotaMonitor {
+    /// Sets a team's limit, in thousandths of a CPU, from now on.
+    pub fn set_limit(&mut self, team: &str, millicpus: u64) {
+        self.teams.entry(team.to_owned()).or_default().limit = Some(millicpus);
     }
 
-    /// A job of a team, each task of which takes so much.
-    pub fn submit(&mut self, job: &str, team: &str, cpus: u64) {
-        self.jobs.insert(job.to_owned(), (team.to_owned(), cpus));
+    /// Records a job of a team, each task of which uses this many thousandths of a CPU. Tasks of jobs that
+    /// were not recorded are not counted.
+    pub fn record_job(&mut self, job: &str, team: &str, task_millicpus: u64) {
+        let team = team.to_owned();
+        let recorded = Job {
+            team,
+            task_millicpus,
+        };
+        self.jobs.insert(job.to_owned(), recorded);
     }
 
-    /// A machine began to run a task.
-    pub fn start(&mut self, task: &str) -> Result<(), OverLimit> {
-        let Some((name, cpus)) = self.jobs.get(job_of(task)) else {
+    /// Records that a machine starts a task.
+    ///
+    /// # Errors
+    /// If the team uses more than its limit with it. The task is counted all the same.
+    pub fn record_start(&mut self, task: &str) -> Result<(), OverLimit> {
+        let Some(job) = self.jobs.get(job_of(task)) else {
             return Ok(());
         };
-        let team = self.teams.entry(name.clone()).or_default();
-        team.used += cpus;
-        team.most = team.most.max(team.used);
+        let team = self.teams.entry(job.team.clone()).or_default();
+        team.used += job.task_millicpus;
+        team.peak = team.peak.max(team.used);
         match team.limit {
             Some(limit) if team.used > limit => Err(OverLimit {
                 task: task.to_owned(),
-                team: name.clone(),
+                team: job.team.clone(),
                 used: team.used,
                 limit,
             }),
@@ -62,18 +79,18 @@
         }
     }
 
-    /// A task is on its machine no longer.
-    pub fn leave(&mut self, task: &str) {
-        if let Some((name, cpus)) = self.jobs.get(job_of(task))
-            && let Some(team) = self.teams.get_mut(name)
+    /// Records that a task that was started has left its machine.
+    pub fn record_end(&mut self, task: &str) {
+        if let Some(job) = self.jobs.get(job_of(task))
+            && let Some(team) = self.teams.get_mut(&job.team)
         {
-            team.used -= cpus;
+            team.used -= job.task_millicpus;
         }
     }
 
-    /// The most that a team's tasks used at a time.
-    pub fn most(&self, team: &str) -> u64 {
-        self.teams.get(team).map_or(0, |team| team.most)
+    /// The most that a team's tasks used at a time, in thousandths of a CPU.
+    pub fn peak_usage(&self, team: &str) -> u64 {
+        self.teams.get(team).map_or(0, |team| team.peak)
     }
 }
 
--- /dev/null
+++ b/crates/rowanmill-testing/src/state/limits.rs
@@ -0,0 +1,99 @@
+//! What the state service accepts of transactions.
+
+use super::Response;
+use serde_json::{Value, json};
+use std::time::Instant;
+
+/// The limits of the service.
+#[derive(Clone, Copy)]
+pub struct StateLimits {
+    /// The most bytes of a value.
+    pub value_bytes: usize,
+    /// The most changes of a transaction.
+    pub operations: usize,
+    /// The most changes a second.
+    pub changes_per_s: f64,
+}
+
+/// Transactions that were refused.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct Refusals {
+    /// Because a value was too large.
+    pub too_large: usize,
+    /// Because of too many changes at once.
+    pub too_many_operations: usize,
+    /// Because of too many changes a second.
+    pub too_frequent: usize,
+}
+
+/// Enforces the limits: changes draw from a bucket that holds those of one second.
+#[derive(Default)]
+pub(super) struct Limiter {
+    limits: Option<StateLimits>,
+    bucket: Option<Bucket>,
+    pub refusals: Refusals,
+}
+
+/// The changes that may be made now.
+struct Bucket {
+    changes: f64,
+    as_of: Instant,
+}
+
+impl Limiter {
+    pub fn set(&mut self, limits: StateLimits) {
+        self.limits = Some(limits);
+        self.bucket = None;
+    }
+
+    /// Accounts for a transaction with these changes, or refuses it.
+    pub fn admit(&mut self, changes: &[Value]) -> Result<(), Response> {
+        let Some(limits) = self.limits else {
+            return Ok(());
+        };
+        let mut bucket = self.refilled(&limits);
+        let admitted = check(&limits, &bucket, &mut self.refusals, changes);
+        if admitted.is_ok() {
+            bucket.changes -= changes.len() as f64;
+        }
+        self.bucket = Some(bucket);
+        admitted
+    }
+
+    fn refilled(&self, limits: &StateLimits) -> Bucket {
+        let now = Instant::now();
+        let changes = match &self.bucket {
+            Some(bucket) => {
+                let refill = (now - bucket.as_of).as_secs_f64() * limits.changes_per_s;
+                (bucket.changes + refill).min(limits.changes_per_s)
+            }
+            None => limits.changes_per_s,
+        };
+        Bucket {
+            changes,
+            as_of: now,
+        }
+    }
+}
+
+fn check(
+    limits: &StateLimits,
+    bucket: &Bucket,
+    refusals: &mut Refusals,
+    changes: &[Value],
+) -> Result<(), Response> {
+    let is_too_large = |change: &Value| change["data"].to_string().len() > limits.value_bytes;
+    if changes.iter().any(is_too_large) {
+        refusals.too_large += 1;
+        return Err((400, json!({"error": "value too large"})));
+    }
+    if changes.len() > limits.operations {
+        refusals.too_many_operations += 1;
+        return Err((400, json!({"error": "too many changes"})));
+    }
+    if bucket.changes < changes.len() as f64 {
+        refusals.too_frequent += 1;
+        return Err((429, json!({"error": "too many"})));
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/rowanmill-testing/src/state/mod.rs
@@ -0,0 +1,165 @@
+//! A stand-in for the state service: keys with revisions, conditional transactions, leases and the log. Tests
+//! can make it fail, for all or for single transactions.
+
+mod faults;
+mod limits;
+mod routes;
+mod store;
+
+use crate::{Handler, StubRequest};
+use faults::FaultRule;
+pub use faults::TransactionFault;
+pub use limits::{Refusals, StateLimits};
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+use store::Store;
+
+/// How often a request that follows the log looks for changes.
+const FOLLOW_INTERVAL: Duration = Duration::from_millis(5);
+
+/// The status and body of an answer.
+type Response = (u16, Value);
+
+fn unavailable() -> Response {
+    (503, json!({"error": "trouble"}))
+}
+
+/// A state service in memory. Clones are the same service.
+#[derive(Clone, Default)]
+pub struct StateService(Arc<Mutex<Inner>>);
+
+#[derive(Default)]
+struct Inner {
+    store: Store,
+    is_out: bool,
+    faults: Vec<FaultRule>,
+    /// Bodies of transactions that are to be applied later.
+    delayed: Vec<Value>,
+}
+
+impl StateService {
+    /// Begins or ends an outage; after it every lease has its full time again.
+    pub fn set_outage(&self, is_out: bool) {
+        let mut inner = self.0.lock().unwrap();
+        inner.is_out = is_out;
+        inner.store.renew_leases();
+    }
+
+    /// Sets the limits from now on. What is stored stays.
+    pub fn set_limits(&self, limits: StateLimits) {
+        self.0.lock().unwrap().store.limiter.set(limits);
+    }
+
+    /// Lets the next `count` transactions with `text` in one of their changes meet a fault.
+    pub fn inject_fault(&self, text: &str, fault: TransactionFault, count: usize) {
+        let rule = FaultRule::new(text, fault, count);
+        self.0.lock().unwrap().faults.push(rule);
+    }
+
+    /// Whether a transaction is delayed.
+    pub fn has_delayed(&self) -> bool {
+        !self.0.lock().unwrap().delayed.is_empty()
+    }
+
+    /// Applies the delayed transactions; returns how many of them succeeded.
+    pub fn deliver_delayed(&self) -> usize {
+        let mut inner = self.0.lock().unwrap();
+        let delayed = std::mem::take(&mut inner.delayed);
+        let succeeded = |body: &&Value| inner.store.transact(body).0 == 200;
+        delayed.iter().filter(succeeded).count()
+    }
+
+    /// The transactions that were refused because of the limits.
+    pub fn refusals(&self) -> Refusals {
+        self.0.lock().unwrap().store.limiter.refusals
+    }
+
+    /// The revision: transactions that succeeded, leases granted and keys deleted with their leases so far.
+    pub fn revision(&self) -> u64 {
+        self.0.lock().unwrap().store.revision
+    }
+
+    /// The values of all keys with a prefix.
+    pub fn stored(&self, prefix: &str) -> BTreeMap<String, Value> {
+        self.0.lock().unwrap().store.values(prefix)
+    }
+
+    /// Answers the requests of all controllers.
+    pub fn handler(&self) -> Handler {
+        let state = self.clone();
+        Arc::new(move |request| {
+            let state = state.clone();
+            Box::pin(async move {
+                if request.path == "/follow" {
+                    return state.follow(&request).await;
+                }
+                let answer = state.0.lock().unwrap().answer(&request);
+                match answer {
+                    Some(answer) => answer,
+                    None => std::future::pending().await,
+                }
+            })
+        })
+    }
+
+    /// Answers the requests of one controller, whose connection can be cut: it then gets 503, and its leases
+    /// expire while the others are served.
+    pub fn handler_with_cut(&self, is_cut: Arc<AtomicBool>) -> Handler {
+        let uncut = self.handler();
+        Arc::new(move |request| {
+            if is_cut.load(Ordering::Relaxed) {
+                Box::pin(async { unavailable() })
+            } else {
+                uncut(request)
+            }
+        })
+    }
+
+    /// Answers a request for the log once there are changes, or none until its time is over.
+    async fn follow(&self, request: &StubRequest) -> Response {
+        let from: u64 = request.query["from"].parse().unwrap();
+        let hold = Duration::from_millis(request.query["holdMs"].parse().unwrap());
+        let deadline = Instant::now() + hold;
+        loop {
+            {
+                let mut inner = self.0.lock().unwrap();
+                if inner.is_out && hold.is_zero() {
+                    return unavailable();
+                }
+                if !inner.is_out {
+                    inner.store.expire_leases();
+                    let log = inner.store.log_since(&request.query["prefix"], from);
+                    if !log.is_empty() || Instant::now() >= deadline {
+                        let revision = inner.store.revision;
+                        return (200, json!({"ledger": revision, "log": log}));
+                    }
+                }
+            }
+            tokio::time::sleep(FOLLOW_INTERVAL).await;
+        }
+    }
+}
+
+impl Inner {
+    /// The answer to a request; `None` if it gets none.
+    fn answer(&mut self, request: &StubRequest) -> Option<Response> {
+        if self.is_out {
+            return Some(unavailable());
+        }
+        self.store.expire_leases();
+        match faults::take_matching(&mut self.faults, request) {
+            None => Some(self.store.route(request)),
+            Some(TransactionFault::AnswerLost) => {
+                self.store.route(request);
+                None
+            }
+            Some(TransactionFault::Delayed) => {
+                self.delayed.push(request.body.clone());
+                None
+            }
+        }
+    }
+}
--- a/src/testing/compatibility/cloud.rs
+++ b/src/testing/compatibility/cloud.rs
@@ -1,11 +1,11 @@
 //! The cloud's protocol: what is sent, and what is read out of each answer.
 
 use crate::cloud::{CloudClient, CloudError, ListedMachine, MachineType, RentalRequest};
-use rowanmill_testing::exchange::{Recorder, Reply};
+use rowanmill_testing::exchange::{Recorder, ScriptedAnswer};
 use std::fmt::Write;
 
-fn answer(status: u16, body: &str) -> Reply {
-    Reply::Answer(status, body.to_owned())
+fn answer(status: u16, body: &str) -> ScriptedAnswer {
+    ScriptedAnswer::Answer(status, body.to_owned())
 }
 
 #[derive(Default)]
@@ -16,7 +16,7 @@
     async fn call(
         &mut self,
         what: &str,
-        replies: &[Reply],
+        replies: &[ScriptedAnswer],
         call: impl AsyncFnOnce(CloudClient) -> Result<String, CloudError>,
     ) {
         let recorder = Recorder::start(replies.to_vec());
@@ -25,8 +25,10 @@
         for (request, reply) in recorder.requests().iter().zip(replies) {
             self.0.push_str(request);
             match reply {
-                Reply::Answer(status, body) => writeln!(self.0, "< {status} {body}").unwrap(),
-                Reply::HangUp => writeln!(self.0, "< no answer").unwrap(),
+                ScriptedAnswer::Answer(status, body) => {
+                    writeln!(self.0, "< {status} {body}").unwrap()
+                }
+                ScriptedAnswer::HangUp => writeln!(self.0, "< no answer").unwrap(),
             }
         }
         let outcome = match outcome {
@@ -84,7 +86,7 @@
         ),
         ("over the limit", answer(429, r#"{"error":"too many"}"#)),
         ("an outage", answer(503, r#"{"error":"trouble"}"#)),
-        ("no answer", Reply::HangUp),
+        ("no answer", ScriptedAnswer::HangUp),
     ];
     for (what, reply) in replies {
         let call = async |client: CloudClient| {
@@ -113,7 +115,7 @@
         ("malformed", answer(400, r#"{"error":"malformed"}"#)),
         ("over the limit", answer(429, r#"{"error":"too many"}"#)),
         ("an answer that cannot be read", answer(200, "{}")),
-        ("no answer", Reply::HangUp),
+        ("no answer", ScriptedAnswer::HangUp),
     ];
     for (what, reply) in replies {
         let call = async |client: CloudClient| {
@@ -152,7 +154,7 @@
         ("released", answer(200, "{}")),
         ("over the limit", answer(429, r#"{"error":"too many"}"#)),
         ("an outage", answer(503, r#"{"error":"trouble"}"#)),
-        ("no answer", Reply::HangUp),
+        ("no answer", ScriptedAnswer::HangUp),
     ];
     for (what, reply) in replies {
         let call = async |client: CloudClient| {
@@ -187,6 +189,8 @@
     trace
         .call("a machine without its type", &replies, list)
         .await;
-    trace.call("no answer", &[Reply::HangUp], list).await;
+    trace
+        .call("no answer", &[ScriptedAnswer::HangUp], list)
+        .await;
     insta::assert_snapshot!(trace.0);
 }
--- a/src/testing/compatibility/interfaces.rs
+++ b/src/testing/compatibility/interfaces.rs
@@ -18,7 +18,7 @@
 use rowanmill_cells::CellsConfig;
 use rowanmill_config::ConfigFile;
 use rowanmill_testing::exchange::exchange;
-use rowanmill_testing::state::State;
+use rowanmill_testing::state::StateService;
 use rowanmill_testing::{ask, serve, until};
 use serde_json::{Value, json};
 use std::fmt::Write;
@@ -171,8 +171,8 @@
     }
 }
 
-async fn state_service() -> (State, SocketAddr) {
-    let state = State::default();
+async fn state_service() -> (StateService, SocketAddr) {
+    let state = StateService::default();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     tokio::spawn(serve(listener, state.handler()));
--- a/src/testing/fault_scenarios.rs
+++ b/src/testing/fault_scenarios.rs
@@ -1,8 +1,8 @@
 //! Where two troubles meet: for each meeting the order of events that would break a rule.
 
 use super::tests::{Site, job};
-use super::{Controller, PRESENT, Times, Version};
-use rowanmill_testing::state::Fate;
+use super::{Controller, PRESENT, Timeouts, Version};
+use rowanmill_testing::state::TransactionFault;
 use rowanmill_testing::{free_addr, serve, until};
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -14,7 +14,7 @@
 use tokio::net::TcpListener;
 
 /// Short enough that a test can wait for them.
-const SHORT: Times = Times {
+const SHORT: Timeouts = Timeouts {
     lease_s: 4.0,
     cancel_s: 10.0,
 };
@@ -24,7 +24,7 @@
     let cut = Arc::new(AtomicBool::new(false));
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    tokio::spawn(serve(listener, site.state.line(cut.clone())));
+    tokio::spawn(serve(listener, site.state.handler_with_cut(cut.clone())));
     (addr, cut)
 }
 
@@ -36,7 +36,7 @@
         told["stage"] == "cancelled"
     };
     until("the cancellation is confirmed", confirmed).await;
-    site.cloud.world.lock().unwrap().note_cancelled(id);
+    site.cloud.world.lock().unwrap().record_cancellation(id);
 }
 
 /// Rule `ran_cancelled`: the state service refuses the leader alone, the other controller confirms
@@ -49,9 +49,9 @@
     gap.outage().await;
     {
         let world = gap.site.cloud.world.lock().unwrap();
-        assert_eq!(world.broken, Vec::<String>::new());
-        let left = (world.tasks_of("job-1"), world.tasks_of("job-2"));
-        assert_eq!((left, world.lapses), ((0, 3), 0));
+        assert_eq!(world.broken_rules, Vec::<String>::new());
+        let left = (world.running_tasks("job-1"), world.running_tasks("job-2"));
+        assert_eq!((left, world.expired_leases), ((0, 3), 0));
     }
     assert_eq!(gap.site.stage(0, "job-1").await, "cancelled", "it was told");
     gap.end().await;
@@ -77,7 +77,7 @@
     async fn new(in_reach: bool) -> Self {
         let site = Site::with(2, Duration::from_secs(600), SHORT).await;
         let version = Version {
-            times: SHORT,
+            timeouts: SHORT,
             ..PRESENT
         };
         let (line_addr, cut) = line(&site).await;
@@ -90,7 +90,7 @@
         until("the first is healthy", ready).await;
         for id in ["job-1", "job-2"] {
             site.submit(0, &job(id, 3, 1.0)).await;
-            let running = || site.cloud.world.lock().unwrap().tasks_of(id) == 3;
+            let running = || site.cloud.world.lock().unwrap().running_tasks(id) == 3;
             until("it runs", async || running()).await;
         }
         let other = site.start_as(version, 1);
@@ -110,22 +110,22 @@
     async fn outage(&self) {
         self.cut.store(true, Ordering::Relaxed);
         cancel(&self.site, 1, "job-1").await;
-        self.site.state.set_out(true);
+        self.site.state.set_outage(true);
         tokio::time::sleep(SHORT.cancel() + Duration::from_secs(1)).await;
-        assert_eq!(self.site.broken(), Vec::<String>::new());
+        assert_eq!(self.site.broken_rules(), Vec::<String>::new());
     }
 
     /// The troubles are over: what was cancelled stays so, and what was not runs.
     async fn end(&self) {
-        self.site.state.set_out(false);
+        self.site.state.set_outage(false);
         self.cut.store(false, Ordering::Relaxed);
         for number in 0..2 {
             let known = async || self.site.stage(number, "job-1").await == "cancelled";
             until("it stays cancelled", known).await;
         }
-        let runs = || self.site.cloud.world.lock().unwrap().tasks_of("job-2") == 3;
+        let runs = || self.site.cloud.world.lock().unwrap().running_tasks("job-2") == 3;
         until("what was not cancelled runs", async || runs()).await;
-        assert_eq!(self.site.broken(), Vec::<String>::new());
+        assert_eq!(self.site.broken_rules(), Vec::<String>::new());
     }
 }
 
@@ -133,18 +133,21 @@
 /// with the lease that it first named, the node would own nothing for good, and nobody would lead.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_presence_that_comes_late_takes_nobody_away() {
-    let times = Times {
+    let timeouts = Timeouts {
         lease_s: 20.0,
         cancel_s: 50.0,
     };
-    for fate in [Fate::HeldBack, Fate::AnswerLost] {
-        let site = Site::with(1, Duration::from_millis(300), times).await;
-        site.state.divert("r/n/millstone-0", fate, 1);
-        let version = Version { times, ..PRESENT };
+    for fate in [TransactionFault::Delayed, TransactionFault::AnswerLost] {
+        let site = Site::with(1, Duration::from_millis(300), timeouts).await;
+        site.state.inject_fault("r/n/millstone-0", fate, 1);
+        let version = Version {
+            timeouts,
+            ..PRESENT
+        };
         let _only = site.start_as(version, 0);
         let there = || !site.state.stored("r/n/").is_empty();
         until("it is there", async || there()).await;
-        site.state.let_go();
+        site.state.deliver_delayed();
         // For longer than its lease.
         let end = Instant::now() + Duration::from_millis(6500);
         while Instant::now() < end {
@@ -183,7 +186,7 @@
     site.submit(0, &job("job-4", 500, 1.0)).await;
     let (status, told) = site.post(1, "/v1/jobs/job-4/abort", Value::Null).await;
     assert_eq!((status, &told["stage"]), (200, &json!("cancelled")));
-    assert_eq!(site.broken(), Vec::<String>::new());
+    assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
 /// Rules `forgotten`, `went_back` and `invented`: what can never run is refused and says why, and
@@ -287,7 +290,12 @@
             assert_eq!(stage, last, "{id} went back");
         }
         if stage == "cancelled" {
-            self.site.cloud.world.lock().unwrap().note_cancelled(id);
+            self.site
+                .cloud
+                .world
+                .lock()
+                .unwrap()
+                .record_cancellation(id);
         }
         let mut told = self.told.lock().unwrap();
         let held = told.entry(id.to_owned()).or_default();
@@ -376,7 +384,7 @@
             if seen.iter().any(over) {
                 break;
             }
-            if n % 4 == 1 && site.cloud.world.lock().unwrap().tasks_of(id) == 1 {
+            if n % 4 == 1 && site.cloud.world.lock().unwrap().running_tasks(id) == 1 {
                 tokio::time::sleep(Duration::from_millis(330 + 10 * n as u64)).await;
                 tokio::join!(users.abort(0, id), users.look_closely(id));
             }
@@ -404,7 +412,7 @@
         records.keys().filter(of_jobs).count() == 0
     };
     until("no record is left of them", left).await;
-    assert_eq!(site.broken(), Vec::<String>::new());
+    assert_eq!(site.broken_rules(), Vec::<String>::new());
     assert!(
         users.look(0, "job-99").await.is_none(),
         "nobody submitted it"
@@ -421,7 +429,8 @@
     let users = Users::of(&site);
     // Accepted and cancelled without an answer: whoever reads it tells so, and so do all then.
     let first = job("job-1", 2, 1.0);
-    site.state.divert("r/j/job-1", Fate::AnswerLost, 1);
+    site.state
+        .inject_fault("r/j/job-1", TransactionFault::AnswerLost, 1);
     assert_eq!(users.submit(0, &first).await, None);
     assert!(
         users
@@ -430,51 +439,55 @@
             .iter()
             .all(Option::is_some)
     );
-    site.state.divert("r/j/job-1", Fate::AnswerLost, 1);
+    site.state
+        .inject_fault("r/j/job-1", TransactionFault::AnswerLost, 1);
     assert_eq!(users.abort(0, "job-1").await, None);
     let cancelled = [const { "cancelled" }; 3].map(|s| Some(s.to_owned()));
     assert_eq!(users.look_closely("job-1").await, cancelled);
     // Held back: not accepted until it is repeated, and the late one changes nothing.
     let second = job("job-2", 2, 1.0);
-    site.state.divert("r/j/job-2", Fate::HeldBack, 1);
+    site.state
+        .inject_fault("r/j/job-2", TransactionFault::Delayed, 1);
     assert_eq!(users.submit(1, &second).await, None);
     users.submit_until_taken(2, &second).await;
-    site.state.divert("r/j/job-2", Fate::HeldBack, 1);
+    site.state
+        .inject_fault("r/j/job-2", TransactionFault::Delayed, 1);
     assert_eq!(users.abort(1, "job-2").await, None, "not confirmed");
     assert_eq!(
-        site.state.let_go(),
+        site.state.deliver_delayed(),
         1,
         "the cancellation alone, nothing came between"
     );
     assert_eq!(users.look_closely("job-2").await, cancelled);
     // A start held back until its job was cancelled changes nothing: it carries the job's revision.
-    site.state.divert("r/p/job-3/", Fate::HeldBack, 1);
+    site.state
+        .inject_fault("r/p/job-3/", TransactionFault::Delayed, 1);
     users.submit_until_taken(0, &job("job-3", 2, 1.0)).await;
-    until("its start is held back", async || site.state.holds_back()).await;
+    until("its start is held back", async || site.state.has_delayed()).await;
     let confirmed = async || users.abort(1, "job-3").await.is_some();
     until("it is cancelled", confirmed).await;
-    assert_eq!(site.state.let_go(), 0);
+    assert_eq!(site.state.deliver_delayed(), 0);
     // Starts, exits and ends of jobs: each job ends, nothing twice, and what is carried out after
     // newer ones changes nothing, since it carries the marks that it follows from.
     for (key, fate) in [
-        ("r/p/", Fate::HeldBack),
-        ("r/p/", Fate::AnswerLost),
-        ("e/job", Fate::HeldBack),
-        ("e/job", Fate::AnswerLost),
-        ("r/shares", Fate::HeldBack),
+        ("r/p/", TransactionFault::Delayed),
+        ("r/p/", TransactionFault::AnswerLost),
+        ("e/job", TransactionFault::Delayed),
+        ("e/job", TransactionFault::AnswerLost),
+        ("r/shares", TransactionFault::Delayed),
     ] {
         let ids: Vec<String> = (0..4).map(|n| format!("job-{}", spare_id() + n)).collect();
-        site.state.divert(key, fate, 3);
+        site.state.inject_fault(key, fate, 3);
         for (n, id) in ids.iter().enumerate() {
             users.submit_until_taken(n % 3, &job(id, 2, 1.0)).await;
         }
         users.see_all_end(&[0, 1, 2], &ids).await;
-        assert_eq!(site.state.let_go(), 0, "{key}");
+        assert_eq!(site.state.deliver_delayed(), 0, "{key}");
     }
     for id in ["job-1", "job-2", "job-3"] {
         assert_eq!(users.look_closely(id).await, cancelled);
     }
-    assert_eq!(site.broken(), Vec::<String>::new());
+    assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
 /// Rule `ran_twice`: a start is held back while the same task is recorded elsewhere and runs. The
@@ -484,12 +497,13 @@
     let site = Site::new(2, Duration::from_secs(600)).await;
     let _first = site.start(0).await;
     let _second = site.start(1).await;
-    site.state.divert("r/p/job-1/", Fate::HeldBack, 2);
+    site.state
+        .inject_fault("r/p/job-1/", TransactionFault::Delayed, 2);
     site.submit(0, &job("job-1", 3, 1.0)).await;
-    let runs = || site.cloud.world.lock().unwrap().tasks_of("job-1") == 3;
+    let runs = || site.cloud.world.lock().unwrap().running_tasks("job-1") == 3;
     until("it runs by a later record", async || runs()).await;
-    assert!(site.state.holds_back());
-    assert_eq!(site.state.let_go(), 0);
+    assert!(site.state.has_delayed());
+    assert_eq!(site.state.deliver_delayed(), 0);
 }
 
 fn spare_id() -> usize {
@@ -526,20 +540,20 @@
         tokio::join!(users.abort(other, &batch[0]), users.look(other, &batch[1]));
         nodes[leader] = Some(restart(leader));
         if round % 4 == 3 {
-            site.state.set_out(true);
+            site.state.set_outage(true);
             nodes[other] = None;
             nodes[other] = Some(restart(other));
             tokio::time::sleep(Duration::from_millis(400)).await;
-            site.state.set_out(false);
+            site.state.set_outage(false);
         }
         let again = job(&batch[0], 2, 0.5);
         tokio::join!(users.abort(other, &batch[1]), users.submit(leader, &again));
         ids.extend(batch);
     }
     users.see_all_end(&[0, 1, 2], &ids).await;
-    assert_eq!(site.broken(), Vec::<String>::new());
+    assert_eq!(site.broken_rules(), Vec::<String>::new());
     let world = site.cloud.world.lock().unwrap();
-    assert!(world.most_at_once <= 12, "the team's limit is 6 CPUs");
+    assert!(world.peak_running <= 12, "the team's limit is 6 CPUs");
 }
 
 /// Rules `quota`, `ran_cancelled` and `ran_twice`: a team is at its limit, its jobs are cancelled
@@ -551,12 +565,15 @@
 }
 
 async fn limit(trouble: &str) {
-    let times = Times {
+    let timeouts = Timeouts {
         lease_s: 10.0,
         cancel_s: 16.0,
     };
-    let site = Site::with(2, Duration::from_secs(600), times).await;
-    let version = Version { times, ..PRESENT };
+    let site = Site::with(2, Duration::from_secs(600), timeouts).await;
+    let version = Version {
+        timeouts,
+        ..PRESENT
+    };
     let mut nodes = Vec::new();
     for number in 0..2 {
         nodes.push(Some(site.start_as(version, number)));
@@ -565,18 +582,18 @@
     }
     // Of the limit's 6 CPUs the first takes 4 and a machine of its own, the next 2, and beside that
     // there is room for the last.
-    let running = |id| site.cloud.world.lock().unwrap().tasks_of(id);
+    let running = |id| site.cloud.world.lock().unwrap().running_tasks(id);
     for (id, cpus) in [("job-1", 4.0), ("job-2", 2.0)] {
         site.submit(0, &job(id, 1, cpus)).await;
         until("it runs", async || running(id) == 1).await;
     }
     {
         let mut world = site.cloud.world.lock().unwrap();
-        let machines = world.machines_of("job-1");
+        let machines = world.machines_running("job-1");
         match trouble {
             "hung" => world.hung = machines,
-            "mute" => world.mute = machines,
-            _ => world.deaf = machines,
+            "mute" => world.cannot_send = machines,
+            _ => world.cannot_receive = machines,
         }
     }
     let shares = site.state.stored("r/shares");
@@ -594,9 +611,9 @@
     }
     until("the next starts", async || running("job-3") == 1).await;
     let world = site.cloud.world.lock().unwrap();
-    assert_eq!(world.broken, Vec::<String>::new(), "{trouble}");
+    assert_eq!(world.broken_rules, Vec::<String>::new(), "{trouble}");
     assert_eq!(
-        world.most_at_once, 2,
+        world.peak_running, 2,
         "{trouble}: more than the limit's 6 CPUs"
     );
 }
@@ -606,31 +623,34 @@
 /// whose machines are up within a moment, while the record of their names gets no answer.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn all_away_for_longer_than_a_lease_and_machines_up_at_once() {
-    tokio::join!(away(Fate::HeldBack), away(Fate::AnswerLost));
+    tokio::join!(
+        away(TransactionFault::Delayed),
+        away(TransactionFault::AnswerLost)
+    );
 }
 
-async fn away(fate: Fate) {
+async fn away(fate: TransactionFault) {
     let site = Site::with(2, Duration::from_millis(2500), SHORT).await;
     let version = Version {
-        times: SHORT,
+        timeouts: SHORT,
         ..PRESENT
     };
     let users = Users::of(&site);
     let first = site.start_as(version, 0);
     let ready = async || site.get(0, "/healthz").await.0 == 200;
     until("the controller is healthy", ready).await;
-    site.state.divert("\"machines\":[[", fate, 1);
+    site.state.inject_fault("\"machines\":[[", fate, 1);
     users.submit_until_taken(0, &job("job-1", 4, 1.0)).await;
     let rented = || !site.cloud.world.lock().unwrap().machines().is_empty();
     until("machines are rented", async || rented()).await;
     drop(first);
     let second = site.start_as(version, 1);
-    let runs = async || site.cloud.world.lock().unwrap().tasks_of("job-1") > 0;
+    let runs = async || site.cloud.world.lock().unwrap().running_tasks("job-1") > 0;
     until("it runs", runs).await;
     drop(second);
     tokio::time::sleep(SHORT.lease() + Duration::from_millis(500)).await;
     let _third = site.start_as(version, 0);
-    site.state.let_go();
+    site.state.deliver_delayed();
     users.see_all_end(&[0], &["job-1".to_owned()]).await;
     let all_known = async || {
         let records: Vec<String> = site
@@ -646,6 +666,6 @@
     };
     until("each machine is in the records or given back", all_known).await;
     let world = site.cloud.world.lock().unwrap();
-    assert_eq!(world.broken, Vec::<String>::new());
-    assert!(world.lapses > 0, "leases ran out meanwhile");
+    assert_eq!(world.broken_rules, Vec::<String>::new());
+    assert!(world.expired_leases > 0, "leases ran out meanwhile");
 }
--- a/src/testing/fleet_scale.rs
+++ b/src/testing/fleet_scale.rs
@@ -14,7 +14,7 @@
 use crate::settings::Settings;
 use hyper::StatusCode;
 use rowanmill_config::ConfigFile;
-use rowanmill_testing::state::{Limits, State};
+use rowanmill_testing::state::{StateLimits, StateService};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -226,18 +226,18 @@
     println!("{what}: {:.1} s", began.elapsed().as_secs_f64());
 }
 
-fn largest_value(state: &State) -> usize {
+fn largest_value(state: &StateService) -> usize {
     let stored = state.stored("").into_values();
     stored.map(|v| v.to_string().len()).max().unwrap_or(0)
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_fleet_of_4000_boots_fills_changes_its_leader_and_goes_back() {
-    let state = State::default();
-    state.set_limits(Limits {
-        value: VALUE_BYTES,
-        ops: CHANGES,
-        rate: 400.0,
+    let state = StateService::default();
+    state.set_limits(StateLimits {
+        value_bytes: VALUE_BYTES,
+        operations: CHANGES,
+        changes_per_s: 400.0,
     });
     let cloud = Cloud {
         load: &LOAD,
@@ -296,8 +296,9 @@
     until("all jobs done", limit, ended).await;
     until("all machines returned", limit, || workers.machines() == 0).await;
 
-    let [too_large, too_many, _] = state.refused();
-    assert_eq!((too_large, too_many), (0, 0), "records fit the limits");
+    let refusals = state.refusals();
+    let refused = (refusals.too_large, refusals.too_many_operations);
+    assert_eq!(refused, (0, 0), "records fit the limits");
     assert!(largest_value(&state) <= VALUE_BYTES);
     let reports = workers.answered.load(Ordering::Relaxed);
     let puts = second.node.state.used.puts.load(Ordering::Relaxed);
--- a/src/testing/limits.rs
+++ b/src/testing/limits.rs
@@ -39,7 +39,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn limits_are_divided_while_every_controller_can_and_whole_otherwise() {
     let site = Site::new(2, Duration::from_millis(250)).await;
-    site.cloud.world.lock().unwrap().quota.limit("t", 4000);
+    site.cloud.world.lock().unwrap().quota.set_limit("t", 4000);
     let submit = async |wave: usize| {
         for n in wave * 10..wave * 10 + 10 {
             let id = format!("job-{n}");
@@ -48,7 +48,7 @@
                 .lock()
                 .unwrap()
                 .quota
-                .submit(&id, "t", 1000);
+                .record_job(&id, "t", 1000);
             site.submit(n % 2, &job(&id, 6, 1.0)).await;
         }
     };
@@ -73,7 +73,7 @@
         let done = async || site.stage(0, &id).await == "done";
         until("it is done", done).await;
     }
-    assert_eq!(site.broken(), Vec::<String>::new());
-    let most = site.cloud.world.lock().unwrap().quota.most("t");
+    assert_eq!(site.broken_rules(), Vec::<String>::new());
+    let most = site.cloud.world.lock().unwrap().quota.peak_usage("t");
     assert_eq!(most, 4000, "the whole limit is used");
 }
--- a/src/testing/load_profile.rs
+++ b/src/testing/load_profile.rs
@@ -14,8 +14,8 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rowanmill_config::ConfigFile;
-use rowanmill_testing::state::State;
-use rowanmill_testing::{Asked, Reply, serve};
+use rowanmill_testing::state::StateService;
+use rowanmill_testing::{ReplyFuture, StubRequest, serve};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -123,7 +123,7 @@
         [&self.load.plain, &self.load.with_gpus]
     }
 
-    pub fn handle(&self, asked: &Asked) -> (u16, Value) {
+    pub fn handle(&self, asked: &StubRequest) -> (u16, Value) {
         match asked.path.as_str() {
             "/catalog" => (200, self.catalog()),
             "/rentals" if asked.body["hire"].is_string() => self.rent(&asked.body),
@@ -338,7 +338,9 @@
 }
 
 /// Starts a stand-in on a thread of its own, so that it is no part of the controller's profile.
-pub(super) fn serve_apart(handler: Arc<dyn Fn(Asked) -> Reply + Send + Sync>) -> SocketAddr {
+pub(super) fn serve_apart(
+    handler: Arc<dyn Fn(StubRequest) -> ReplyFuture + Send + Sync>,
+) -> SocketAddr {
     let (tell, told) = std::sync::mpsc::channel();
     std::thread::Builder::new()
         .name("stand-in".into())
@@ -362,7 +364,7 @@
         names: Arc::default(),
     };
     let fleet = cloud.fleet.clone();
-    let state = serve_apart(State::default().handler());
+    let state = serve_apart(StateService::default().handler());
     let cloud = serve_apart(Arc::new(move |asked| {
         let answer = cloud.handle(&asked);
         Box::pin(async move { answer })
--- a/src/testing/mod.rs
+++ b/src/testing/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::serve::{Configuration, run_controller};
 use rowanmill_config::ConfigFile;
-use rowanmill_testing::{Times, USUAL};
+use rowanmill_testing::{DEFAULT_TIMEOUTS, Timeouts};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use tokio::sync::oneshot;
@@ -36,7 +36,7 @@
     /// Limits of the state service, and those that it is told of.
     value_kb: f64,
     next: Option<(f64, usize, f64)>,
-    times: Times,
+    timeouts: Timeouts,
     /// Whether teams' limits are divided.
     divides_limits: bool,
     /// The limit of the team, in CPUs.
@@ -49,7 +49,7 @@
     can: crate::membership::schema_versions::CAN,
     value_kb: 8.0,
     next: None,
-    times: USUAL,
+    timeouts: DEFAULT_TIMEOUTS,
     divides_limits: false,
     limit: 6.0,
     memory_mb: 10_000.0,
@@ -80,8 +80,8 @@
             "endpoints": {"cloud": cloud, "state": state},
             "params": {"size": seats.len(), "zones": ["a"],
                 "teams": [{"name": "t", "cpus_max": version.limit}],
-                "workers": {"report_s": 0.3, "lease_s": version.times.lease_s, "gang_wait_s": 5.0,
-                    "gang_peer_s": 2.0, "cancel_s": version.times.cancel_s},
+                "workers": {"report_s": 0.3, "lease_s": version.timeouts.lease_s, "gang_wait_s": 5.0,
+                    "gang_peer_s": 2.0, "cancel_s": version.timeouts.cancel_s},
                 "state": {"rps": 1000.0, "write_rps": 500.0, "value_kb": version.value_kb,
                     "txn_ops": 24, "next": next},
                 "cloud": {"rps": 50.0, "list_lag_s": 1.0},
--- a/src/testing/tests.rs
+++ b/src/testing/tests.rs
@@ -1,9 +1,9 @@
 //! Controllers against the stand-ins, in real time.
 
-use super::{Controller, PRESENT, Seat, Times, USUAL, Version};
+use super::{Controller, DEFAULT_TIMEOUTS, PRESENT, Seat, Timeouts, Version};
 use hyper::Method;
 use rowanmill_testing::cloud::Cloud;
-use rowanmill_testing::state::{Limits, State};
+use rowanmill_testing::state::{StateLimits, StateService};
 use rowanmill_testing::{ask, free_addr, serve, until};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 
 pub struct Site {
     pub seats: Vec<Seat>,
-    pub state: State,
+    pub state: StateService,
     pub state_addr: SocketAddr,
     pub cloud: Cloud,
     pub cloud_addr: SocketAddr,
@@ -22,17 +22,17 @@
 
 impl Site {
     pub async fn new(controllers: usize, task_takes: Duration) -> Self {
-        Self::with(controllers, task_takes, USUAL).await
+        Self::with(controllers, task_takes, DEFAULT_TIMEOUTS).await
     }
 
-    pub async fn with(controllers: usize, task_takes: Duration, times: Times) -> Self {
+    pub async fn with(controllers: usize, task_takes: Duration, timeouts: Timeouts) -> Self {
         let seat = |_| Seat {
             api: free_addr(),
             mesh: free_addr(),
         };
         let seats: Vec<Seat> = (0..controllers).map(seat).collect();
-        let state = State::default();
-        let cloud = Cloud::new(seats.iter().map(|s| s.api).collect(), task_takes, times);
+        let state = StateService::default();
+        let cloud = Cloud::new(seats.iter().map(|s| s.api).collect(), task_takes, timeouts);
         let state_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let cloud_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let site = Self {
@@ -85,7 +85,7 @@
         let needs = tasks.collect();
         {
             let mut world = self.cloud.world.lock().unwrap();
-            world.needs.insert(id.to_owned(), needs);
+            world.dependencies.insert(id.to_owned(), needs);
         }
         let mut job = job(id, 2, 1.0);
         let ids: Vec<&str> = awaits.iter().map(|a| a.0).collect();
@@ -94,8 +94,8 @@
         self.submit(number, &job).await
     }
 
-    pub fn broken(&self) -> Vec<String> {
-        self.cloud.world.lock().unwrap().broken.clone()
+    pub fn broken_rules(&self) -> Vec<String> {
+        self.cloud.world.lock().unwrap().broken_rules.clone()
     }
 
     pub async fn get(&self, number: usize, path: &str) -> (u16, Value) {
@@ -139,9 +139,9 @@
     let again = site.post(0, "/v1/jobs", job("job-1", 12, 1.0)).await;
     assert_eq!((again.0, again.1["stage"].as_str()), (200, Some("done")));
     let world = site.cloud.world.lock().unwrap();
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.broken_rules, Vec::<String>::new());
     assert!(world.starts >= 12);
-    assert!(world.most_at_once <= 6, "the team's limit is 6 CPUs");
+    assert!(world.peak_running <= 6, "the team's limit is 6 CPUs");
 }
 
 /// Rules `went_back`, `ran_cancelled` and `invented`.
@@ -192,7 +192,7 @@
     site.post(0, "/v1/jobs", job("job-4", 2, 1.0)).await;
     let done = async || site.stage(0, "job-4").await == "done";
     until("it is done", done).await;
-    site.state.set_out(true);
+    site.state.set_outage(true);
     tokio::time::sleep(Duration::from_millis(3500)).await;
     let asked = Instant::now();
     assert_eq!(site.post(0, "/v1/jobs", job("job-5", 1, 1.0)).await.0, 503);
@@ -211,7 +211,7 @@
         "a final state needs no read"
     );
     assert_eq!(site.get(0, "/healthz").await.0, 200);
-    site.state.set_out(false);
+    site.state.set_outage(false);
     let taken = async || site.post(0, "/v1/jobs", job("job-5", 1, 1.0)).await.0 == 201;
     until("it is taken again", taken).await;
 }
@@ -249,11 +249,11 @@
         nodes.rotate_left(1);
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
-    site.state.set_out(true);
+    site.state.set_outage(true);
     nodes.clear();
     nodes.extend((0..3).map(restart));
     tokio::time::sleep(Duration::from_millis(700)).await;
-    site.state.set_out(false);
+    site.state.set_outage(false);
     for number in 0..3 {
         for n in 20..25 {
             let id = format!("job-{n}");
@@ -265,7 +265,7 @@
         assert_eq!(site.get(number, "/v1/jobs/job-99").await.0, 404);
     }
     let world = site.cloud.world.lock().unwrap();
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.broken_rules, Vec::<String>::new());
 }
 
 /// Rules `ran_twice`, `forgotten` and `went_back`: a controller that has lost the state service and
@@ -277,7 +277,7 @@
     let cut = Arc::new(AtomicBool::new(false));
     let line = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let line_addr = line.local_addr().unwrap();
-    tokio::spawn(serve(line, site.state.line(cut.clone())));
+    tokio::spawn(serve(line, site.state.handler_with_cut(cut.clone())));
     // Of the other controller it knows an address where nobody answers.
     let mut seats = site.seats.clone();
     seats[1].mesh = free_addr();
@@ -305,7 +305,7 @@
         until("the first knows it too", done).await;
     }
     let world = site.cloud.world.lock().unwrap();
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.broken_rules, Vec::<String>::new());
     assert!(world.starts >= 18);
 }
 
@@ -387,7 +387,7 @@
     assert_eq!(told["stage"], "done");
     let done = async || site.stage(1, "job-71").await == "done";
     until("it goes on", done).await;
-    assert_eq!(site.broken(), Vec::<String>::new());
+    assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
 /// The version before is replaced a process at a time, with an old leader and with a new one, and the
@@ -398,10 +398,10 @@
     let next = Some((1.0, 8, 60.0));
     let old = Version { can: 0, ..PRESENT };
     let new = Version { next, ..PRESENT };
-    let lower = Limits {
-        value: 1024,
-        ops: 8,
-        rate: 60.0,
+    let lower = StateLimits {
+        value_bytes: 1024,
+        operations: 8,
+        changes_per_s: 60.0,
     };
     for (leader_first, falls_after) in [(true, 3), (false, 1), (false, 0)] {
         let site = Site::new(3, Duration::from_millis(900)).await;
@@ -453,8 +453,8 @@
             let done = async || site.stage(1, id).await == "done";
             until("it is done", done).await;
         }
-        assert_eq!(site.broken(), Vec::<String>::new());
-        let [_, too_many, _] = site.state.refused();
+        assert_eq!(site.broken_rules(), Vec::<String>::new());
+        let too_many = site.state.refusals().too_many_operations;
         assert_eq!(too_many, 0, "no transaction is too large");
     }
 }
--- a/tests/cells/client.rs
+++ b/tests/cells/client.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// Scripts tell these apart.
+/// The exit codes that scripts distinguish.
 const UNKNOWN_CELL: i32 = 2;
 const UNKNOWN_JOB: i32 = 3;
 const NO_LEDGER: i32 = 4;
@@ -23,8 +23,8 @@
     serde_json::from_str(&text).unwrap()
 }
 
-/// Asked while a cell is dead, during the takeover and after it, the client always has an answer, by which the
-/// job's way can be followed.
+/// While a cell is dead, during the takeover and after it, the client always has an answer from which the job's
+/// path can be followed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_client_answers_through_a_takeover() {
     let mut site = Site::new(Duration::from_secs(3)).await;
@@ -48,11 +48,11 @@
     let over = async || explain(&site, "job-0")["state"] == "done";
     until("its end is known", over).await;
     assert_eq!(site.client(&["explain", "job-77"]).code, UNKNOWN_JOB);
-    site.ledger.set_out(true);
+    site.ledger.set_outage(true);
     assert_eq!(site.client(&["status"]).code, NO_LEDGER);
 }
 
-/// A drained cell is left by what waits there, gets nothing, and takes work again afterwards.
+/// Waiting jobs leave a drained cell, it gets no others, and it accepts work again once it is undrained.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_drained_cell_is_left_and_comes_back() {
     let mut site = Site::new(Duration::from_millis(800)).await;
@@ -64,13 +64,13 @@
         site.submit(0, &job(number, 2)).await;
     }
     all_done(&site, 0, 4).await;
-    assert_eq!(site.cells[0].cluster.cloud.rented(), 0);
+    assert_eq!(site.cells[0].cluster.cloud.rented_count(), 0);
     assert_eq!(status(&site)["cells"][1]["draining"], true);
     assert_eq!(site.client(&["undrain", "hanoi"]).code, 0);
     site.cells[0].cluster.cloud.set_capacity(8);
     site.submit(0, &job(4, 2)).await;
     let done = async || site.stage(0, "job-4").await == "done";
     until("it takes work again", done).await;
-    assert!(site.cells[0].cluster.cloud.rented() > 0);
-    assert_eq!(site.broken(), Vec::<String>::new());
+    assert!(site.cells[0].cluster.cloud.rented_count() > 0);
+    assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
--- a/tests/cells/kill.rs
+++ b/tests/cells/kill.rs
@@ -1,4 +1,4 @@
-//! A cell is lost in the middle of its work.
+//! A cell fails in the middle of its work.
 
 use super::site::{NAMES, Site, job, until};
 use std::time::{Duration, Instant};
@@ -6,7 +6,7 @@
 const JOBS: usize = 12;
 const TASKS: u32 = 3;
 
-/// Waits until every job is done by the word of a living cell.
+/// Waits until a cell answers for every job that it is done.
 pub async fn all_done(site: &Site, at: usize, jobs: usize) {
     for number in 0..jobs {
         let id = format!("job-{number}");
@@ -16,14 +16,14 @@
 }
 
 /// The first milestone: three cells as processes, one of them killed with its machines while its jobs run;
-/// every job is done once, by the word of both others.
+/// every job is done once, as both others answer.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_jobs_of_a_killed_cell_are_done_elsewhere() {
     let mut site = Site::new(Duration::from_millis(2500)).await;
     site.start_all().await;
     for number in 0..JOBS {
-        let told = site.submit(number % NAMES.len(), &job(number, TASKS)).await;
-        assert_eq!(told["stage"], "queued");
+        let answer = site.submit(number % NAMES.len(), &job(number, TASKS)).await;
+        assert_eq!(answer["stage"], "queued");
     }
     let runs = async || site.stage(0, "job-0").await == "running";
     until("the first cell runs its work", runs).await;
@@ -36,11 +36,11 @@
         killed.elapsed().as_secs_f64()
     );
     all_done(&site, 2, JOBS).await;
-    assert_eq!(site.broken(), Vec::<String>::new());
+    assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
-/// The controllers of a cell end, its machines run on until their leases are over; others take its jobs;
-/// then it is back, and must neither run them nor tell them otherwise. It takes new work.
+/// The controllers of a cell are killed, and its machines run on until their leases expire; others take over its
+/// jobs; then it is restarted, and must neither run them nor answer otherwise. It accepts new work.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_cell_that_is_back_after_a_takeover_runs_nothing_twice() {
     let mut site = Site::new(Duration::from_millis(3000)).await;
@@ -62,10 +62,10 @@
     site.submit(0, &job(6, TASKS)).await;
     let done = async || site.stage(0, "job-6").await == "done";
     until("it takes new work", done).await;
-    assert_eq!(site.broken(), Vec::<String>::new());
+    assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
-/// All controllers of a cell end and are back within a fraction of a second: nothing is taken over, and
+/// All controllers of a cell are killed and restarted within a fraction of a second: nothing is taken over, and
 /// its machines keep their work.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_cell_that_is_back_at_once_keeps_its_jobs() {
@@ -81,5 +81,5 @@
     all_done(&site, 0, 6).await;
     let finals = site.ledger.stored("c/e/");
     assert_eq!(finals.len(), 6, "{finals:?}");
-    assert_eq!(site.broken(), Vec::<String>::new());
+    assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
--- a/tests/cells/main.rs
+++ b/tests/cells/main.rs
@@ -1,5 +1,5 @@
 //! Cells as users and operators meet them: controllers as processes of the real program, against the
-//! stand-ins for ledger, state services, clouds and workers, on loopback.
+//! stand-ins for the ledger, state services, clouds and workers, on loopback.
 
 mod cancel;
 mod client;
--- a/tests/cells/protection.rs
+++ b/tests/cells/protection.rs
@@ -7,8 +7,8 @@
 
 const JOBS: usize = 6;
 
-/// One cell has no machine, and of the two others one protects all that it has: its machines run nothing of
-/// the first cell's, while its own work runs there; each job is done once.
+/// One cell has no machines, and of the two others one protects all of its own: they run none of the first
+/// cell's tasks, but those of their own cell; each job is done once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn work_that_spills_leaves_protected_machines_alone() {
     let spill = json!({"spill": {"after_s": 1.0, "at_once": 4, "moves": 3}});
@@ -23,20 +23,20 @@
     }
     all_done(&site, 0, JOBS).await;
     assert_eq!(
-        site.cells[1].cluster.cloud.rented(),
+        site.cells[1].cluster.cloud.rented_count(),
         0,
         "nothing was rented there for it"
     );
     site.submit(1, &job(JOBS, 2)).await;
     let done = async || site.stage(1, &format!("job-{JOBS}")).await == "done";
     until("its own work is done there", done).await;
-    assert!(site.cells[1].cluster.cloud.rented() > 0);
+    assert!(site.cells[1].cluster.cloud.rented_count() > 0);
     assert_eq!(site.world.lock().unwrap().starts, 2 * (JOBS + 1));
-    assert_eq!(site.broken(), Vec::<String>::new());
+    assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
-/// Both other cells protect all that they have: a job goes to each at most once, comes home, and is done
-/// there when the cell has machines.
+/// Both other cells protect all of their machines: a job is offered to each at most once, returns, and is done at
+/// home when that cell has machines.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_job_that_fits_protected_room_only_comes_home() {
     let spill = json!({"spill": {"after_s": 0.5, "at_once": 4, "moves": 8}});
@@ -59,8 +59,8 @@
     site.cells[0].cluster.cloud.set_capacity(8);
     all_done(&site, 0, 3).await;
     assert_eq!(
-        site.cells[1].cluster.cloud.rented() + site.cells[2].cluster.cloud.rented(),
+        site.cells[1].cluster.cloud.rented_count() + site.cells[2].cluster.cloud.rented_count(),
         0
     );
-    assert_eq!(site.broken(), Vec::<String>::new());
+    assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
--- a/tests/cells/site.rs
+++ b/tests/cells/site.rs
@@ -6,8 +6,8 @@
 };
 use rowanmill_testing::folder::TestFolder;
 use rowanmill_testing::jobs::JobRequest;
-use rowanmill_testing::state::State;
-use rowanmill_testing::{Times, serve_on_loopback, until_within};
+use rowanmill_testing::state::StateService;
+use rowanmill_testing::{Timeouts, serve_on_loopback, until_within};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,7 +17,7 @@
 
 pub const NAMES: [&str; 3] = ["hanoi", "danang", "hue"];
 pub const CONTROLLERS: usize = 2;
-pub const TIMES: Times = Times {
+pub const TIMES: Timeouts = Timeouts {
     lease_s: 1.5,
     cancel_s: 6.0,
 };
@@ -44,7 +44,7 @@
 
 /// All cells, and the ledger that they share.
 pub struct Site {
-    pub ledger: State,
+    pub ledger: StateService,
     pub world: Arc<Mutex<World>>,
     pub cells: Vec<Cell>,
     /// Holds each cell's copy of the cells' file.
@@ -52,7 +52,11 @@
 }
 
 impl Cell {
-    async fn new(world: &Arc<Mutex<World>>, ledger: &State, task_duration: Duration) -> Self {
+    async fn new(
+        world: &Arc<Mutex<World>>,
+        ledger: &StateService,
+        task_duration: Duration,
+    ) -> Self {
         let cut_from_ledger = Arc::new(AtomicBool::new(false));
         let cluster = Cluster::new(ClusterConfig {
             program: PROGRAM,
@@ -62,7 +66,7 @@
                 limit_cpus: 0.0,
             }],
             task_duration,
-            times: TIMES,
+            timeouts: TIMES,
             state_rates: StateRates {
                 requests_per_s: 1000.0,
                 writes_per_s: 500.0,
@@ -74,7 +78,7 @@
         Self {
             cluster: cluster.await,
             // Each cell has a connection of its own to the ledger, which can be cut.
-            ledger_addr: serve_on_loopback(ledger.line(cut_from_ledger.clone())).await,
+            ledger_addr: serve_on_loopback(ledger.handler_with_cut(cut_from_ledger.clone())).await,
             cut_from_ledger,
         }
     }
@@ -98,7 +102,7 @@
     /// Clusters whose controllers do not know that there are cells.
     pub async fn without_cells(task_duration: Duration) -> Self {
         let world = Arc::new(Mutex::new(World::default()));
-        let ledger = State::default();
+        let ledger = StateService::default();
         let mut cells = Vec::new();
         for _ in NAMES {
             cells.push(Cell::new(&world, &ledger, task_duration).await);
@@ -197,9 +201,9 @@
     }
 
     /// Rules that the machines found broken, and violations in what users were told and machines ran.
-    pub fn broken(&self) -> Vec<String> {
+    pub fn broken_rules(&self) -> Vec<String> {
         // All cells share one world.
-        self.cells[0].cluster.broken()
+        self.cells[0].cluster.broken_rules()
     }
 }
 
--- a/tests/cells/spill.rs
+++ b/tests/cells/spill.rs
@@ -7,7 +7,7 @@
 
 const JOBS: usize = 6;
 
-/// The cell's cloud has no machine: what waits goes to the others, and each job is done once.
+/// The cell's cloud has no machines: waiting jobs spill into the others, and each is done once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn work_without_a_machine_spills_into_other_cells() {
     let spill = json!({"spill": {"after_s": 1.0, "at_once": 4, "moves": 3}});
@@ -25,10 +25,10 @@
     );
     all_done(&site, 2, JOBS).await;
     assert_eq!(site.world.lock().unwrap().starts, 2 * JOBS);
-    assert_eq!(site.broken(), Vec::<String>::new());
+    assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
-/// No cell has a machine: nothing moves in circles, and once one has, all is done.
+/// No cell has machines: jobs do not move in circles, and once there are machines, all are done.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn work_that_nobody_can_place_stays_where_it_is() {
     let spill = json!({"spill": {"after_s": 0.5, "at_once": 4, "moves": 3}});
@@ -49,5 +49,5 @@
         cell.cluster.cloud.set_capacity(8);
     }
     all_done(&site, 1, JOBS).await;
-    assert_eq!(site.broken(), Vec::<String>::new());
+    assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
--- a/tests/cells/storm.rs
+++ b/tests/cells/storm.rs
@@ -1,5 +1,5 @@
-//! Cells that end at seeded random moments, with their machines or without, and come back at once or late,
-//! while users submit, poll and cancel anywhere.
+//! Cells that are killed at seeded random moments, with their machines or without, and restarted at once or
+//! later, while users submit, poll and cancel at any cell.
 
 use super::site::{NAMES, Site, job, until};
 use rand::rngs::StdRng;
@@ -7,47 +7,47 @@
 use std::time::{Duration, Instant};
 
 const JOBS: usize = 36;
-const ENDS: usize = 5;
-const CANCELLED_PART: f64 = 0.15;
+const KILLS: usize = 5;
+const CANCELLED_FRACTION: f64 = 0.15;
 
-/// A cell that ended, and when it is started again.
-struct Gone {
+/// A cell that was killed, and when it is restarted.
+struct KilledCell {
     cell: usize,
-    back: Instant,
+    restart_at: Instant,
 }
 
 struct Storm {
     site: Site,
     rng: StdRng,
-    gone: Option<Gone>,
-    ends: usize,
+    killed: Option<KilledCell>,
+    kills: usize,
 }
 
 impl Storm {
-    fn end_some_cell(&mut self) {
+    fn kill_random_cell(&mut self) {
         let cell = self.rng.random_range(0..NAMES.len());
         self.site.cells[cell].cluster.kill_all();
         if self.rng.random_bool(0.5) {
             self.site.cells[cell].cluster.cloud.power_off();
         }
-        let away = Duration::from_millis(self.rng.random_range(50..10_000));
-        let back = Instant::now() + away;
-        self.gone = Some(Gone { cell, back });
-        self.ends += 1;
+        let downtime = Duration::from_millis(self.rng.random_range(50..10_000));
+        let restart_at = Instant::now() + downtime;
+        self.killed = Some(KilledCell { cell, restart_at });
+        self.kills += 1;
     }
 
-    fn start_what_is_due(&mut self) {
-        if let Some(Gone { cell, back }) = self.gone
-            && Instant::now() >= back
+    fn restart_if_due(&mut self) {
+        if let Some(KilledCell { cell, restart_at }) = self.killed
+            && Instant::now() >= restart_at
         {
             self.site.start_cell(cell);
-            self.gone = None;
+            self.killed = None;
         }
     }
 
-    /// A cell that was not ended.
-    fn living(&mut self) -> usize {
-        let dead = self.gone.as_ref().map(|gone| gone.cell);
+    /// A random cell that runs.
+    fn random_running_cell(&mut self) -> usize {
+        let dead = self.killed.as_ref().map(|killed| killed.cell);
         loop {
             let cell = self.rng.random_range(0..NAMES.len());
             if Some(cell) != dead {
@@ -58,36 +58,37 @@
 
     async fn run(&mut self) {
         for number in 0..JOBS {
-            self.start_what_is_due();
-            if self.gone.is_none() && self.ends < ENDS && self.rng.random_bool(0.5) {
-                self.end_some_cell();
+            self.restart_if_due();
+            if self.killed.is_none() && self.kills < KILLS && self.rng.random_bool(0.5) {
+                self.kill_random_cell();
             }
-            let at = self.living();
+            let at = self.random_running_cell();
             self.site.submit(at, &job(number, 2)).await;
             let earlier = format!("job-{}", self.rng.random_range(0..=number));
-            let at = self.living();
-            match self.rng.random_bool(CANCELLED_PART) {
-                true => drop(self.site.cancel(at, &earlier).await),
-                false => drop(self.site.stage(at, &earlier).await),
+            let at = self.random_running_cell();
+            if self.rng.random_bool(CANCELLED_FRACTION) {
+                self.site.cancel(at, &earlier).await;
+            } else {
+                self.site.stage(at, &earlier).await;
             }
             let pause = self.rng.random_range(50..900);
             tokio::time::sleep(Duration::from_millis(pause)).await;
         }
-        if let Some(Gone { cell, .. }) = self.gone.take() {
+        if let Some(KilledCell { cell, .. }) = self.killed.take() {
             self.site.start_cell(cell);
         }
     }
 }
 
-/// One storm; every job ends once, by the word of each cell.
-async fn play(seed: u64) {
+/// One storm; every job ends once, as each cell answers.
+async fn run_storm(seed: u64) {
     let mut site = Site::new(Duration::from_millis(1500)).await;
     site.start_all().await;
     let mut storm = Storm {
         site,
         rng: StdRng::seed_from_u64(seed),
-        gone: None,
-        ends: 0,
+        killed: None,
+        kills: 0,
     };
     storm.run().await;
     let site = storm.site;
@@ -98,15 +99,15 @@
             until(&format!("{id} has ended, by {name}"), over).await;
         }
     }
-    assert_eq!(site.broken(), Vec::<String>::new(), "seed {seed}");
+    assert_eq!(site.broken_rules(), Vec::<String>::new(), "seed {seed}");
     let lost = site.world.lock().unwrap().history.violations(true);
     assert!(lost.is_empty(), "seed {seed}: {lost:?}");
-    println!("seed {seed}: {} ends of cells", storm.ends);
+    println!("seed {seed}: {} cells killed", storm.kills);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn every_job_ends_once_in_a_storm() {
-    play(1).await;
+    run_storm(1).await;
 }
 
 /// `cargo test --release --test cells many_storms -- --ignored --nocapture`
@@ -114,6 +115,6 @@
 #[ignore = "some minutes"]
 async fn many_storms() {
     for seed in 2..12 {
-        play(seed).await;
+        run_storm(seed).await;
     }
 }
--- a/tests/compatibility/client.rs
+++ b/tests/compatibility/client.rs
@@ -2,7 +2,7 @@
 
 use crate::run::{folder, run, write};
 use hyper::Method;
-use rowanmill_testing::state::State;
+use rowanmill_testing::state::StateService;
 use rowanmill_testing::{ask, serve};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -10,8 +10,8 @@
 use tokio::net::TcpListener;
 
 /// A state service, or a ledger, with these records, each under a revision of its own.
-async fn store(records: &[(&str, Value)]) -> (State, SocketAddr) {
-    let state = State::default();
+async fn store(records: &[(&str, Value)]) -> (StateService, SocketAddr) {
+    let state = StateService::default();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     tokio::spawn(serve(listener, state.handler()));
@@ -93,7 +93,7 @@
     show(&[&["drain", "nowhere"][..], &script].concat());
     show(&["status", "--cells", "absent.json"]);
     show(&["status", "--cells", "broken.json"]);
-    ledger.set_out(true);
+    ledger.set_outage(true);
     for command in [&["status"][..], &["explain", "job-1"], &["drain", "hanoi"]] {
         show(&[command, &script].concat());
     }
@@ -170,7 +170,7 @@
     show(&[&["explain", "job-77"][..], &script].concat());
     show(&["status", "--config", "absent.json"]);
     show(&["status", "--config", "broken.json"]);
-    state.set_out(true);
+    state.set_outage(true);
     show(&[&["status"][..], &script].concat());
     show(&[&["explain", "job-1"][..], &script].concat());
     insta::assert_snapshot!(trace);
--- a/tests/limits/client.rs
+++ b/tests/limits/client.rs
@@ -1,4 +1,4 @@
-//! What the client tells, in a format that scripts rely on, and during a takeover.
+//! The client's answers about limits: their format, on which scripts rely, and during a takeover.
 
 use crate::site::{CONTROLLERS, Site, job};
 use rowanmill_testing::cluster::ClientOutput;
@@ -6,8 +6,8 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// The format's fields and words, with what differs from run to run left out.
-fn shape(text: &str) -> String {
+/// An answer without the values that differ from run to run.
+fn without_varying_values(text: &str) -> String {
     let mut answer: Value = serde_json::from_str(text).unwrap();
     for field in ["since_ms", "controller", "free_here"] {
         if answer.get(field).is_some() {
@@ -33,7 +33,7 @@
     site.submit(0, &job(1, "t", 5, 1.0)).await;
     site.submit(1, &job(2, "u", 1, 1.0)).await;
     let world = site.cloud.world.clone();
-    let running = |id: &str| world.lock().unwrap().tasks_of(id);
+    let running = |id: &str| world.lock().unwrap().running_tasks(id);
     let full = || running("job-1") == 2 && running("job-2") == 1;
     until("the limit is used", async || full()).await;
     let status = site.client(&["status", "--output", "json"]);
@@ -42,19 +42,21 @@
     assert_eq!(held.code, 0);
     let free = site.client(&["explain", "job-2", "--output", "json"]);
     let outputs = [status, held, free];
-    let shown = outputs.map(|output| shape(&output.text)).join("\n");
+    let shown = outputs
+        .map(|output| without_varying_values(&output.text))
+        .join("\n");
     insta::assert_snapshot!(shown);
     assert_eq!(
         site.client(&["explain", "job-77"]).code,
         3,
         "never accepted"
     );
-    // No controller is there; the records still tell.
+    // Without any controller the answer comes from the records.
     (0..CONTROLLERS).for_each(|number| site.kill(number));
     let ClientOutput { code, text } = site.client(&["explain", "job-1"]);
     assert_eq!(code, 0);
     assert!(text.contains("the limit of team t holds it"), "{text}");
-    site.state.set_out(true);
+    site.state.set_outage(true);
     let status = site.client(&["status"]);
-    assert_eq!(status.code, 4, "to be asked again");
+    assert_eq!(status.code, 4, "the state service is unavailable");
 }
--- a/tests/limits/failures.rs
+++ b/tests/limits/failures.rs
@@ -1,9 +1,9 @@
-//! Limits hold while controllers end, stand still or are cut off, and the state service answers late.
+//! Limits hold while controllers are killed, stopped or cut off and the state service fails.
 
 use crate::site::{CONTROLLERS, Site, TIMES, Teams, job};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use rowanmill_testing::state::Fate;
+use rowanmill_testing::state::TransactionFault;
 use rowanmill_testing::until;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -11,8 +11,8 @@
 const TEAMS: Teams = &[("a", 10.0), ("b", 10.0), ("c", 5.0), ("d", 2.5)];
 const JOBS: usize = 2000;
 
-/// Two thousand submissions at once over four teams, while controllers, the leader first, are killed at
-/// seeded moments and are back at once or late.
+/// Two thousand concurrent submissions over four teams, while controllers, often the leader, are killed at
+/// seeded moments and restarted at once or later.
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
 async fn thousands_of_submissions_while_controllers_are_killed() {
     let mut site = Site::new(TEAMS, Duration::from_millis(100)).await;
@@ -36,11 +36,11 @@
     let ids: Vec<String> = (0..JOBS).map(|n| format!("job-{n}")).collect();
     site.wait_until_all_end(&ids, Duration::from_secs(150))
         .await;
-    assert_eq!(site.broken(), Vec::<String>::new());
+    assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
-/// The state service holds starts and transfers back and carries them out late, is out for all, and
-/// refuses one; a controller stands still for longer than its presence. A team is at its limit throughout.
+/// The state service delays starts and transfers, has an outage, and refuses one controller; another is
+/// stopped for longer than its presence holds. A team is at its limit throughout.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn late_transactions_outages_and_a_controller_that_stands_still() {
     let mut site = Site::new(&[("t", 6.0)], Duration::from_millis(400)).await;
@@ -50,42 +50,43 @@
     let full = || site.most()["t"] == 6.0;
     until("the limit is used", async || full()).await;
     for key in ["r/p/", "r/q/", "r/a/"] {
-        site.state.divert(key, Fate::HeldBack, 2);
-        site.state.divert(key, Fate::AnswerLost, 1);
+        site.state.inject_fault(key, TransactionFault::Delayed, 2);
+        site.state
+            .inject_fault(key, TransactionFault::AnswerLost, 1);
     }
     tokio::time::sleep(Duration::from_millis(1500)).await;
-    site.state.let_go();
+    site.state.deliver_delayed();
     let leader = site.leader().unwrap_or(0);
     site.signal(leader, "-STOP");
     tokio::time::sleep(TIMES.lease() + Duration::from_secs(2)).await;
     site.signal(leader, "-CONT");
-    site.state.set_out(true);
+    site.state.set_outage(true);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    site.state.set_out(false);
+    site.state.set_outage(false);
     let refused = (leader + 1) % CONTROLLERS;
     site.state_cuts[refused].store(true, Ordering::Relaxed);
     tokio::time::sleep(Duration::from_secs(3)).await;
     site.state_cuts[refused].store(false, Ordering::Relaxed);
-    site.state.let_go();
+    site.state.deliver_delayed();
     let ids: Vec<String> = (0..30).map(|n| format!("job-{n}")).collect();
     site.wait_until_all_end(&ids, Duration::from_secs(120))
         .await;
-    assert_eq!(site.broken(), Vec::<String>::new());
+    assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
-/// Tasks of cancelled jobs on machines that hang or reach nobody hold their team's limit until they are
-/// provably gone, whatever becomes of the controller that placed them; then others start in their place.
+/// Tasks of cancelled jobs on machines that reach no controller count against their team's limit until they
+/// have provably ended, even if the controller that placed them is killed; then others start in their place.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn cancelled_tasks_on_lost_machines_hold_the_limit() {
     let mut site = Site::new(&[("t", 4.0)], Duration::from_secs(60)).await;
     site.start_all().await;
     site.submit(0, &job(1, "t", 4, 1.0)).await;
     let world = site.cloud.world.clone();
-    let running = |id: &str| world.lock().unwrap().tasks_of(id);
+    let running = |id: &str| world.lock().unwrap().running_tasks(id);
     until("it runs", async || running("job-1") == 4).await;
     {
         let mut world = site.cloud.world.lock().unwrap();
-        world.mute = world.machines_of("job-1");
+        world.cannot_send = world.machines_running("job-1");
     }
     site.cancel("job-1").await;
     site.submit(1, &job(2, "t", 2, 1.0)).await;
@@ -99,6 +100,6 @@
     );
     site.start(leader);
     site.cancel("job-2").await;
-    assert_eq!(site.broken(), Vec::<String>::new());
+    assert_eq!(site.broken_rules(), Vec::<String>::new());
     assert_eq!(site.most()["t"], 4.0);
 }
--- a/tests/limits/races.rs
+++ b/tests/limits/races.rs
@@ -1,12 +1,12 @@
-//! Several controllers draw on one limit at the same instant.
+//! Several controllers use one limit concurrently.
 
 use crate::site::{CONTROLLERS, Site, gang, job};
 use rowanmill_testing::until;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Jobs of one task each come to all controllers at once, and there are three slots. Never a fourth, and
-/// no slot stays empty.
+/// Jobs of one task each are submitted to all controllers at once, and the limit has three slots: a fourth is
+/// never used, and none stays free.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn controllers_race_for_the_last_slot() {
     let mut site = Site::new(&[("t", 3.0)], Duration::from_millis(300)).await;
@@ -15,24 +15,24 @@
     site.submit_all(&jobs).await;
     let ids: Vec<String> = (0..60).map(|n| format!("job-{n}")).collect();
     site.wait_until_all_end(&ids, Duration::from_secs(90)).await;
-    assert_eq!(site.broken(), Vec::<String>::new());
+    assert_eq!(site.broken_rules(), Vec::<String>::new());
     assert_eq!(site.most()["t"], 3.0, "the whole limit is used");
 }
 
-/// With the settings of these tests: the gang has room kept for it after 9 s at the latest, which the others
-/// hear 5 s later at the most; what runs then ends within a second; a forecast counts it after 5 s, the
-/// leader rents for it after another 5, and its machines are up and heard of 3 s later.
+/// With the settings of these tests, headroom is reserved for the gang after 9 s at most, which the other
+/// controllers learn within 5 s; what runs then ends within a second; a forecast counts the gang after 5 s, the
+/// leader rents for it after another 5, and its machines report 3 s later.
 const GANG_BEGINS_WITHIN: Duration = Duration::from_secs(30);
 
-/// A gang that needs most of the limit begins within a stated time while small tasks of its team wait at
-/// every controller, for much longer.
+/// A gang that needs most of the limit begins within a bounded time, although small tasks of its team wait at
+/// every controller for much longer.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_gang_that_needs_most_of_the_limit_begins_amid_a_flood() {
     let mut site = Site::new(&[("t", 8.0)], Duration::from_millis(700)).await;
     site.start_all().await;
     let flood: Vec<_> = (0..12).map(|n| job(n, "t", 60, 1.0)).collect();
     site.submit_all(&flood).await;
-    let running = |id: &str| site.cloud.world.lock().unwrap().tasks_of(id);
+    let running = |id: &str| site.cloud.world.lock().unwrap().running_tasks(id);
     let flooded = || site.most()["t"] == 8.0;
     until("the limit is used", async || flooded()).await;
     let submitted = Instant::now();
@@ -45,11 +45,12 @@
     for n in 0..12 {
         site.cancel(&format!("job-{n}")).await;
     }
-    assert_eq!(site.broken(), Vec::<String>::new());
+    assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
-/// A team that is short of machines, not of its limit, is rented more. A forecast maps no more of its tasks than
-/// the allotment has room for now, finds all of these in time, and rents nothing for the hundreds behind them.
+/// For a team that lacks machines, not quota, more are rented. The fault: a forecast counts no more of its tasks
+/// than the allocation has headroom for now, finds all of these in time, and rents nothing for the hundreds
+/// behind them.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_team_below_its_limit_is_rented_machines_for_all_that_waits() {
     let mut site = Site::new(&[("t", 12.0)], Duration::from_millis(500)).await;
--- a/tests/limits/site.rs
+++ b/tests/limits/site.rs
@@ -6,7 +6,7 @@
 };
 use rowanmill_testing::folder::TestFolder;
 use rowanmill_testing::jobs::JobRequest;
-use rowanmill_testing::{Times, join_all, until};
+use rowanmill_testing::{Timeouts, join_all, until};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::ops::{Deref, DerefMut};
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 pub const CONTROLLERS: usize = 3;
-pub const TIMES: Times = Times {
+pub const TIMES: Timeouts = Timeouts {
     lease_s: 3.0,
     cancel_s: 9.0,
 };
@@ -54,7 +54,7 @@
     pub async fn new(teams: Teams, task_duration: Duration) -> Self {
         let mut world = World::default();
         for (team, cpus) in limited(teams) {
-            world.quota.limit(team, (cpus * 1000.0) as u64);
+            world.quota.set_limit(team, (cpus * 1000.0) as u64);
         }
         let settings = teams.iter().map(|(team, cpus)| TeamSetting {
             name: (*team).to_owned(),
@@ -65,7 +65,7 @@
             controllers: CONTROLLERS,
             teams: settings.collect(),
             task_duration,
-            times: TIMES,
+            timeouts: TIMES,
             state_rates: StateRates {
                 requests_per_s: 2000.0,
                 writes_per_s: 900.0,
@@ -115,7 +115,7 @@
     pub fn most(&self) -> BTreeMap<&'static str, f64> {
         let world = self.cloud.world.lock().unwrap();
         let teams = self.teams.iter();
-        let most = |team: &str| world.quota.most(team) as f64 / 1000.0;
+        let most = |team: &str| world.quota.peak_usage(team) as f64 / 1000.0;
         teams.map(|(team, _)| (*team, most(team))).collect()
     }
 
