--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -3,18 +3,17 @@
 pub mod limit;
 pub mod users;
 
+use crate::http::{HttpResponse, error_response, json_response, retry_later};
 use crate::node::Node;
 use crate::workers::service as workers;
 use bytes::Bytes;
-use http_body_util::{BodyExt, Full, Limited};
+use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
-use hyper::header::{CONTENT_TYPE, RETRY_AFTER};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
-use hyper::{Method, Request, Response, StatusCode};
+use hyper::{Method, Request, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use limit::Limit;
-use serde::Serialize;
 use std::convert::Infallible;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -28,33 +27,11 @@
 /// Sockets kept for our own calls and for other nodes.
 pub const OWN_SOCKETS: usize = 24;
 
-pub type Answer = Response<Full<Bytes>>;
-
 pub struct Server {
     pub node: Arc<Node>,
     pub limit: Limit,
 }
 
-pub fn json(status: StatusCode, body: &impl Serialize) -> Answer {
-    let body = serde_json::to_vec(body).expect("answers are plain data");
-    Response::builder()
-        .status(status)
-        .header(CONTENT_TYPE, "application/json")
-        .body(Full::new(body.into()))
-        .expect("a fixed head")
-}
-
-pub fn error(status: StatusCode, reason: &str) -> Answer {
-    json(status, &serde_json::json!({ "error": reason }))
-}
-
-/// Refuses at once, and says when to come back.
-pub fn come_back(status: StatusCode, after_s: u64, reason: &str) -> Answer {
-    let mut answer = error(status, reason);
-    answer.headers_mut().insert(RETRY_AFTER, after_s.into());
-    answer
-}
-
 pub async fn run(node: Arc<Node>, listener: TcpListener) {
     let sockets = node.settings.params.limits.sockets;
     let most = sockets.saturating_sub(OWN_SOCKETS).max(8);
@@ -93,11 +70,14 @@
     }
 }
 
-async fn handle(server: Arc<Server>, request: Request<Incoming>) -> Result<Answer, Infallible> {
+async fn handle(
+    server: Arc<Server>,
+    request: Request<Incoming>,
+) -> Result<HttpResponse, Infallible> {
     Ok(route(&server, request).await)
 }
 
-async fn route(server: &Arc<Server>, request: Request<Incoming>) -> Answer {
+async fn route(server: &Arc<Server>, request: Request<Incoming>) -> HttpResponse {
     let method = request.method().clone();
     let path = request.uri().path().to_owned();
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
@@ -107,10 +87,10 @@
         ["v1", "jobs"] => Method::POST,
         ["v1", "jobs", _] => Method::GET,
         ["v1", "jobs", _, "abort"] => Method::POST,
-        _ => return error(StatusCode::NOT_FOUND, "no such path"),
+        _ => return error_response(StatusCode::NOT_FOUND, "no such path"),
     };
     if method != allowed {
-        return error(StatusCode::METHOD_NOT_ALLOWED, "not for this path");
+        return error_response(StatusCode::METHOD_NOT_ALLOWED, "not for this path");
     }
     if parts == ["healthz"] {
         return health(&server.node);
@@ -124,19 +104,22 @@
         ["v1", "jobs"] => users::submit(server, &body).await,
         ["v1", "jobs", id] => users::poll(server, id).await,
         ["v1", "jobs", id, _] => users::abort(server, id).await,
-        _ => error(StatusCode::NOT_FOUND, "no such path"),
+        _ => error_response(StatusCode::NOT_FOUND, "no such path"),
     }
 }
 
-async fn read_body(request: Request<Incoming>) -> Result<Bytes, Answer> {
+async fn read_body(request: Request<Incoming>) -> Result<Bytes, HttpResponse> {
     let body = Limited::new(request.into_body(), MOST_BODY);
     match tokio::time::timeout(READ_LIMIT, body.collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(problem)) if problem.is::<http_body_util::LengthLimitError>() => {
-            Err(error(StatusCode::BAD_REQUEST, "the body is over 64 KiB"))
-        }
-        Ok(Err(_)) => Err(error(StatusCode::BAD_REQUEST, "the body broke off")),
-        Err(_) => Err(error(
+        Ok(Err(problem)) if problem.is::<http_body_util::LengthLimitError>() => Err(
+            error_response(StatusCode::BAD_REQUEST, "the body is over 64 KiB"),
+        ),
+        Ok(Err(_)) => Err(error_response(
+            StatusCode::BAD_REQUEST,
+            "the body broke off",
+        )),
+        Err(_) => Err(error_response(
             StatusCode::REQUEST_TIMEOUT,
             "the body did not come in time",
         )),
@@ -145,15 +128,15 @@
 
 /// Without the state service nothing can be accepted; but while all nodes are without it, taking
 /// them all away from users helps nobody. So this fails only when others have it.
-fn health(node: &Node) -> Answer {
+fn health(node: &Node) -> HttpResponse {
     let blind = Duration::from_millis(3500);
     let ready = node.core().loaded && !node.core().kinds.is_empty();
     if !node.has_state(blind) || !ready {
         let others = node.peer_status().have_state;
         let others_have = others.is_some_and(|at| at.elapsed() < Duration::from_secs(3));
         if others_have || node.core().proof.is_none() {
-            return come_back(StatusCode::SERVICE_UNAVAILABLE, 2, "no state service");
+            return retry_later(StatusCode::SERVICE_UNAVAILABLE, 2, "no state service");
         }
     }
-    json(StatusCode::OK, &serde_json::json!({ "ok": true }))
+    json_response(StatusCode::OK, &serde_json::json!({ "ok": true }))
 }
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -1,7 +1,8 @@
 //! Submissions, polls and cancellations.
 
-use super::{Answer, Server, come_back, error, json};
+use super::Server;
 use crate::cells::requests;
+use crate::http::{HttpResponse, error_response, json_response, retry_later};
 use crate::jobs::{Final, JobRecord, JobSpec, SpecError, Stage, Stored, Submission, is_job_id};
 use crate::membership;
 use crate::metrics::{CpuAccount, memory};
@@ -30,14 +31,14 @@
 }
 
 /// A job's stage and how far it is.
-pub fn told_progress(id: &str, stage: Stage, done: u32, running: u32) -> Answer {
+pub fn told_progress(id: &str, stage: Stage, done: u32, running: u32) -> HttpResponse {
     let told = Told {
         id,
         stage,
         done: Some(done),
         running: Some(running),
     };
-    json(StatusCode::OK, &told)
+    json_response(StatusCode::OK, &told)
 }
 
 pub fn told(id: &str, stage: Stage) -> Told<'_> {
@@ -53,12 +54,12 @@
 /// now is better than one after a wait.
 const OUT: Duration = Duration::from_millis(3000);
 
-fn no_state() -> Answer {
-    come_back(StatusCode::SERVICE_UNAVAILABLE, 1, "no state service")
+fn no_state() -> HttpResponse {
+    retry_later(StatusCode::SERVICE_UNAVAILABLE, 1, "no state service")
 }
 
-fn busy() -> Answer {
-    come_back(StatusCode::TOO_MANY_REQUESTS, 1, "too much at once")
+fn busy() -> HttpResponse {
+    retry_later(StatusCode::TOO_MANY_REQUESTS, 1, "too much at once")
 }
 
 /// What is known of a job, with nothing older than the call.
@@ -124,14 +125,14 @@
     }
 }
 
-pub async fn poll(server: &Server, id: &str) -> Answer {
+pub async fn poll(server: &Server, id: &str) -> HttpResponse {
     if !is_job_id(id) {
-        return error(StatusCode::NOT_FOUND, "no such job");
+        return error_response(StatusCode::NOT_FOUND, "no such job");
     }
     let node = &server.node;
     node.core().metrics.status_polls += 1;
     if let Some(last) = ended_in_memory(node, id) {
-        return json(StatusCode::OK, &told(id, last.into()));
+        return json_response(StatusCode::OK, &told(id, last.into()));
     }
     let Some(_permit) = server.limit.enter(0.9) else {
         return busy();
@@ -141,13 +142,13 @@
     }
     match current_state(node, id).await {
         Known::Live(stage, done, placed) => told_progress(id, stage, done, placed),
-        Known::Over(last) => json(StatusCode::OK, &told(id, last.into())),
-        Known::Never => error(StatusCode::NOT_FOUND, "no such job"),
+        Known::Over(last) => json_response(StatusCode::OK, &told(id, last.into())),
+        Known::Never => error_response(StatusCode::NOT_FOUND, "no such job"),
         Known::Unclear => no_state(),
     }
 }
 
-pub async fn submit(server: &Server, body: &[u8]) -> Answer {
+pub async fn submit(server: &Server, body: &[u8]) -> HttpResponse {
     let node = &server.node;
     let read = {
         let _charge = node.processor_time.charge(CpuAccount::UserRequests);
@@ -160,7 +161,7 @@
     let id = spec.id.clone();
     node.core().metrics.submissions += 1;
     if let Some(last) = ended_in_memory(node, &id) {
-        return json(StatusCode::OK, &told(&id, last.into()));
+        return json_response(StatusCode::OK, &told(&id, last.into()));
     }
     let Some(_permit) = server.limit.enter(0.8) else {
         return busy();
@@ -200,8 +201,8 @@
     let mut record = record;
     if seems_known || verdict != Verdict::Takes {
         match current_state(node, &id).await {
-            Known::Live(stage, ..) => return json(StatusCode::OK, &told(&id, stage)),
-            Known::Over(last) => return json(StatusCode::OK, &told(&id, last.into())),
+            Known::Live(stage, ..) => return json_response(StatusCode::OK, &told(&id, stage)),
+            Known::Over(last) => return json_response(StatusCode::OK, &told(&id, last.into())),
             Known::Unclear => return no_state(),
             Known::Never => {}
         }
@@ -257,11 +258,11 @@
             }
             drop(core);
             node.wake_up.notify_one();
-            json(StatusCode::CREATED, &told(&id, stage))
+            json_response(StatusCode::CREATED, &told(&id, stage))
         }
         Err(TransactionError::Conflict(_)) => match current_state(node, &id).await {
-            Known::Live(stage, ..) => json(StatusCode::OK, &told(&id, stage)),
-            Known::Over(last) => json(StatusCode::OK, &told(&id, last.into())),
+            Known::Live(stage, ..) => json_response(StatusCode::OK, &told(&id, stage)),
+            Known::Over(last) => json_response(StatusCode::OK, &told(&id, last.into())),
             Known::Never | Known::Unclear => no_state(),
         },
         Err(_) => no_state(),
@@ -269,21 +270,21 @@
 }
 
 /// The answer to a new job that is not taken.
-pub fn refuse_for(verdict: &Verdict) -> Answer {
+pub fn refuse_for(verdict: &Verdict) -> HttpResponse {
     let later = StatusCode::SERVICE_UNAVAILABLE;
     match verdict {
-        Verdict::Never(reason) => error(StatusCode::UNPROCESSABLE_ENTITY, reason),
+        Verdict::Never(reason) => error_response(StatusCode::UNPROCESSABLE_ENTITY, reason),
         Verdict::TooLarge => {
             let reason = "the job is more than a record takes";
-            error(StatusCode::BAD_REQUEST, reason)
+            error_response(StatusCode::BAD_REQUEST, reason)
         }
-        Verdict::Undecided => come_back(later, 1, "no catalogue yet"),
-        Verdict::NoMemory => come_back(later, 2, "too little memory for more work"),
+        Verdict::Undecided => retry_later(later, 1, "no catalogue yet"),
+        Verdict::NoMemory => retry_later(later, 2, "too little memory for more work"),
         Verdict::NotYet => {
             let reason = "jobs that wait for others are taken once all controllers can";
-            come_back(later, 3, reason)
+            retry_later(later, 3, reason)
         }
-        Verdict::Takes => come_back(later, 1, "to be taken"),
+        Verdict::Takes => retry_later(later, 1, "to be taken"),
     }
 }
 
@@ -298,8 +299,8 @@
 
 /// What cannot be read as a submission. A job that was accepted is known whatever a repeat of it
 /// carries: a 400 would tell its user that it is not.
-async fn refuse(server: &Server, body: &[u8], problem: &SpecError) -> Answer {
-    let never = || error(StatusCode::BAD_REQUEST, &problem.to_string());
+async fn refuse(server: &Server, body: &[u8], problem: &SpecError) -> HttpResponse {
+    let never = || error_response(StatusCode::BAD_REQUEST, &problem.to_string());
     let Some(id) = Submission::names(body) else {
         return never();
     };
@@ -312,8 +313,8 @@
         return answer;
     }
     match current_state(&server.node, &id).await {
-        Known::Live(stage, ..) => json(StatusCode::OK, &told(&id, stage)),
-        Known::Over(last) => json(StatusCode::OK, &told(&id, last.into())),
+        Known::Live(stage, ..) => json_response(StatusCode::OK, &told(&id, stage)),
+        Known::Over(last) => json_response(StatusCode::OK, &told(&id, last.into())),
         Known::Unclear => no_state(),
         Known::Never => never(),
     }
@@ -329,7 +330,7 @@
 
 /// Whatever becomes of them afterwards, what the new one's record says stays true: that one of them is
 /// done or cancelled is final, and all else follows from the records when it is asked for.
-async fn what_is_before(node: &Arc<Node>, awaits: &[String]) -> Result<Before, Answer> {
+async fn what_is_before(node: &Arc<Node>, awaits: &[String]) -> Result<Before, HttpResponse> {
     if awaits.is_empty() {
         return Ok(Before::Done);
     }
@@ -350,7 +351,7 @@
             match node.state.get(&final_key(id)).await {
                 Ok(None) => {
                     let reason = "`awaits` names a job that was never accepted";
-                    return Err(error(StatusCode::UNPROCESSABLE_ENTITY, reason));
+                    return Err(error_response(StatusCode::UNPROCESSABLE_ENTITY, reason));
                 }
                 Ok(Some(value)) => match serde_json::from_value::<Final>(value) {
                     Ok(last) => node.core().replica.remember_ended(id, last),
@@ -454,13 +455,13 @@
     !spec.one_zone && spec.zone.is_none() && zones.len() > 1
 }
 
-pub async fn abort(server: &Server, id: &str) -> Answer {
+pub async fn abort(server: &Server, id: &str) -> HttpResponse {
     if !is_job_id(id) {
-        return error(StatusCode::NOT_FOUND, "no such job");
+        return error_response(StatusCode::NOT_FOUND, "no such job");
     }
     let node = &server.node;
     if let Some(last) = ended_in_memory(node, id) {
-        return json(StatusCode::OK, &told(id, last.into()));
+        return json_response(StatusCode::OK, &told(id, last.into()));
     }
     let Some(_permit) = server.limit.enter(1.0) else {
         return busy();
@@ -472,11 +473,11 @@
     }
     for _ in 0..4 {
         match current_state(node, id).await {
-            Known::Over(last) => return json(StatusCode::OK, &told(id, last.into())),
+            Known::Over(last) => return json_response(StatusCode::OK, &told(id, last.into())),
             Known::Live(Stage::Cancelled, ..) => {
-                return json(StatusCode::OK, &told(id, Stage::Cancelled));
+                return json_response(StatusCode::OK, &told(id, Stage::Cancelled));
             }
-            Known::Never => return error(StatusCode::NOT_FOUND, "no such job"),
+            Known::Never => return error_response(StatusCode::NOT_FOUND, "no such job"),
             Known::Unclear => return no_state(),
             Known::Live(..) => {}
         }
@@ -501,7 +502,7 @@
             Ok(revision) => {
                 node.core().apply(ops, revision);
                 node.wake_up.notify_one();
-                return json(StatusCode::OK, &told(id, Stage::Cancelled));
+                return json_response(StatusCode::OK, &told(id, Stage::Cancelled));
             }
             // It changed under us: perhaps it is done by now.
             Err(TransactionError::Conflict(_)) => continue,
--- a/src/cells/requests/cancel.rs
+++ b/src/cells/requests/cancel.rs
@@ -2,15 +2,19 @@
 
 use super::ledger_unavailable;
 use super::{cancellation_unconfirmed, ended, in_stage, is_cancelled_locally, is_local};
-use crate::api::Answer;
 use crate::cells::CellScheduler;
+use crate::http::HttpResponse;
 use crate::jobs::Stage;
 use crate::node::Node;
 use rowanmill_cells::{CancelOutcome, CellCoordinator, Scheduler};
 use std::sync::Arc;
 
 /// Answers a cancellation; `None` if only this cell knows the job.
-pub async fn cancel(node: &Arc<Node>, cells: &Arc<CellCoordinator>, id: &str) -> Option<Answer> {
+pub async fn cancel(
+    node: &Arc<Node>,
+    cells: &Arc<CellCoordinator>,
+    id: &str,
+) -> Option<HttpResponse> {
     match cells.cancel(id).await {
         CancelOutcome::Confirmed => Some(in_stage(id, Stage::Cancelled)),
         CancelOutcome::Recorded { owned_here } => {
@@ -34,7 +38,7 @@
     cells: &Arc<CellCoordinator>,
     id: &str,
     owned_here: bool,
-) -> Answer {
+) -> HttpResponse {
     if owned_here {
         // If this fails the leader records it, by the ledger.
         let _ = CellScheduler::new(node, cells).cancel(id).await;
--- a/src/cells/requests/mod.rs
+++ b/src/cells/requests/mod.rs
@@ -10,7 +10,7 @@
 pub use submit::submit;
 
 use crate::api::users::{Known, current_state, told, told_progress};
-use crate::api::{Answer, come_back, error, json};
+use crate::http::{HttpResponse, error_response, json_response, retry_later};
 use crate::jobs::{Final, Stage};
 use crate::node::Node;
 use hyper::StatusCode;
@@ -20,32 +20,32 @@
 /// Seconds after which users repeat a request that could not be answered.
 const RETRY_AFTER_S: u64 = 1;
 
-fn ledger_unavailable() -> Answer {
-    come_back(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_S, "no ledger")
+fn ledger_unavailable() -> HttpResponse {
+    retry_later(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_S, "no ledger")
 }
 
 /// Another controller may have confirmed the cancellation, or may still start the job: neither may be
 /// contradicted.
-fn cancellation_unconfirmed() -> Answer {
+fn cancellation_unconfirmed() -> HttpResponse {
     let reason = "the cancellation is being confirmed";
-    come_back(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_S, reason)
+    retry_later(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_S, reason)
 }
 
-fn in_stage(id: &str, stage: Stage) -> Answer {
-    json(StatusCode::OK, &told(id, stage))
+fn in_stage(id: &str, stage: Stage) -> HttpResponse {
+    json_response(StatusCode::OK, &told(id, stage))
 }
 
-fn ended(id: &str, final_state: impl Into<Final>) -> Answer {
+fn ended(id: &str, final_state: impl Into<Final>) -> HttpResponse {
     in_stage(id, final_state.into().into())
 }
 
 /// A stage in which no task counts as running or done.
-fn without_tasks(id: &str, stage: Stage) -> Answer {
+fn without_tasks(id: &str, stage: Stage) -> HttpResponse {
     told_progress(id, stage, 0, 0)
 }
 
 /// Answers a poll.
-pub async fn poll(node: &Arc<Node>, cells: &CellCoordinator, id: &str) -> Answer {
+pub async fn poll(node: &Arc<Node>, cells: &CellCoordinator, id: &str) -> HttpResponse {
     match cells.job_state(id).await {
         LedgerJobState::Ended(final_state) => ended(id, final_state),
         LedgerJobState::Cancelled => without_tasks(id, Stage::Cancelled),
@@ -66,7 +66,7 @@
     node: &Arc<Node>,
     cells: &CellCoordinator,
     id: &str,
-) -> Option<Answer> {
+) -> Option<HttpResponse> {
     Some(match cells.job_state(id).await {
         LedgerJobState::Unknown => return None,
         LedgerJobState::Ended(final_state) => ended(id, final_state),
@@ -79,7 +79,7 @@
 }
 
 /// Progress of an owned job, by the cell's own records.
-fn progress(node: &Node, id: &str) -> Answer {
+fn progress(node: &Node, id: &str) -> HttpResponse {
     let core = node.core();
     let job = core.replica.jobs.get(id);
     let Some(job) = job.filter(|job| !job.record.cancelled) else {
@@ -95,7 +95,7 @@
 
 /// Answers a poll of a job that the ledger never had. If this cell has it from the ledger all the same, the
 /// ledger has lost data, and nothing is said of the job.
-async fn poll_unknown(node: &Arc<Node>, id: &str) -> Answer {
+async fn poll_unknown(node: &Arc<Node>, id: &str) -> HttpResponse {
     let came_from_ledger = {
         let core = node.core();
         let job = core.replica.jobs.get(id);
@@ -107,11 +107,11 @@
     poll_local(node, id).await
 }
 
-async fn poll_local(node: &Arc<Node>, id: &str) -> Answer {
+async fn poll_local(node: &Arc<Node>, id: &str) -> HttpResponse {
     match current_state(node, id).await {
         Known::Live(stage, done, placed) => told_progress(id, stage, done, placed),
         Known::Over(final_state) => ended(id, final_state),
-        Known::Never => error(StatusCode::NOT_FOUND, "no such job"),
+        Known::Never => error_response(StatusCode::NOT_FOUND, "no such job"),
         Known::Unclear => ledger_unavailable(),
     }
 }
--- a/src/cells/requests/submit.rs
+++ b/src/cells/requests/submit.rs
@@ -1,10 +1,11 @@
 //! Submissions where there are cells: a job is published in the ledger before its user is answered.
 
 use super::{RETRY_AFTER_S, answer_if_known, ended, in_stage, is_local, ledger_unavailable};
+use crate::api::Server;
 use crate::api::users::{Known, Verdict, current_state, refuse_for, told};
-use crate::api::{Answer, Server, come_back, error, json};
 use crate::cells::CellScheduler;
 use crate::cells::scheduler::NO_REVISION;
+use crate::http::{HttpResponse, error_response, json_response, retry_later};
 use crate::jobs::{JobRecord, Stage};
 use crate::node::Node;
 use hyper::StatusCode;
@@ -27,7 +28,7 @@
     record: JobRecord,
     depends_on: Vec<String>,
     verdict: Verdict,
-) -> Option<Answer> {
+) -> Option<HttpResponse> {
     let node = &server.node;
     if is_local(node, &record.spec.id) {
         return None;
@@ -46,7 +47,7 @@
     id: &str,
     depends_on: &[String],
     verdict: &Verdict,
-) -> Result<(), Answer> {
+) -> Result<(), HttpResponse> {
     if !cells.ledger_responded_within(LEDGER_TIMEOUT) {
         return Err(ledger_unavailable());
     }
@@ -66,7 +67,10 @@
 
 /// Whether the ledger knows all jobs that a new one depends on. It would never learn the end of a job from
 /// before there were cells.
-async fn check_dependencies(cells: &CellCoordinator, depends_on: &[String]) -> Result<(), Answer> {
+async fn check_dependencies(
+    cells: &CellCoordinator,
+    depends_on: &[String],
+) -> Result<(), HttpResponse> {
     for id in depends_on {
         match cells.job_state(id).await {
             LedgerJobState::Open { .. }
@@ -76,7 +80,7 @@
             LedgerJobState::Indeterminate => return Err(ledger_unavailable()),
             LedgerJobState::Unknown => {
                 let reason = "`awaits` names a job that the cells never accepted";
-                return Err(error(StatusCode::UNPROCESSABLE_ENTITY, reason));
+                return Err(error_response(StatusCode::UNPROCESSABLE_ENTITY, reason));
             }
         }
     }
@@ -89,7 +93,7 @@
     node: &Arc<Node>,
     cells: &CellCoordinator,
     id: &str,
-) -> Result<(), Answer> {
+) -> Result<(), HttpResponse> {
     match current_state(node, id).await {
         Known::Live(stage, ..) if is_local(node, id) => Err(in_stage(id, stage)),
         Known::Over(final_state) if !cells.is_cached(id) => Err(ended(id, final_state)),
@@ -103,7 +107,7 @@
     cells: &Arc<CellCoordinator>,
     record: JobRecord,
     depends_on: Vec<String>,
-) -> Answer {
+) -> HttpResponse {
     let id = record.spec.id.clone();
     let description = serde_json::to_value(&record.spec).expect("a job is plain data");
     let cell = cells.cell_name();
@@ -117,14 +121,14 @@
             if job.depends_on.is_empty() {
                 adopt_in_background(node, cells, record, ownership);
             }
-            json(StatusCode::CREATED, &told(&id, Stage::Queued))
+            json_response(StatusCode::CREATED, &told(&id, Stage::Queued))
         }
         PublishOutcome::AlreadyKnown => answer_if_known(node, cells, &id)
             .await
             .unwrap_or_else(ledger_unavailable),
         PublishOutcome::RateLimited => {
             let reason = "too much at once";
-            come_back(StatusCode::TOO_MANY_REQUESTS, RETRY_AFTER_S, reason)
+            retry_later(StatusCode::TOO_MANY_REQUESTS, RETRY_AFTER_S, reason)
         }
         PublishOutcome::Unavailable => ledger_unavailable(),
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -9,6 +9,7 @@
 mod client;
 mod cloud;
 mod fleet;
+mod http;
 mod jobs;
 mod limits;
 mod logging;
--- a/src/testing/compatibility/interfaces.rs
+++ b/src/testing/compatibility/interfaces.rs
@@ -2,10 +2,11 @@
 //! send. A controller's HTTP server runs as in production; its records are put there by the test.
 
 use crate::api::users::{Verdict, abort, poll, refuse_for, submit};
-use crate::api::{self, Answer, Server, limit::Limit};
+use crate::api::{self, Server, limit::Limit};
 use crate::background::BackgroundTasks;
 use crate::cloud::MachineType;
 use crate::fleet::{Rental, Rented, Use};
+use crate::http::HttpResponse;
 use crate::jobs::Submission;
 use crate::membership::assignment::Member;
 use crate::node::Node;
@@ -311,7 +312,7 @@
     insta::assert_snapshot!(served.trace);
 }
 
-async fn answer_text(answer: Answer) -> String {
+async fn answer_text(answer: HttpResponse) -> String {
     let (head, body) = answer.into_parts();
     let mut text = format!("< {}\n", head.status);
     for (name, value) in &head.headers {
--- a/src/testing/load_profile.rs
+++ b/src/testing/load_profile.rs
@@ -263,7 +263,7 @@
         "dueS": deadline})
 }
 
-pub(super) async fn body_of(answer: crate::api::Answer) -> Value {
+pub(super) async fn body_of(answer: crate::http::HttpResponse) -> Value {
     let body = answer.into_body().collect().await.unwrap().to_bytes();
     serde_json::from_slice(&body).unwrap()
 }
--- a/src/workers/service.rs
+++ b/src/workers/service.rs
@@ -1,9 +1,9 @@
 //! Answers workers' reports: the machine's owner reads them, every other node names the owner.
 
 use super::{Live, Pending, Report, read};
-use crate::api::{Answer, come_back, error, json};
 use crate::cells;
 use crate::fleet::Use;
+use crate::http::{HttpResponse, error_response, json_response, retry_later};
 use crate::jobs::Entry;
 use crate::membership;
 use crate::membership::assignment::Member;
@@ -17,12 +17,12 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-fn elsewhere(member: Option<&str>) -> Answer {
+fn elsewhere(member: Option<&str>) -> HttpResponse {
     let body = match member {
         Some(member) => json!({ "miller": member }),
         None => json!({}),
     };
-    json(StatusCode::MISDIRECTED_REQUEST, &body)
+    json_response(StatusCode::MISDIRECTED_REQUEST, &body)
 }
 
 fn decode(node: &Node, body: &[u8]) -> Result<Report, serde_json::Error> {
@@ -30,10 +30,10 @@
     serde_json::from_slice(body)
 }
 
-pub async fn hello(node: &Arc<Node>, body: &[u8]) -> Answer {
+pub async fn hello(node: &Arc<Node>, body: &[u8]) -> HttpResponse {
     let report = match decode(node, body) {
         Ok(report) => Arc::new(report),
-        Err(problem) => return error(StatusCode::BAD_REQUEST, &problem.to_string()),
+        Err(problem) => return error_response(StatusCode::BAD_REQUEST, &problem.to_string()),
     };
     let owner = {
         let mut core = node.core();
@@ -65,7 +65,7 @@
     // tasks running. It ends by itself if we stay silent.
     if !node.may_renew() || !cells::permits_renewal(node, &report, Instant::now()) {
         note_there(&mut node.core(), &report, Instant::now());
-        return come_back(StatusCode::SERVICE_UNAVAILABLE, 1, "no state service");
+        return retry_later(StatusCode::SERVICE_UNAVAILABLE, 1, "no state service");
     }
     let taken = take(node, &mut node.core(), &report, Instant::now());
     if matches!(taken, Taken::Read { freed: true, .. }) {
@@ -74,14 +74,14 @@
     match taken {
         Taken::NotOurs => return elsewhere(None),
         // Its task list is old, and nobody reads the answer.
-        Taken::Late => return error(StatusCode::CONFLICT, "an older report"),
+        Taken::Late => return error_response(StatusCode::CONFLICT, "an older report"),
         Taken::Read {
             freed: false,
             answer,
         } => {
             let idle = idle_wait(node, &mut node.core(), &report, &answer);
             let Some((called, within)) = idle else {
-                return json(StatusCode::OK, &answer);
+                return json_response(StatusCode::OK, &answer);
             };
             let _ = tokio::time::timeout(within, called).await;
         }
@@ -91,7 +91,7 @@
     }
     let mut core = node.core();
     match orders(node, &mut core, &report, Instant::now()) {
-        Some(answer) => json(StatusCode::OK, &answer),
+        Some(answer) => json_response(StatusCode::OK, &answer),
         // It changed hands while the answer waited.
         None => {
             let machine = core.replica.fleet.machines.get(&report.machine);
@@ -211,9 +211,9 @@
 /// A machine in no record. Its report may be a late copy of one from before its release, so it
 /// proves nothing: the leader adopts machines by the cloud's list alone, and until then, or until
 /// the rental is recorded that it belongs to, its worker asks again.
-fn greet_unknown(node: &Node) -> Answer {
+fn greet_unknown(node: &Node) -> HttpResponse {
     if membership::lead_mark(node).is_some() {
-        return come_back(StatusCode::SERVICE_UNAVAILABLE, 1, "not known yet");
+        return retry_later(StatusCode::SERVICE_UNAVAILABLE, 1, "not known yet");
     }
     let core = node.core();
     let leader = core.replica.leader.as_ref();
