--- a/src/cli.rs
+++ b/src/cli.rs
@@ -31,8 +31,7 @@
     Check(CheckArgs),
 }
 
-// Plain comments: a doc comment here would replace the help text of the command.
-// The files that a controller is started with.
+/// The files that a controller is started with.
 #[derive(Debug, Args)]
 pub struct ServeArgs {
     /// The operators' policy; what it leaves out is as in the embedded one
@@ -52,7 +51,7 @@
     pub config: PathBuf,
 }
 
-// The files to check, at least one.
+/// The files to check, at least one.
 #[derive(Debug, Args)]
 pub struct CheckArgs {
     /// The policy to check
--- a/src/client/cells.rs
+++ b/src/client/cells.rs
@@ -12,8 +12,7 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-// Plain comment: a doc comment here would change the commands' help texts.
-// What all commands about cells need.
+/// What all commands about cells need.
 #[derive(Debug, Args)]
 pub struct CellsOptions {
     /// The operators' file of the cells
--- a/src/client/limits.rs
+++ b/src/client/limits.rs
@@ -12,8 +12,7 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-// Plain comment: a doc comment here would change the commands' help texts.
-// What all commands about limits need.
+/// What all commands about limits need.
 #[derive(Debug, Args)]
 pub struct LimitsOptions {
     /// The settings file of any controller
--- a/src/client/output.rs
+++ b/src/client/output.rs
@@ -3,8 +3,7 @@
 use clap::ValueEnum;
 use serde::Serialize;
 
-// Plain comment: the values' doc comments are help texts.
-// The format of an answer.
+/// The format of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum OutputFormat {
     /// For people
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -50,3 +50,6 @@
         );
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -7,6 +7,7 @@
 use crate::jobs::Entry;
 use crate::limits;
 use crate::node::{Core, Node};
+use crate::state::replica::Job;
 pub use processor_time::{CpuAccount, ProcessorTime};
 use rowanmill_state::Used;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -198,26 +199,30 @@
     let mut own_jobs: Vec<_> = jobs.filter(|(id, _)| core.owns_job(&node.me, id)).collect();
     own_jobs.sort_by_key(|(_, job)| job.record.since_ms());
     for (id, job) in own_jobs.into_iter().take(OLDEST_JOBS_LOGGED) {
-        let planned = core.plans.of(id);
-        let first = planned.and_then(|p| p.iter().next());
-        let placed = (0..job.record.spec.tasks).find_map(|task| match core.entry(id, task) {
-            Entry::Placed { machine, .. } => Some((task, machine)),
-            _ => None,
-        });
-        let machine = placed.as_ref().map(|(_, name)| name.as_str());
-        let machine = machine.and_then(|name| core.replica.fleet.machines.get(name));
-        tracing::debug!(
-            id,
-            tasks = job.record.spec.tasks,
-            job.done,
-            job.placed,
-            planned = planned.map_or(0, |p| p.len()),
-            ?first,
-            ?placed,
-            owner = ?machine.map(|m| &m.owner.name),
-            waiting = core.views.jobs.get(id).map_or(0, |p| p.waiting.len()),
-            failures = ?core.failures.get(id).map(|f| f.count),
-            "unfinished for longest"
-        );
+        log_unfinished_job(core, id, job);
     }
 }
+
+fn log_unfinished_job(core: &Core, id: &str, job: &Job) {
+    let planned = core.plans.of(id);
+    let first = planned.and_then(|changes| changes.iter().next());
+    let placed = (0..job.record.spec.tasks).find_map(|task| match core.entry(id, task) {
+        Entry::Placed { machine, .. } => Some((task, machine)),
+        _ => None,
+    });
+    let machine = placed.as_ref().map(|(_, name)| name.as_str());
+    let machine = machine.and_then(|name| core.replica.fleet.machines.get(name));
+    tracing::debug!(
+        id,
+        tasks = job.record.spec.tasks,
+        job.done,
+        job.placed,
+        planned = planned.map_or(0, |changes| changes.len()),
+        ?first,
+        ?placed,
+        owner = ?machine.map(|machine| &machine.owner.name),
+        waiting = core.views.jobs.get(id).map_or(0, |view| view.waiting.len()),
+        failures = ?core.failures.get(id).map(|failures| failures.count),
+        "unfinished for longest"
+    );
+}
--- a/src/placement/views.rs
+++ b/src/placement/views.rs
@@ -9,7 +9,7 @@
 use crate::membership::assignment::spot_of;
 use crate::node::{Core, Node, age_s};
 use crate::policy::JobFacts;
-use crate::settings::Team;
+use crate::settings::{ObjectiveKind, Team};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Instant;
@@ -123,10 +123,10 @@
         if objective.class != spec.class {
             continue;
         }
-        match (objective.kind.as_str(), objective.within_s, objective.times) {
-            ("wait", Some(within), _) => aims.push((within, By::Start)),
-            ("finished", Some(within), _) => aims.push((within, By::End)),
-            ("deadline", _, Some(times)) => {
+        match (&objective.kind, objective.within_s, objective.times) {
+            (ObjectiveKind::Start, Some(within), _) => aims.push((within, By::Start)),
+            (ObjectiveKind::Finish, Some(within), _) => aims.push((within, By::End)),
+            (ObjectiveKind::Deadline, _, Some(times)) => {
                 if let (Some(due), Some(whole)) = (due, spec.deadline_s) {
                     aims.push((due + whole * (times - 1.0), By::End));
                 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -6,6 +6,7 @@
 
 use rowanmill_config::{ConfigFile, InvalidField};
 use serde::Deserialize;
+use std::fmt;
 use std::net::SocketAddr;
 
 /// The whole file.
@@ -85,8 +86,8 @@
 /// A service-level objective of a class of jobs.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// What is to happen in time; kinds that are not known are passed over.
-    pub kind: String,
+    /// What is to happen in time.
+    pub kind: ObjectiveKind,
     #[serde(default)]
     pub class: String,
     /// Seconds after the job's arrival.
@@ -95,6 +96,42 @@
     pub times: Option<f64>,
 }
 
+/// What an objective is about.
+#[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
+#[serde(from = "String")]
+pub enum ObjectiveKind {
+    /// A task starts within `within_s`; `wait` in the file.
+    Start,
+    /// A job finishes within `within_s`; `finished` in the file.
+    Finish,
+    /// A job finishes within `times` its own deadline; `deadline` in the file.
+    Deadline,
+    /// A kind that this version does not know: the objective has no effect.
+    Unknown(String),
+}
+
+impl From<String> for ObjectiveKind {
+    fn from(name: String) -> Self {
+        match name.as_str() {
+            "wait" => ObjectiveKind::Start,
+            "finished" => ObjectiveKind::Finish,
+            "deadline" => ObjectiveKind::Deadline,
+            _ => ObjectiveKind::Unknown(name),
+        }
+    }
+}
+
+impl fmt::Display for ObjectiveKind {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ObjectiveKind::Start => "wait",
+            ObjectiveKind::Finish => "finished",
+            ObjectiveKind::Deadline => "deadline",
+            ObjectiveKind::Unknown(name) => name,
+        })
+    }
+}
+
 /// What is agreed with workers; all in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerParams {
