--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -8,7 +8,7 @@
 use crate::metrics::{CpuAccount, memory};
 use crate::node::{Core, Node, wall_ms};
 use crate::pipelines::service::{CANCELLED, look_up_needs};
-use crate::placement::views::{kinds_for, room_of};
+use crate::placement::snapshot::{capacity_of, eligible_machine_types};
 use crate::settings::Team;
 use crate::state::{Operation, Precondition, TransactionError, final_key, job_key};
 use hyper::StatusCode;
@@ -420,9 +420,12 @@
     if core.kinds.is_empty() {
         return Verdict::Undecided;
     }
-    let kinds = kinds_for(&core, spec);
+    let kinds = eligible_machine_types(&core, spec);
     if kinds.is_empty() {
-        let fits_some = core.kinds.iter().any(|k| spec.need().fits(&room_of(k)));
+        let fits_some = core
+            .kinds
+            .iter()
+            .any(|k| spec.resources().fits(&capacity_of(k)));
         return Verdict::Never(match fits_some {
             true => "no allowed machine type takes a task of it",
             false => "no machine type takes a task of it",
--- a/src/cells/protection.rs
+++ b/src/cells/protection.rs
@@ -6,8 +6,8 @@
 use crate::cloud::MachineType;
 use crate::jobs::JobSpec;
 use crate::node::{Core, Node};
-use crate::placement::Sort;
-use crate::placement::views::kinds_for;
+use crate::placement::PoolId;
+use crate::placement::snapshot::eligible_machine_types;
 use crate::policy::MachinePoolFacts;
 use std::collections::BTreeSet;
 use std::fmt;
@@ -28,7 +28,7 @@
 }
 
 /// The machine pools that are protected now, as the forecast numbers them.
-pub fn protected_pools(node: &Node, core: &mut Core, now_ms: u64) -> BTreeSet<Sort> {
+pub fn protected_pools(node: &Node, core: &mut Core, now_ms: u64) -> BTreeSet<PoolId> {
     let mut protected = BTreeSet::new();
     if !node.policy.has_protection() {
         return protected;
@@ -76,7 +76,7 @@
     if !node.policy.has_protection() {
         return None;
     }
-    let eligible = kinds_for(core, spec);
+    let eligible = eligible_machine_types(core, spec);
     let machine_types = eligible.iter().filter_map(|name| core.kind(name));
     let mut until_ms = None;
     for machine_type in machine_types {
--- a/src/limits/blocked.rs
+++ b/src/limits/blocked.rs
@@ -3,7 +3,7 @@
 
 use super::{DividedTeam, TeamQuotas, usage};
 use crate::node::Core;
-use crate::placement::Need;
+use crate::placement::Resources;
 use rowanmill_limits::WaitingUnit;
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
 /// Headroom that is reserved for a blocked gang.
 pub struct GangReservation<'a> {
     pub job: &'a str,
-    pub amount: Need,
+    pub amount: Resources,
 }
 
 /// Records which of `jobs`, gangs in the order of their urgency, are blocked by their team's limit: the first
@@ -60,7 +60,7 @@
         let unit = self.blocked_gangs.get(team.name)?;
         Some(GangReservation {
             job: &unit.job,
-            amount: Need {
+            amount: Resources {
                 cpus: unit.need.cpus(),
                 gpus: unit.need.gpus(),
                 memory_gb: 0.0,
--- a/src/limits/team.rs
+++ b/src/limits/team.rs
@@ -3,7 +3,7 @@
 use super::StoredAllocations;
 use super::usage::{TeamUsage, limited_amount};
 use crate::jobs::JobSpec;
-use crate::placement::Need;
+use crate::placement::Resources;
 use rowanmill_limits::{
     AllocationRecord, MemberDemand, QuotaHolder, ResourceAmount, TeamLimit, TeamView, Versioned,
 };
@@ -80,7 +80,7 @@
     }
 
     /// What this controller may start beside what is charged; infinite for a resource without a limit.
-    pub fn headroom(&self) -> Need {
+    pub fn headroom(&self) -> Resources {
         let headroom = self
             .holder
             .headroom(self.name, &self.view(), self.charged());
@@ -88,13 +88,13 @@
     }
 
     /// What all tasks of the team may use; infinite for a resource without a limit.
-    pub fn full_limit(&self) -> Need {
+    pub fn full_limit(&self) -> Resources {
         self.unlimited_elsewhere(self.limit.as_amount())
     }
 
-    fn unlimited_elsewhere(&self, amount: ResourceAmount) -> Need {
+    fn unlimited_elsewhere(&self, amount: ResourceAmount) -> Resources {
         let or_infinite = |limit: Option<u64>, amount: f64| limit.map_or(f64::INFINITY, |_| amount);
-        Need {
+        Resources {
             cpus: or_infinite(self.limit.micro_cpus, amount.cpus()),
             gpus: or_infinite(self.limit.micro_gpus, amount.gpus()),
             memory_gb: f64::INFINITY,
--- a/src/membership/sharing.rs
+++ b/src/membership/sharing.rs
@@ -8,8 +8,8 @@
 use crate::jobs::JobRecord;
 use crate::metrics::CpuAccount;
 use crate::node::{Core, Node, age_s, wall_ms};
-use crate::placement::views::{due_after, kinds_for, room_of, urgency_of};
-use crate::placement::{By, Need};
+use crate::placement::snapshot::{capacity_of, due_after, eligible_machine_types, urgency_of};
+use crate::placement::{Milestone, Resources};
 use crate::state::replica::Versioned;
 use crate::state::{ASSIGNMENT_KEY, LEADER_KEY, Operation, Precondition, rental_key};
 use rowanmill_state::Need as Budget;
@@ -33,13 +33,14 @@
     age: f64,
 ) -> Option<(String, f64)> {
     let spec = &record.spec;
-    let name = kinds_for(core, spec).into_iter().next()?;
+    let name = eligible_machine_types(core, spec).into_iter().next()?;
     let kind = core.kind(&name)?;
-    let machines = Need::share(&spec.need(), &room_of(kind)) * f64::from(tasks);
+    let machines =
+        Resources::dominant_share(&spec.resources(), &capacity_of(kind)) * f64::from(tasks);
     let (due, by) = due_after(node, core, record, age);
     let at_once = match by {
-        By::Start => 1.0,
-        By::End => (core.duration(spec) * 1.5 / (due - age).max(0.1)).clamp(0.2, 1.0),
+        Milestone::Start => 1.0,
+        Milestone::Finish => (core.duration(spec) * 1.5 / (due - age).max(0.1)).clamp(0.2, 1.0),
     };
     Some((name, machines * at_once))
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -11,7 +11,7 @@
 use crate::mesh::attestation::PeerStatus;
 use crate::metrics::memory::MemoryPressure;
 use crate::metrics::{Metrics, ProcessorTime};
-use crate::placement::cache::Cache;
+use crate::placement::snapshot_cache::SnapshotCache;
 use crate::policy::Policy;
 use crate::renting::service::RentState;
 use crate::settings::Settings;
@@ -41,7 +41,7 @@
     pub failures: HashMap<String, Failures>,
     pub kinds: Vec<MachineType>,
     pub rent: RentState,
-    pub views: Cache,
+    pub views: SnapshotCache,
     pub metrics: Metrics,
 }
 
@@ -232,7 +232,7 @@
             failures: HashMap::new(),
             kinds: Vec::new(),
             rent: RentState::new(now),
-            views: Cache::new(now),
+            views: SnapshotCache::new(now),
             metrics: Metrics::new(now),
         }
     }
--- a/src/placement/index.rs
+++ b/src/placement/index.rs
@@ -2,7 +2,7 @@
 //! for again and again: when so much is free, and how empty a machine is. An answer is kept until its
 //! machine changes, so that a job costs a look at the machines that it may use and no more.
 
-use super::{Chunk, Hold, JobView, MachineView, Need};
+use super::{FreeSlot, JobSnapshot, MachineSnapshot, Reservation, Resources};
 use std::cell::Cell;
 use std::collections::HashMap;
 
@@ -26,17 +26,17 @@
     fetch_gb_per_s: f64,
     slowness: f64,
     price: f64,
-    kept_for: Option<usize>,
+    reserved_for: Option<usize>,
 }
 
 impl Summary {
-    fn of(machine: &MachineView) -> Self {
+    fn of(machine: &MachineSnapshot) -> Self {
         Self {
             zone: machine.zone,
             fetch_gb_per_s: machine.fetch_gb_per_s,
             slowness: machine.slowness,
             price: machine.price,
-            kept_for: machine.kept_for,
+            reserved_for: machine.reserved_for,
         }
     }
 }
@@ -66,7 +66,7 @@
 /// the run.
 #[derive(Debug, Clone, Copy)]
 pub struct TaskTimes<'a> {
-    job: &'a JobView,
+    job: &'a JobSnapshot,
     with_image: Option<&'a MachineSet>,
     summaries: &'a [Summary],
 }
@@ -87,7 +87,7 @@
 /// When a need is free on each machine: NaN where that is yet to be worked out, infinity for never.
 #[derive(Debug)]
 struct StartTimes {
-    need: Need,
+    resources: Resources,
     times: Vec<Cell<f64>>,
 }
 
@@ -103,7 +103,7 @@
 
 #[derive(Debug)]
 pub struct MachineIndex<'a> {
-    machines: &'a mut [MachineView],
+    machines: &'a mut [MachineSnapshot],
     summaries: Vec<Summary>,
     /// Per image, the machines that have it or are fetching it.
     images: HashMap<u32, MachineSet>,
@@ -111,23 +111,23 @@
     emptiness: Vec<Cell<f64>>,
     start_times: Vec<StartTimes>,
     /// The most room that any machine has, by resource.
-    largest: Need,
+    largest: Resources,
 }
 
 impl<'a> MachineIndex<'a> {
-    pub fn new(machines: &'a mut [MachineView]) -> Self {
+    pub fn new(machines: &'a mut [MachineSnapshot]) -> Self {
         let mut groups: Vec<Group> = Vec::new();
         let mut images: HashMap<u32, MachineSet> = HashMap::new();
-        let mut largest = Need::default();
+        let mut largest = Resources::default();
         for (place, machine) in machines.iter().enumerate() {
             for image in &machine.images {
                 images.entry(*image).or_default().insert(place);
             }
-            let room = machine.room_at(f64::INFINITY);
-            largest = Need {
-                cpus: largest.cpus.max(room.cpus),
-                gpus: largest.gpus.max(room.gpus),
-                memory_gb: largest.memory_gb.max(room.memory_gb),
+            let available = machine.free_at(f64::INFINITY);
+            largest = Resources {
+                cpus: largest.cpus.max(available.cpus),
+                gpus: largest.gpus.max(available.gpus),
+                memory_gb: largest.memory_gb.max(available.memory_gb),
             };
             let (kind, zone, spot) = (machine.kind, machine.zone, machine.spot);
             let same = |g: &&mut Group| (g.kind, g.zone, g.spot) == (kind, zone, spot);
@@ -153,7 +153,7 @@
         }
     }
 
-    pub fn machines(&self) -> &[MachineView] {
+    pub fn machines(&self) -> &[MachineSnapshot] {
         self.machines
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// What a task of the job takes on each machine once it has room there.
-    pub fn task_times<'b>(&'b self, job: &'b JobView) -> TaskTimes<'b> {
+    pub fn task_times<'b>(&'b self, job: &'b JobSnapshot) -> TaskTimes<'b> {
         TaskTimes {
             job,
             with_image: self.images.get(&job.image),
@@ -175,26 +175,26 @@
     }
 
     /// Machines that a job may run on, wherever its other tasks are.
-    pub fn usable(&self, job: &JobView) -> impl Iterator<Item = usize> {
+    pub fn usable(&self, job: &JobSnapshot) -> impl Iterator<Item = usize> {
         let members = self.groups_for(job).flat_map(|g| g.members.iter().copied());
         members.filter(|m| self.is_admitted(job, *m))
     }
 
     /// Those of them that are open.
-    pub fn usable_open(&self, job: &JobView) -> impl Iterator<Item = usize> {
+    pub fn usable_open(&self, job: &JobSnapshot) -> impl Iterator<Item = usize> {
         let open = self.groups_for(job).flat_map(|g| g.open.iter().copied());
         open.filter(|m| self.is_admitted(job, *m))
     }
 
-    fn is_admitted(&self, job: &JobView, machine: usize) -> bool {
-        let kept_for = self.summaries[machine].kept_for;
-        kept_for.is_none_or(|kept_for| kept_for == job.index)
+    fn is_admitted(&self, job: &JobSnapshot, machine: usize) -> bool {
+        let reserved_for = self.summaries[machine].reserved_for;
+        reserved_for.is_none_or(|reserved_for| reserved_for == job.index)
             && (job.avoid.is_empty() || !job.avoid.contains(&*self.machines[machine].name))
     }
 
-    fn groups_for(&self, job: &JobView) -> impl Iterator<Item = &Group> {
+    fn groups_for(&self, job: &JobSnapshot) -> impl Iterator<Item = &Group> {
         let groups = self.groups.iter();
-        groups.filter(|g| job.may_use_sort(g.kind, g.zone, g.spot))
+        groups.filter(|g| job.may_use_pool(g.kind, g.zone, g.spot))
     }
 
     /// Opens the machines for which the condition holds.
@@ -214,14 +214,14 @@
 
     /// The start times of one, two and so on up to `count` times a need, as far as any machine could
     /// ever take as much.
-    pub fn start_times(&mut self, need: &Need, count: usize) -> Vec<StartTimesId> {
+    pub fn start_times(&mut self, resources: &Resources, count: usize) -> Vec<StartTimesId> {
         if self.start_times.len() + count > MOST_NEEDS {
             self.start_times.clear();
         }
         let mut found = Vec::new();
-        let mut all = Need::default();
+        let mut all = Resources::default();
         for _ in 0..count {
-            all.add(need);
+            all.add(resources);
             if !found.is_empty() && !self.may_ever_take(&all) {
                 break;
             }
@@ -230,17 +230,20 @@
         found
     }
 
-    fn may_ever_take(&self, need: &Need) -> bool {
-        need.cpus <= self.largest.cpus + ROUNDING
-            && need.gpus <= self.largest.gpus + ROUNDING
-            && need.memory_gb <= self.largest.memory_gb + ROUNDING
+    fn may_ever_take(&self, resources: &Resources) -> bool {
+        resources.cpus <= self.largest.cpus + ROUNDING
+            && resources.gpus <= self.largest.gpus + ROUNDING
+            && resources.memory_gb <= self.largest.memory_gb + ROUNDING
     }
 
-    fn start_times_of(&mut self, need: &Need) -> StartTimesId {
-        let known = self.start_times.iter().position(|s| s.need == *need);
+    fn start_times_of(&mut self, resources: &Resources) -> StartTimesId {
+        let known = self
+            .start_times
+            .iter()
+            .position(|s| s.resources == *resources);
         let id = known.unwrap_or_else(|| {
             self.start_times.push(StartTimes {
-                need: *need,
+                resources: *resources,
                 times: vec![Cell::new(f64::NAN); self.machines.len()],
             });
             self.start_times.len() - 1
@@ -253,7 +256,7 @@
         let start_times = &self.start_times[id.0];
         let known = &start_times.times[machine];
         if known.get().is_nan() {
-            let start = self.machines[machine].start_for(&start_times.need);
+            let start = self.machines[machine].earliest_start(&start_times.resources);
             known.set(start.unwrap_or(f64::INFINITY));
         }
         Some(known.get()).filter(|start| start.is_finite())
@@ -269,16 +272,16 @@
     }
 
     /// Takes room on a machine for a task that starts and ends then.
-    pub fn occupy(&mut self, machine: usize, need: &Need, start: f64, end: f64) {
-        self.machines[machine].occupy(need, start, end);
+    pub fn occupy(&mut self, machine: usize, resources: &Resources, start: f64, end: f64) {
+        self.machines[machine].occupy(resources, start, end);
         self.forget(machine);
     }
 
     /// Sets room on a machine aside.
-    pub fn hold(&mut self, machine: usize, hold: Hold) {
-        let holds = &mut self.machines[machine].holds;
-        let before = holds.partition_point(|h| h.at <= hold.at);
-        holds.insert(before, hold);
+    pub fn reserve(&mut self, machine: usize, reservation: Reservation) {
+        let reservations = &mut self.machines[machine].reservations;
+        let before = reservations.partition_point(|h| h.at <= reservation.at);
+        reservations.insert(before, reservation);
         self.forget(machine);
     }
 
@@ -291,17 +294,17 @@
     pub fn occupy_for_now(
         &mut self,
         machine: usize,
-        need: &Need,
+        resources: &Resources,
         start: f64,
         end: f64,
-    ) -> Vec<Chunk> {
-        let chunks = self.machines[machine].chunks.clone();
-        self.occupy(machine, need, start, end);
-        chunks
+    ) -> Vec<FreeSlot> {
+        let free_slots = self.machines[machine].free_slots.clone();
+        self.occupy(machine, resources, start, end);
+        free_slots
     }
 
-    pub fn restore(&mut self, machine: usize, chunks: Vec<Chunk>) {
-        self.machines[machine].chunks = chunks;
+    pub fn restore(&mut self, machine: usize, free_slots: Vec<FreeSlot>) {
+        self.machines[machine].free_slots = free_slots;
         self.forget(machine);
     }
 
--- a/src/placement/index/tests.rs
+++ b/src/placement/index/tests.rs
@@ -1,6 +1,6 @@
-use super::super::gang::gang_places;
+use super::super::gang::gang_slots;
 use super::super::tests::{job, machine};
-use super::super::{Chunk, JobView, MachineView, SLACK, Zones};
+use super::super::{FreeSlot, JobSnapshot, MachineSnapshot, SLACK, TasksByZone};
 use super::*;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -12,10 +12,10 @@
 
     type Found = (f64, Vec<(usize, f64)>);
 
-    pub fn gang_places(
-        job: &JobView,
+    pub fn gang_slots(
+        job: &JobSnapshot,
         size: usize,
-        machines: &[MachineView],
+        machines: &[MachineSnapshot],
     ) -> Option<Vec<(usize, f64)>> {
         let zones: BTreeSet<u32> = machines.iter().map(|m| m.zone).collect();
         let zones: Vec<Option<u32>> = match job.one_zone {
@@ -46,9 +46,9 @@
 
     /// Machine and start of each place, the earliest end first and the emptiest machine among equals.
     fn ordered_places(
-        job: &JobView,
+        job: &JobSnapshot,
         size: usize,
-        machines: &[MachineView],
+        machines: &[MachineSnapshot],
         zone: Option<u32>,
     ) -> Vec<(usize, f64)> {
         let mut places = Vec::new();
@@ -56,10 +56,10 @@
             if zone.is_some_and(|z| z != machine.zone) || !job.may_use(machine) {
                 continue;
             }
-            let mut all = Need::default();
+            let mut all = Resources::default();
             for _ in 0..size {
-                all.add(&job.need);
-                if let Some(start) = machine.start_for(&all) {
+                all.add(&job.resources);
+                if let Some(start) = machine.earliest_start(&all) {
                     let end = start + fetch_and_run(job, machine);
                     places.push((end.round() as u64, machine.emptiness(), index, start));
                 }
@@ -69,21 +69,21 @@
         places.into_iter().map(|p| (p.2, p.3)).collect()
     }
 
-    fn fetch_and_run(job: &JobView, machine: &MachineView) -> f64 {
+    fn fetch_and_run(job: &JobSnapshot, machine: &MachineSnapshot) -> f64 {
         machine.fetch_time(job) + job.duration * machine.slowness
     }
 
     fn take(
-        job: &JobView,
+        job: &JobSnapshot,
         size: usize,
-        machines: &[MachineView],
+        machines: &[MachineSnapshot],
         places: &[(usize, f64)],
     ) -> Option<Found> {
-        let mut zones = Zones::new();
+        let mut zones = TasksByZone::new();
         let mut taken = Vec::new();
         for (index, start) in places {
             let zone = machines[*index].zone;
-            if taken.len() < size && job.may_enter(&zones, zone) {
+            if taken.len() < size && job.may_add_in_zone(&zones, zone) {
                 *zones.entry(zone).or_default() += 1;
                 taken.push((*index, *start));
             }
@@ -95,26 +95,26 @@
     }
 }
 
-fn draw_machine(number: u32, rng: &mut StdRng) -> MachineView {
+fn draw_machine(number: u32, rng: &mut StdRng) -> MachineSnapshot {
     let mut view = machine(&format!("vm-{number}"), 0.0, 16.0);
     view.kind = rng.random_range(0..2);
     view.zone = rng.random_range(0..3);
     view.spot = rng.random_bool(0.3);
     view.images = (0..3).filter(|_| rng.random_bool(0.5)).collect();
     let busy = f64::from(rng.random_range(0..16));
-    view.chunks[0].room.cpus = 16.0 - busy;
+    view.free_slots[0].available.cpus = 16.0 - busy;
     if busy > 0.0 {
-        let room = Need {
+        let available = Resources {
             cpus: busy,
-            ..Need::default()
+            ..Resources::default()
         };
         let at = f64::from(rng.random_range(1..60));
-        view.chunks.push(Chunk { at, room });
+        view.free_slots.push(FreeSlot { at, available });
     }
     view
 }
 
-fn draw_gang(rng: &mut StdRng) -> JobView {
+fn draw_gang(rng: &mut StdRng) -> JobSnapshot {
     let size = rng.random_range(1..=8);
     let cpus = [3.0, 7.0, 15.0][rng.random_range(0..3)];
     let mut gang = job("gang", cpus, size, 0.0);
@@ -147,8 +147,8 @@
         for _ in 0..30 {
             let gang = draw_gang(&mut rng);
             let size = gang.waiting.len();
-            let expected = plain::gang_places(&gang, size, index.machines());
-            let found = gang_places(&gang, size, &mut index, &mut 0);
+            let expected = plain::gang_slots(&gang, size, index.machines());
+            let found = gang_slots(&gang, size, &mut index, &mut 0);
             let found = found.map(|places| -> Vec<(usize, f64)> {
                 places.iter().map(|p| (p.machine, p.start)).collect()
             });
@@ -159,13 +159,13 @@
             found_some += 1;
             for (machine, start) in places {
                 if rng.random_bool(0.5) {
-                    index.occupy(machine, &gang.need, start, start + gang.duration);
+                    index.occupy(machine, &gang.resources, start, start + gang.duration);
                 } else {
-                    index.hold(
+                    index.reserve(
                         machine,
-                        Hold {
+                        Reservation {
                             at: start,
-                            need: gang.need,
+                            resources: gang.resources,
                             job: 0,
                         },
                     );
@@ -182,12 +182,13 @@
     let mut machines = vec![machine("a", 0.0, 16.0), machine("b", 5.0, 8.0)];
     let mut index = MachineIndex::new(&mut machines);
     for tenths in 1..=200 {
-        let need = Need {
+        let resources = Resources {
             cpus: f64::from(tenths) / 10.0,
-            ..Need::default()
+            ..Resources::default()
         };
-        let id = index.start_times(&need, 1)[0];
-        let expected = |at: f64, room: f64| (need.cpus <= room + SLACK).then_some(at);
+        let id = index.start_times(&resources, 1)[0];
+        let expected =
+            |at: f64, available: f64| (resources.cpus <= available + SLACK).then_some(at);
         assert_eq!(index.start(id, 0), expected(0.0, 16.0));
         assert_eq!(index.start(id, 1), expected(5.0, 8.0));
         assert!(index.start_times.len() <= MOST_NEEDS);
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -3,15 +3,15 @@
 //! would then be late. `now` places what can start at once, many times a second; `forecast` maps
 //! all that waits, once a period, to predict misses.
 
-pub mod cache;
 pub mod forecast;
 mod gang;
 mod index;
-pub mod now;
-pub mod preempt;
-pub mod rooms;
+pub mod packing;
+pub mod preemption;
+pub mod quota_headroom;
 pub mod service;
-pub mod views;
+pub mod snapshot;
+pub mod snapshot_cache;
 
 use crate::jobs::Urgency;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -19,7 +19,7 @@
 
 /// What a task takes of its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Need {
+pub struct Resources {
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
@@ -27,27 +27,27 @@
 
 const SLACK: f64 = 1e-6;
 
-impl Need {
-    pub fn fits(&self, room: &Need) -> bool {
-        self.cpus <= room.cpus + SLACK
-            && self.gpus <= room.gpus + SLACK
-            && self.memory_gb <= room.memory_gb + SLACK
+impl Resources {
+    pub fn fits(&self, available: &Resources) -> bool {
+        self.cpus <= available.cpus + SLACK
+            && self.gpus <= available.gpus + SLACK
+            && self.memory_gb <= available.memory_gb + SLACK
     }
 
-    pub fn add(&mut self, other: &Need) {
+    pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
-    pub fn sub(&mut self, other: &Need) {
+    pub fn sub(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
 
-    pub fn times(&self, n: f64) -> Need {
-        Need {
+    pub fn scaled(&self, n: f64) -> Resources {
+        Resources {
             cpus: self.cpus * n,
             gpus: self.gpus * n,
             memory_gb: self.memory_gb * n,
@@ -55,35 +55,41 @@
     }
 
     /// The part of a machine's room that this fills: its scarcest resource decides.
-    pub fn share(&self, room: &Need) -> f64 {
-        let part = |need: f64, room: f64| if room > 0.0 { need / room } else { 0.0 };
-        part(self.cpus, room.cpus)
-            .max(part(self.gpus, room.gpus))
-            .max(part(self.memory_gb, room.memory_gb))
+    pub fn dominant_share(&self, available: &Resources) -> f64 {
+        let part = |resources: f64, available: f64| {
+            if available > 0.0 {
+                resources / available
+            } else {
+                0.0
+            }
+        };
+        part(self.cpus, available.cpus)
+            .max(part(self.gpus, available.gpus))
+            .max(part(self.memory_gb, available.memory_gb))
     }
 
     fn is_empty(&self) -> bool {
         self.cpus <= SLACK && self.gpus <= SLACK && self.memory_gb <= SLACK
     }
 
-    fn take_from(&mut self, room: &mut Need) {
-        let part = Need {
-            cpus: self.cpus.min(room.cpus).max(0.0),
-            gpus: self.gpus.min(room.gpus).max(0.0),
-            memory_gb: self.memory_gb.min(room.memory_gb).max(0.0),
+    fn consume_from(&mut self, available: &mut Resources) {
+        let part = Resources {
+            cpus: self.cpus.min(available.cpus).max(0.0),
+            gpus: self.gpus.min(available.gpus).max(0.0),
+            memory_gb: self.memory_gb.min(available.memory_gb).max(0.0),
         };
         self.sub(&part);
-        room.sub(&part);
+        available.sub(&part);
     }
 }
 
 /// Names as small numbers: kinds, zones and images are compared many times for each placing.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct NameTable {
     numbers: HashMap<String, u32>,
 }
 
-impl Names {
+impl NameTable {
     pub fn number(&mut self, name: &str) -> u32 {
         if let Some(number) = self.numbers.get(name) {
             return *number;
@@ -96,28 +102,28 @@
 
 /// Room that comes free at a time, in seconds from now.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Chunk {
+pub struct FreeSlot {
     pub at: f64,
-    pub room: Need,
+    pub available: Resources,
 }
 
 /// Room set aside from a time on for work that cannot start yet.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Hold {
+pub struct Reservation {
     pub at: f64,
-    pub need: Need,
+    pub resources: Resources,
     pub job: usize,
 }
 
 #[derive(Debug, Clone)]
-pub struct MachineView {
+pub struct MachineSnapshot {
     pub name: Arc<str>,
     pub kind: u32,
     pub zone: u32,
     pub spot: bool,
     /// Free room and the room of running tasks, by when it comes free. A booting machine's room
     /// is free from its expected boot.
-    pub chunks: Vec<Chunk>,
+    pub free_slots: Vec<FreeSlot>,
     /// Images that it has or is fetching.
     pub images: Vec<u32>,
     pub fetch_gb_per_s: f64,
@@ -127,48 +133,48 @@
     pub cpus_per_gpu: f64,
     /// An hour's price.
     pub price: f64,
-    pub holds: Vec<Hold>,
+    pub reservations: Vec<Reservation>,
     /// The only job that may use it for now: it is being cleared for that one.
-    pub kept_for: Option<usize>,
+    pub reserved_for: Option<usize>,
 }
 
-impl MachineView {
+impl MachineSnapshot {
     /// Room that is free from `at` on, as long as nothing more is put there.
-    fn room_at(&self, at: f64) -> Need {
-        let mut room = Need::default();
-        for chunk in self.chunks.iter().take_while(|c| c.at <= at + SLACK) {
-            room.add(&chunk.room);
+    fn free_at(&self, at: f64) -> Resources {
+        let mut available = Resources::default();
+        for slot in self.free_slots.iter().take_while(|c| c.at <= at + SLACK) {
+            available.add(&slot.available);
         }
-        room
+        available
     }
 
     /// The part of its room that is free now, as a small tie-breaker between equal prices.
     fn emptiness(&self) -> f64 {
-        let free = self.room_at(0.0);
-        let all = self.room_at(f64::INFINITY);
+        let free = self.free_at(0.0);
+        let all = self.free_at(f64::INFINITY);
         let part = |free: f64, all: f64| if all > SLACK { free / all } else { 0.0 };
         (part(free.cpus, all.cpus) + part(free.gpus, all.gpus)) * 0.001
     }
 
     /// Whether so much fits into that room, with what GPU machines keep for their GPUs.
-    fn takes(&self, need: &Need, room: &Need) -> bool {
-        let kept = match need.gpus {
-            0.0 => room.gpus * self.cpus_per_gpu,
+    fn takes(&self, resources: &Resources, available: &Resources) -> bool {
+        let kept = match resources.gpus {
+            0.0 => available.gpus * self.cpus_per_gpu,
             _ => 0.0,
         };
-        need.fits(room) && need.cpus + kept <= room.cpus + SLACK
+        resources.fits(available) && resources.cpus + kept <= available.cpus + SLACK
     }
 
     /// The earliest time at which so much is free, beside all that is set aside.
-    fn start_for(&self, need: &Need) -> Option<f64> {
-        let mut room = Need::default();
-        for hold in &self.holds {
-            room.sub(&hold.need);
+    fn earliest_start(&self, resources: &Resources) -> Option<f64> {
+        let mut available = Resources::default();
+        for reservation in &self.reservations {
+            available.sub(&reservation.resources);
         }
-        for chunk in &self.chunks {
-            room.add(&chunk.room);
-            if self.takes(need, &room) {
-                return Some(chunk.at);
+        for slot in &self.free_slots {
+            available.add(&slot.available);
+            if self.takes(resources, &available) {
+                return Some(slot.at);
             }
         }
         None
@@ -177,40 +183,40 @@
     /// Whether a task that would start now and end then leaves what is set aside untouched: the
     /// paper has no such work, but what waits for a gang's last machine is used meanwhile by what
     /// ends before (backfill).
-    fn leaves_holds(&self, need: &Need, end: f64) -> bool {
-        let mut held = Need::default();
-        self.holds.iter().all(|hold| {
-            held.add(&hold.need);
-            if hold.at >= end {
+    fn respects_reservations(&self, resources: &Resources, end: f64) -> bool {
+        let mut reserved = Resources::default();
+        self.reservations.iter().all(|reservation| {
+            reserved.add(&reservation.resources);
+            if reservation.at >= end {
                 return true;
             }
-            let mut room = self.room_at(hold.at);
-            room.sub(&held);
-            need.fits(&room)
+            let mut available = self.free_at(reservation.at);
+            available.sub(&reserved);
+            resources.fits(&available)
         })
     }
 
     /// Takes room for a task that starts and ends then: latest chunks first, so that what is
     /// free now stays free for others.
-    fn occupy(&mut self, need: &Need, start: f64, end: f64) {
-        let mut wanted = *need;
-        for chunk in self.chunks.iter_mut().rev() {
-            if chunk.at <= start + SLACK {
-                wanted.take_from(&mut chunk.room);
+    fn occupy(&mut self, resources: &Resources, start: f64, end: f64) {
+        let mut wanted = *resources;
+        for slot in self.free_slots.iter_mut().rev() {
+            if slot.at <= start + SLACK {
+                wanted.consume_from(&mut slot.available);
             }
         }
-        self.chunks.retain(|c| !c.room.is_empty());
-        let place = self.chunks.partition_point(|c| c.at <= end);
-        self.chunks.insert(
+        self.free_slots.retain(|c| !c.available.is_empty());
+        let place = self.free_slots.partition_point(|c| c.at <= end);
+        self.free_slots.insert(
             place,
-            Chunk {
+            FreeSlot {
                 at: end,
-                room: *need,
+                available: *resources,
             },
         );
     }
 
-    fn fetch_time(&self, job: &JobView) -> f64 {
+    fn fetch_time(&self, job: &JobSnapshot) -> f64 {
         if self.images.contains(&job.image) {
             0.0
         } else {
@@ -226,22 +232,22 @@
 }
 
 /// How many tasks of a job are in each zone.
-pub type Zones = BTreeMap<u32, u32>;
+pub type TasksByZone = BTreeMap<u32, u32>;
 
 /// What a job's time is about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum By {
+pub enum Milestone {
     Start,
-    End,
+    Finish,
 }
 
 #[derive(Debug, Clone)]
-pub struct JobView {
+pub struct JobSnapshot {
     pub id: String,
     /// Its place among the jobs of this mapping.
     pub index: usize,
     pub gang: bool,
-    pub need: Need,
+    pub resources: Resources,
     /// Its task fills most of a machine: smaller work must not take the room piece by piece.
     pub large: bool,
     /// Kinds of machine that it may run on, best first.
@@ -252,10 +258,10 @@
     /// Most tasks that may be in one zone at a time.
     pub most_in_zone: u32,
     /// Tasks now on machines, by zone.
-    pub zones: Zones,
+    pub zones: TasksByZone,
     pub waiting: Arc<Vec<u32>>,
     /// Tasks that were started or are done: they count towards the startup tasks.
-    pub begun: u32,
+    pub started: u32,
     pub arrived: f64,
     /// All its team's unfinished jobs fit into the team's guarantee: it need not wait for others.
     pub guaranteed: bool,
@@ -264,10 +270,10 @@
     pub due: f64,
     /// The time after that one which it could still keep.
     pub next_due: f64,
-    pub by: By,
+    pub by: Milestone,
     pub duration: f64,
     /// Seconds after which a machine rented now would be up.
-    pub rented_in: f64,
+    pub provisioning_s: f64,
     pub image: u32,
     pub image_gb: f64,
     /// Its team's number among the rooms of limited teams; none if it has no limit.
@@ -275,37 +281,38 @@
     /// Machines on which it failed.
     pub avoid: HashSet<String>,
     /// Sorts of machine that are protected from it.
-    pub barred: Arc<BTreeSet<Sort>>,
+    pub excluded_pools: Arc<BTreeSet<PoolId>>,
 }
 
 /// A kind of machine in a zone, spot or not.
-pub type Sort = (u32, u32, bool);
+pub type PoolId = (u32, u32, bool);
 
-impl JobView {
+impl JobSnapshot {
     fn is_late(&self, start: f64, fetch: f64, end: f64) -> bool {
         match self.by {
-            By::Start => start + fetch > self.due,
-            By::End => end > self.due,
+            Milestone::Start => start + fetch > self.due,
+            Milestone::Finish => end > self.due,
         }
     }
 
     /// Whether it may run on a sort of machine, wherever its other tasks are.
-    fn may_use_sort(&self, kind: u32, zone: u32, spot: bool) -> bool {
+    fn may_use_pool(&self, kind: u32, zone: u32, spot: bool) -> bool {
         (!spot || self.spot)
             && self.kinds.contains(&kind)
             && self.zone.is_none_or(|z| z == zone)
-            && (self.barred.is_empty() || !self.barred.contains(&(kind, zone, spot)))
+            && (self.excluded_pools.is_empty()
+                || !self.excluded_pools.contains(&(kind, zone, spot)))
     }
 
     /// Whether a machine is one that it may run on, wherever its other tasks are.
-    fn may_use(&self, machine: &MachineView) -> bool {
-        self.may_use_sort(machine.kind, machine.zone, machine.spot)
-            && machine.kept_for.is_none_or(|job| job == self.index)
+    fn may_use(&self, machine: &MachineSnapshot) -> bool {
+        self.may_use_pool(machine.kind, machine.zone, machine.spot)
+            && machine.reserved_for.is_none_or(|job| job == self.index)
             && (self.avoid.is_empty() || !self.avoid.contains(&*machine.name))
     }
 
     /// Whether one more of its tasks may be in a zone.
-    fn may_enter(&self, zones: &Zones, zone: u32) -> bool {
+    fn may_add_in_zone(&self, zones: &TasksByZone, zone: u32) -> bool {
         if self.one_zone && zones.iter().any(|(z, n)| *n > 0 && *z != zone) {
             return false;
         }
@@ -316,12 +323,12 @@
 /// Ends within this part of the run time count as equal: estimates are not exact to the second.
 /// Among them the cheapest machine wins and then the fullest, so that others fall idle and go
 /// back.
-const NEAR: f64 = 0.05;
+const END_TOLERANCE: f64 = 0.05;
 
 /// Jobs in the order of the batch queue: by earliest time. Teams within their guarantee go first,
 /// and then the more urgent: what takes room that more urgent work waits for would only be
 /// stopped again to make it. A job that has waited too long to begin goes before all of them.
-pub fn batch_order(jobs: &[JobView]) -> Vec<usize> {
+pub fn batch_order(jobs: &[JobSnapshot]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..jobs.len()).collect();
     order.sort_by(|a, b| {
         let (a, b) = (&jobs[*a], &jobs[*b]);
@@ -330,12 +337,16 @@
     order
 }
 
-fn first(job: &JobView) -> (bool, bool, Urgency) {
-    (job.begun == 0 && job.due < 0.0, job.guaranteed, job.urgency)
+fn first(job: &JobSnapshot) -> (bool, bool, Urgency) {
+    (
+        job.started == 0 && job.due < 0.0,
+        job.guaranteed,
+        job.urgency,
+    )
 }
 
 /// Jobs in the order of the startup queue: by arrival.
-fn startup_order(jobs: &[JobView]) -> Vec<usize> {
+fn startup_order(jobs: &[JobSnapshot]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..jobs.len()).collect();
     order.sort_by(|a, b| jobs[*a].arrived.total_cmp(&jobs[*b].arrived));
     order
--- a/src/placement/now.rs
+++ b/src/placement/packing.rs
@@ -1,33 +1,33 @@
 //! What can start at once. Work follows the machines that have room, not the fleet's size; only
 //! gangs and tasks that fill a machine look further, to have room set aside for them.
 
-use super::gang::{Place, gang_places};
+use super::gang::{GangSlot, gang_slots};
 use super::index::MachineIndex;
-use super::rooms::TeamRooms;
+use super::quota_headroom::QuotaHeadroom;
 use super::{
-    By, Hold, JobView, MachineView, NEAR, Need, SLACK, Start, Zones, batch_order,
-    first as first_class, startup_order,
+    END_TOLERANCE, JobSnapshot, MachineSnapshot, Milestone, Reservation, Resources, SLACK, Start,
+    TasksByZone, batch_order, first as first_class, startup_order,
 };
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, HashSet};
 
 /// A job that found no room, and when it would if it waits.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Waits {
+pub struct Unplaced {
     pub job: usize,
     pub start: Option<f64>,
     /// Whether the room that it waits for is set aside: else smaller work would take it again.
-    pub held: bool,
+    pub reserved: bool,
 }
 
 #[derive(Debug, Default, Clone, PartialEq)]
-pub struct Placing {
+pub struct PlacementResult {
     pub starts: Vec<Start>,
-    pub waits: Vec<Waits>,
+    pub unplaced: Vec<Unplaced>,
     /// Gangs that wait for their team's limit alone, or nearly so: machines are free for them soon.
-    pub blocked: Vec<usize>,
+    pub quota_blocked_gangs: Vec<usize>,
     /// Machines looked at.
-    pub steps: u64,
+    pub machines_examined: u64,
 }
 
 /// Part of the machines that may be set aside at a time, for work that waits for room.
@@ -42,28 +42,28 @@
 
 struct Progress {
     next: usize,
-    begun: u32,
-    zones: Zones,
+    started: u32,
+    zones: TasksByZone,
     /// Nothing more of it can start now.
-    over: bool,
+    exhausted: bool,
     /// It cannot keep its earliest time any more, and goes by the next one.
-    put_off: bool,
+    deferred: bool,
 }
 
-struct Placer<'a> {
-    jobs: &'a [JobView],
+struct Packer<'a> {
+    jobs: &'a [JobSnapshot],
     progress: Vec<Progress>,
     /// What limited teams may still start.
-    rooms: TeamRooms,
+    headroom: QuotaHeadroom,
     reserve_after: f64,
     /// Limited teams of which a gang that has to wait for the limit has had its machines set aside.
     looked_ahead_for: HashSet<usize>,
     machines: MachineIndex<'a>,
     /// The room that each machine has now.
-    free: Vec<Need>,
-    held: usize,
+    free: Vec<Resources>,
+    reserved: usize,
     looked_ahead: usize,
-    out: Placing,
+    result: PlacementResult,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -117,18 +117,19 @@
     }
 }
 
-impl Placer<'_> {
-    fn left(&self, job: usize) -> usize {
+impl Packer<'_> {
+    fn remaining(&self, job: usize) -> usize {
         let progress = &self.progress[job];
-        match progress.over {
+        match progress.exhausted {
             true => 0,
             false => self.jobs[job].waiting.len() - progress.next,
         }
     }
 
     /// Of these, what its team's limit allows.
-    fn allowed(&self, job: usize) -> usize {
-        self.left(job).min(self.rooms.tasks(&self.jobs[job]))
+    fn permitted(&self, job: usize) -> usize {
+        self.remaining(job)
+            .min(self.headroom.tasks(&self.jobs[job]))
     }
 
     /// Machines where a task of the job could start now, best first.
@@ -136,18 +137,20 @@
         let view = &self.jobs[job];
         let zones = &self.progress[job].zones;
         let times = self.machines.task_times(view);
-        let mut steps = 0;
+        let mut machines_examined = 0;
         let mut found = Vec::new();
         for machine in self.machines.usable_open(view) {
-            steps += 1;
+            machines_examined += 1;
             let zone = self.machines.zone(machine);
-            if !view.need.fits(&self.free[machine]) || !view.may_enter(zones, zone) {
+            if !view.resources.fits(&self.free[machine]) || !view.may_add_in_zone(zones, zone) {
                 continue;
             }
             let at = &self.machines.machines()[machine];
             let fetch = times.fetch(machine);
             let end = fetch + times.run(machine);
-            if at.takes(&view.need, &self.free[machine]) && at.leaves_holds(&view.need, end) {
+            if at.takes(&view.resources, &self.free[machine])
+                && at.respects_reservations(&view.resources, end)
+            {
                 found.push(Candidate {
                     machine,
                     fetch,
@@ -155,9 +158,9 @@
                 });
             }
         }
-        self.out.steps += steps;
+        self.result.machines_examined += machines_examined;
         let first = found.iter().map(|f| f.end).fold(f64::INFINITY, f64::min);
-        let near = (view.duration * NEAR).max(SLACK);
+        let near = (view.duration * END_TOLERANCE).max(SLACK);
         let ranked = found.into_iter().map(|candidate| RankedCandidate {
             end_class: ((candidate.end - first) / near) as u64,
             price: self.machines.price(candidate.machine)
@@ -172,15 +175,15 @@
         let progress = &mut self.progress[job];
         let task = view.waiting[progress.next];
         progress.next += 1;
-        self.rooms.take(view, 1);
-        progress.begun += 1;
+        self.headroom.take(view, 1);
+        progress.started += 1;
         let zone = self.machines.zone(at.machine);
         *progress.zones.entry(zone).or_default() += 1;
         let end = at.end.max(0.001);
-        self.machines.occupy(at.machine, &view.need, 0.0, end);
+        self.machines.occupy(at.machine, &view.resources, 0.0, end);
         self.machines.use_image(at.machine, view.image);
-        self.free[at.machine].sub(&view.need);
-        self.out.starts.push(Start {
+        self.free[at.machine].sub(&view.resources);
+        self.result.starts.push(Start {
             job,
             task,
             machine: at.machine,
@@ -189,10 +192,10 @@
 
     /// Starts as many of a job's tasks as find room, `most` at the most.
     fn run(&mut self, job: usize, most: usize) {
-        let mut wanted = self.allowed(job).min(most);
+        let mut wanted = self.permitted(job).min(most);
         if wanted == 0 {
-            self.progress[job].over = true;
-            self.keep_room_for(job, 1);
+            self.progress[job].exhausted = true;
+            self.reserve_headroom_for(job, 1);
             return;
         }
         let candidates = self.candidates(job);
@@ -200,9 +203,9 @@
             while wanted > 0 {
                 let view = &self.jobs[job];
                 let machine = &self.machines.machines()[at.machine];
-                if !machine.takes(&view.need, &self.free[at.machine])
-                    || !view.may_enter(&self.progress[job].zones, machine.zone)
-                    || !machine.leaves_holds(&view.need, at.end)
+                if !machine.takes(&view.resources, &self.free[at.machine])
+                    || !view.may_add_in_zone(&self.progress[job].zones, machine.zone)
+                    || !machine.respects_reservations(&view.resources, at.end)
                 {
                     break;
                 }
@@ -213,40 +216,45 @@
                 return;
             }
         }
-        self.progress[job].over = true;
-        self.out.waits.push(Waits {
+        self.progress[job].exhausted = true;
+        self.result.unplaced.push(Unplaced {
             job,
             start: None,
-            held: false,
+            reserved: false,
         });
     }
 
     /// A gang's tasks start together or not at all. One that must wait, and a task that fills a
     /// machine, has room set aside: else smaller work would keep it waiting for ever.
-    fn run_whole(&mut self, job: usize) {
+    fn place_whole(&mut self, job: usize) {
         let view = &self.jobs[job];
         let size = match view.gang {
             true => view.waiting.len() - self.progress[job].next,
             false => 1,
         };
-        while self.left(job) >= size {
-            let is_limited = self.rooms.tasks(view) < size;
+        while self.remaining(job) >= size {
+            let is_limited = self.headroom.tasks(view) < size;
             if is_limited && !self.may_look_ahead_for(view, size) {
                 break;
             }
             if self.looked_ahead >= MOST_LOOKED_AHEAD {
                 break;
             }
-            let places = gang_places(view, size, &mut self.machines, &mut self.out.steps);
+            let places = gang_slots(
+                view,
+                size,
+                &mut self.machines,
+                &mut self.result.machines_examined,
+            );
             let places = places.filter(|p| self.zones_allow(job, p));
             let starts = places.iter().flatten().map(|p| p.start);
             let start = starts.fold(0.0, f64::max);
             let is_ready = places.is_some() && start <= READY_WITHIN_S;
             let starts_now = places.is_some() && start <= SLACK && !is_limited;
-            let waits_for_limit = is_limited || self.rooms.is_kept_for(view);
+            let waits_for_limit = is_limited || self.headroom.is_reserved_for(view);
             if !starts_now && waits_for_limit && (is_ready || self.must_not_wait(view, size)) {
-                self.rooms.close(view.team);
-                self.out.blocked.push(job);
+                self.headroom.close(view.team);
+                self.result.quota_blocked_gangs.push(job);
             }
             let Some(places) = places else {
                 break;
@@ -267,40 +275,42 @@
             if !is_limited
                 && view.due > 0.0
                 && view.next_due > view.due
-                && view.by == By::Start
+                && view.by == Milestone::Start
                 && start > view.due
-                && !self.progress[job].put_off
+                && !self.progress[job].deferred
             {
-                self.progress[job].put_off = true;
+                self.progress[job].deferred = true;
                 return;
             }
             self.looked_ahead += 1;
-            if self.held > 0 && (self.held + size) as f64 > self.free.len() as f64 * MOST_HELD {
+            if self.reserved > 0
+                && (self.reserved + size) as f64 > self.free.len() as f64 * MOST_HELD
+            {
                 break;
             }
-            self.held += size;
-            self.out.waits.push(Waits {
+            self.reserved += size;
+            self.result.unplaced.push(Unplaced {
                 job,
                 start: Some(start),
-                held: true,
+                reserved: true,
             });
             for place in places {
-                let hold = Hold {
+                let reservation = Reservation {
                     at: start,
-                    need: view.need,
+                    resources: view.resources,
                     job,
                 };
-                self.machines.hold(place.machine, hold);
+                self.machines.reserve(place.machine, reservation);
             }
             break;
         }
-        self.progress[job].over = true;
+        self.progress[job].exhausted = true;
     }
 
     /// Whether machines are set aside for work that waits for its team's limit: of each team for one job
     /// at a time, which has waited for long enough.
-    fn may_look_ahead_for(&mut self, job: &JobView, size: usize) -> bool {
-        let is_overdue = self.rooms.is_overdue(job, size, self.reserve_after);
+    fn may_look_ahead_for(&mut self, job: &JobSnapshot, size: usize) -> bool {
+        let is_overdue = self.headroom.is_overdue(job, size, self.reserve_after);
         is_overdue
             && job
                 .team
@@ -309,32 +319,32 @@
 
     /// Whether a gang has waited for so long that it has room kept for it before there are machines: none
     /// are rented for what its limit keeps waiting.
-    fn must_not_wait(&self, job: &JobView, size: usize) -> bool {
+    fn must_not_wait(&self, job: &JobSnapshot, size: usize) -> bool {
         let after = self.reserve_after * RESERVES_BEFORE_MACHINES;
-        self.rooms.is_overdue(job, size, after)
+        self.headroom.is_overdue(job, size, after)
     }
 
     /// A task that is larger than what its team has left, and that a machine could take now. Not where a
     /// gang has that kept for it.
-    fn keep_room_for(&mut self, job: usize, size: usize) {
+    fn reserve_headroom_for(&mut self, job: usize, size: usize) {
         let view = &self.jobs[job];
-        let is_overdue = self.rooms.is_overdue(view, size, self.reserve_after);
-        let is_kept = self.rooms.is_kept_from(view);
+        let is_overdue = self.headroom.is_overdue(view, size, self.reserve_after);
+        let is_kept = self.headroom.is_reserved_for_other(view);
         if is_overdue && !is_kept && self.candidates(job).next().is_some() {
-            self.rooms.close(view.team);
+            self.headroom.close(view.team);
         }
     }
 
     /// Array tasks in one zone, or spread, depend on where the others are.
-    fn zones_allow(&self, job: usize, places: &[Place]) -> bool {
+    fn zones_allow(&self, job: usize, places: &[GangSlot]) -> bool {
         let view = &self.jobs[job];
         view.gang
-            || places
-                .iter()
-                .all(|p| view.may_enter(&self.progress[job].zones, self.machines.zone(p.machine)))
+            || places.iter().all(|p| {
+                view.may_add_in_zone(&self.progress[job].zones, self.machines.zone(p.machine))
+            })
     }
 
-    fn is_whole(&self, job: usize) -> bool {
+    fn is_placed_whole(&self, job: usize) -> bool {
         self.jobs[job].gang || self.jobs[job].large
     }
 
@@ -357,80 +367,81 @@
         if let Some(other) = heads.next() {
             return !self.jobs[head].is_late(0.0, other.fetch, other.end);
         }
-        let mut room = self.free[alone.machine];
-        room.sub(&self.jobs[first].need);
+        let mut available = self.free[alone.machine];
+        available.sub(&self.jobs[first].resources);
         // It would wait for the startup task's end.
         let (wait, took) = (taken.end, alone.end - alone.fetch);
-        self.jobs[head].need.fits(&room) || !self.jobs[head].is_late(wait, 0.0, wait + took)
+        self.jobs[head].resources.fits(&available)
+            || !self.jobs[head].is_late(wait, 0.0, wait + took)
     }
 }
 
 /// What the teams' limits say of a mapping.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits<'a> {
-    pub rooms: &'a TeamRooms,
+pub struct PackingLimits<'a> {
+    pub headroom: &'a QuotaHeadroom,
     /// A gang that its team's limit has held up for so many seconds has what comes free kept for it.
     pub reserve_after: f64,
 }
 
 /// Starts what can start now, `most` tasks at the most. `startup_count` tasks of each job are
 /// startup tasks.
-pub fn place(
-    jobs: &[JobView],
-    machines: &mut [MachineView],
-    limits: Limits,
+pub fn pack(
+    jobs: &[JobSnapshot],
+    machines: &mut [MachineSnapshot],
+    limits: PackingLimits,
     startup_count: u32,
     most: usize,
-) -> Placing {
+) -> PlacementResult {
     let mut batch = batch_order(jobs);
     let least = jobs
         .iter()
-        .map(|j| j.need.cpus)
+        .map(|j| j.resources.cpus)
         .fold(f64::INFINITY, f64::min);
-    let free: Vec<Need> = machines.iter().map(|m| m.room_at(0.0)).collect();
+    let free: Vec<Resources> = machines.iter().map(|m| m.free_at(0.0)).collect();
     let mut machines = MachineIndex::new(machines);
     machines.open(|m| free[m].cpus + SLACK >= least && free[m].memory_gb > 0.0);
-    let mut placer = Placer {
+    let mut packer = Packer {
         jobs,
         progress: jobs
             .iter()
             .map(|job| Progress {
                 next: 0,
-                begun: job.begun,
+                started: job.started,
                 zones: job.zones.clone(),
-                over: false,
-                put_off: false,
+                exhausted: false,
+                deferred: false,
             })
             .collect(),
         reserve_after: limits.reserve_after,
         looked_ahead_for: HashSet::new(),
-        rooms: limits.rooms.clone(),
+        headroom: limits.headroom.clone(),
         machines,
         free,
-        held: 0,
+        reserved: 0,
         looked_ahead: 0,
-        out: Placing::default(),
+        result: PlacementResult::default(),
     };
     let startup = startup_order(jobs);
     let (mut batch_at, mut startup_at) = (0, 0);
     let mut starts_seen = 0;
-    while placer.out.starts.len() < most {
-        if placer.out.starts.len() > starts_seen {
-            starts_seen = placer.out.starts.len();
-            let free = &placer.free;
-            placer
+    while packer.result.starts.len() < most {
+        if packer.result.starts.len() > starts_seen {
+            starts_seen = packer.result.starts.len();
+            let free = &packer.free;
+            packer
                 .machines
                 .retain_open(|m| free[m].cpus + SLACK >= least);
         }
-        while batch_at < jobs.len() && placer.left(batch[batch_at]) == 0 {
+        while batch_at < jobs.len() && packer.remaining(batch[batch_at]) == 0 {
             batch_at += 1;
         }
-        let in_startup = |placer: &Placer, job: usize| {
-            placer.allowed(job) > 0
-                && placer.progress[job].begun < startup_count
-                && !placer.is_whole(job)
+        let in_startup = |packer: &Packer, job: usize| {
+            packer.permitted(job) > 0
+                && packer.progress[job].started < startup_count
+                && !packer.is_placed_whole(job)
         };
-        while startup_at < jobs.len() && !in_startup(&placer, startup[startup_at]) {
+        while startup_at < jobs.len() && !in_startup(&packer, startup[startup_at]) {
             startup_at += 1;
         }
         let Some(&head) = batch.get(batch_at) else {
@@ -438,13 +449,13 @@
         };
         let first = startup.get(startup_at).copied();
         if let Some(first) = first.filter(|f| *f != head)
-            && !placer.is_whole(head)
-            && placer.startup_may_pass(first, head)
+            && !packer.is_placed_whole(head)
+            && packer.startup_may_pass(first, head)
         {
-            placer.run(first, 1);
-        } else if placer.is_whole(head) {
-            placer.run_whole(head);
-            if placer.progress[head].put_off && !placer.progress[head].over {
+            packer.run(first, 1);
+        } else if packer.is_placed_whole(head) {
+            packer.place_whole(head);
+            if packer.progress[head].deferred && !packer.progress[head].exhausted {
                 let job = &jobs[head];
                 let later = |other: &usize| {
                     let other = &jobs[*other];
@@ -456,9 +467,9 @@
                 batch[batch_at..=place].rotate_left(1);
             }
         } else {
-            let left = most - placer.out.starts.len();
-            placer.run(head, left);
+            let remaining = most - packer.result.starts.len();
+            packer.run(head, remaining);
         }
     }
-    placer.out
+    packer.result
 }
--- a/src/placement/preempt/tests.rs
+++ b/src/placement/preemption/tests.rs
@@ -5,11 +5,11 @@
 #[test]
 fn only_lower_priority_gives_way_and_least_is_lost() {
     let mut urgent = job("urgent", 3.0, 1, 20.0);
-    urgent.by = super::super::By::Start;
-    let occupant = |id: &str, urgency, lost_s| Occupant {
+    urgent.by = super::super::Milestone::Start;
+    let running_task = |id: &str, urgency, lost_s| RunningTask {
         id: (id.to_string(), 0),
         attempt: 1,
-        need: Need {
+        resources: Resources {
             cpus: 2.0,
             gpus: 0.0,
             memory_gb: 1.0,
@@ -18,24 +18,24 @@
         borrowing: true,
         lost_s,
         grace_s: 0.0,
-        fixed: false,
+        not_preemptible: false,
     };
     let machines = vec![machine("far", 0.0, 1.0), machine("near", 0.0, 1.0)];
     let low = Urgency::BestEffort;
-    let occupants = BTreeMap::from([
-        ("far".to_string(), vec![occupant("old", low, 50.0)]),
+    let running_tasks = BTreeMap::from([
+        ("far".to_string(), vec![running_task("old", low, 50.0)]),
         (
             "near".to_string(),
             vec![
-                occupant("equal", Urgency::Standard, 1.0),
-                occupant("young", low, 2.0),
+                running_task("equal", Urgency::Standard, 1.0),
+                running_task("young", low, 2.0),
             ],
         ),
     ]);
-    let late = [Waits {
+    let late = [Unplaced {
         job: 0,
         start: None,
-        held: false,
+        reserved: false,
     }];
     let mut trace = String::new();
     for (what, guaranteed, due) in [
@@ -43,17 +43,17 @@
         ("within its guarantee", true, 20.0),
         ("late whatever is stopped", false, 2.0),
     ] {
-        let claim = Claim {
+        let request = PreemptionRequest {
             urgency: Urgency::Standard,
             guaranteed,
         };
         urgent.due = due;
-        let stops = choose(
+        let stops = plan_preemption(
             &[urgent.clone()],
-            &[claim],
+            &[request],
             &late,
             &machines,
-            &|name| occupants[name].clone(),
+            &|name| running_tasks[name].clone(),
             3.0,
             2,
         );
--- a/src/placement/scale_tests.rs
+++ b/src/placement/scale_tests.rs
@@ -1,9 +1,9 @@
 //! Decisions at the size of the deployments, kept as traces: what speeds placement up must not change
 //! what it decides.
 
-use super::forecast::forecast;
-use super::now::place;
-use super::rooms::TeamRooms;
+use super::forecast::{JobForecast, forecast};
+use super::packing::pack;
+use super::quota_headroom::QuotaHeadroom;
 use super::tests::unlimited;
 use super::*;
 use rand::rngs::StdRng;
@@ -64,7 +64,7 @@
 const IMAGES: u32 = 10;
 
 impl Scene {
-    fn draw(&self, seed: u64) -> (Vec<JobView>, Vec<MachineView>) {
+    fn draw(&self, seed: u64) -> (Vec<JobSnapshot>, Vec<MachineSnapshot>) {
         let mut rng = StdRng::seed_from_u64(seed);
         let machines = (0..self.machines).map(|n| self.machine(n, &mut rng));
         let machines = machines.collect();
@@ -86,7 +86,7 @@
         (jobs, machines)
     }
 
-    fn machine(&self, number: u32, rng: &mut StdRng) -> MachineView {
+    fn machine(&self, number: u32, rng: &mut StdRng) -> MachineSnapshot {
         let kind = if rng.random_bool(0.3) {
             WITH_GPUS
         } else {
@@ -110,54 +110,54 @@
             0
         };
         let busy = f64::from(busy);
-        let room = |cpus: f64, gpus: f64, memory_gb: f64| Need {
+        let available = |cpus: f64, gpus: f64, memory_gb: f64| Resources {
             cpus,
             gpus,
             memory_gb,
         };
-        let free = room(16.0 - busy, gpus, 64.0 - busy * 2.4);
-        machine.chunks = vec![Chunk {
+        let free = available(16.0 - busy, gpus, 64.0 - busy * 2.4);
+        machine.free_slots = vec![FreeSlot {
             at: boots_until,
-            room: free,
+            available: free,
         }];
         if busy > 0.0 {
             let ends = boots_until + rng.random_range(1.0..120.0);
-            machine.chunks.push(Chunk {
+            machine.free_slots.push(FreeSlot {
                 at: ends,
-                room: room(busy, 0.0, busy * 2.4),
+                available: available(busy, 0.0, busy * 2.4),
             });
         }
         machine
     }
 
-    fn gang(&self, size: u32, rng: &mut StdRng) -> JobView {
+    fn gang(&self, size: u32, rng: &mut StdRng) -> JobSnapshot {
         let mut job = super::tests::job("", 15.0, size, 0.0);
         job.gang = true;
         job.large = true;
-        job.need.memory_gb = 51.0;
+        job.resources.memory_gb = 51.0;
         job.one_zone = true;
         job.kinds = vec![PLAIN, WITH_GPUS];
-        job.by = By::Start;
+        job.by = Milestone::Start;
         self.vary(&mut job, 90.0, rng);
         job
     }
 
-    fn array(&self, kind: u32, rng: &mut StdRng) -> JobView {
+    fn array(&self, kind: u32, rng: &mut StdRng) -> JobSnapshot {
         let tasks = rng.random_range(1..=self.largest_array);
         let mut job = super::tests::job("", 1.0, tasks, 0.0);
-        job.need.memory_gb = 2.4;
+        job.resources.memory_gb = 2.4;
         job.kinds = vec![PLAIN, WITH_GPUS];
         if kind == WITH_GPUS {
             job.kinds = vec![WITH_GPUS];
-            job.need.cpus = rng.random_range(4.0..8.0);
-            job.need.gpus = 1.0;
-            job.need.memory_gb = 30.0;
+            job.resources.cpus = rng.random_range(4.0..8.0);
+            job.resources.gpus = 1.0;
+            job.resources.memory_gb = 30.0;
         }
         self.vary(&mut job, 40.0, rng);
         job
     }
 
-    fn vary(&self, job: &mut JobView, seconds: f64, rng: &mut StdRng) {
+    fn vary(&self, job: &mut JobSnapshot, seconds: f64, rng: &mut StdRng) {
         job.duration = seconds * rng.random_range(0.5..2.0);
         job.due = rng.random_range(-20.0..150.0);
         job.next_due = job.due + rng.random_range(0.0..150.0);
@@ -165,9 +165,9 @@
         job.image = rng.random_range(0..IMAGES);
         job.image_gb = rng.random_range(1.0..6.0);
         job.spot = rng.random_bool(0.8);
-        job.rented_in = 27.5;
+        job.provisioning_s = 27.5;
         if rng.random_bool(0.2) {
-            job.begun = 1;
+            job.started = 1;
         }
         if rng.random_bool(0.1) {
             job.zone = Some(rng.random_range(0..self.zones));
@@ -190,7 +190,7 @@
     let (jobs, machines) = scene.draw(seed);
     let mut all = String::new();
     let mut text = String::new();
-    let placed = place(&jobs, &mut machines.clone(), unlimited(), 2, 400);
+    let placed = pack(&jobs, &mut machines.clone(), unlimited(), 2, 400);
     for start in &placed.starts {
         writeln!(all, "{} {} {}", start.job, start.task, start.machine).unwrap();
     }
@@ -208,20 +208,18 @@
         of(false)
     )
     .unwrap();
-    let held = placed.waits.iter().filter(|w| w.held).count();
+    let reserved = placed.unplaced.iter().filter(|job| job.reserved).count();
     writeln!(
         text,
-        "waits: {}, with room set aside: {held}",
-        placed.waits.len()
+        "waits: {}, with room set aside: {reserved}",
+        placed.unplaced.len()
     )
     .unwrap();
-    for wait in &placed.waits {
-        writeln!(all, "{} {:?} {}", wait.job, wait.start, wait.held).unwrap();
+    for wait in &placed.unplaced {
+        writeln!(all, "{} {:?} {}", wait.job, wait.start, wait.reserved).unwrap();
     }
-    let predicted = forecast(&jobs, &machines, &TeamRooms::default(), 2);
-    let sum = |of: &dyn Fn(&super::forecast::Mapped) -> u32| -> u32 {
-        predicted.mapped.iter().map(of).sum()
-    };
+    let predicted = forecast(&jobs, &machines, &QuotaHeadroom::default(), 2);
+    let sum = |of: &dyn Fn(&JobForecast) -> u32| -> u32 { predicted.mapped.iter().map(of).sum() };
     let (tasks, late, helped) = (sum(&|m| m.tasks), sum(&|m| m.late), sum(&|m| m.helped));
     writeln!(
         text,
@@ -230,7 +228,13 @@
     .unwrap();
     writeln!(text, "machines with work: {}", predicted.used.len()).unwrap();
     for mapped in &predicted.mapped {
-        writeln!(all, "{mapped:?}").unwrap();
+        let JobForecast {
+            tasks,
+            late,
+            helped,
+        } = mapped;
+        let counts = format!("Mapped {{ tasks: {tasks}, late: {late}, helped: {helped} }}");
+        writeln!(all, "{counts}").unwrap();
     }
     writeln!(text, "checksum: {:016x}", checksum(&all)).unwrap();
     text
@@ -268,19 +272,21 @@
         let (jobs, machines) = scene.draw(1);
         let rounds = 20;
         let began = std::time::Instant::now();
-        let mut steps = 0;
+        let mut machines_examined = 0;
         for _ in 0..rounds {
-            steps += place(&jobs, &mut machines.clone(), unlimited(), 2, 400).steps;
+            machines_examined +=
+                pack(&jobs, &mut machines.clone(), unlimited(), 2, 400).machines_examined;
         }
         let placing = began.elapsed() / rounds;
         let began = std::time::Instant::now();
         for _ in 0..rounds {
-            steps += forecast(&jobs, &machines, &TeamRooms::default(), 2).steps;
+            machines_examined +=
+                forecast(&jobs, &machines, &QuotaHeadroom::default(), 2).machines_examined;
         }
         let forecasting = began.elapsed() / rounds;
         println!(
             "{name}: placing {placing:?}, forecast {forecasting:?}, steps {}",
-            steps / u64::from(rounds)
+            machines_examined / u64::from(rounds)
         );
     }
 }
--- a/src/placement/service.rs
+++ b/src/placement/service.rs
@@ -1,6 +1,6 @@
 //! The placing loop: plans starts, and has them recorded before anything acts on them.
 
-use super::{cache, now, preempt, views};
+use super::{packing, preemption, snapshot, snapshot_cache};
 use crate::jobs::{Entry, JobSpec, Urgency, writer};
 use crate::limits;
 use crate::membership;
@@ -90,29 +90,34 @@
 }
 
 /// Brings the views of machines and jobs up to date.
-fn look_at_all(node: &Node, core: &mut Core, now: Instant, now_ms: u64) -> Option<views::Views> {
+fn look_at_all(
+    node: &Node,
+    core: &mut Core,
+    now: Instant,
+    now_ms: u64,
+) -> Option<snapshot::ClusterSnapshot> {
     let _charge = node.processor_time.charge(CpuAccount::Snapshots);
     core.note_ownership(&node.me, now);
     if core.kinds.is_empty() {
         return None;
     }
     clear_gone(node, core);
-    cache::refresh_pulls(node, core, now);
-    core.metrics.rebuilt_snapshots += cache::refresh(core, &node.me, now, now_ms);
+    snapshot_cache::refresh_pulls(node, core, now);
+    core.metrics.rebuilt_snapshots += snapshot_cache::refresh(core, &node.me, now, now_ms);
     limits::refresh_usage(core);
-    Some(views::build(node, core, now, now_ms))
+    Some(snapshot::build(node, core, now, now_ms))
 }
 
 /// Plans starts of what can start now, and makes room for what cannot.
-fn plan_starts(node: &Node, core: &mut Core, views: &mut views::Views, now: Instant) {
+fn plan_starts(node: &Node, core: &mut Core, views: &mut snapshot::ClusterSnapshot, now: Instant) {
     let placing = {
         let _charge = node.processor_time.charge(CpuAccount::Placement);
         let startup = node.policy.startup_count;
-        let limits = now::Limits {
-            rooms: &views.rooms,
+        let limits = packing::PackingLimits {
+            headroom: &views.headroom,
             reserve_after: core.limits.gang_reservation_delay_s(),
         };
-        now::place(
+        packing::pack(
             &views.jobs,
             &mut views.machines,
             limits,
@@ -121,12 +126,15 @@
         )
     };
     let _charge = node.processor_time.charge(CpuAccount::Planning);
-    core.metrics.machines_examined += placing.steps;
+    core.metrics.machines_examined += placing.machines_examined;
     core.metrics.task_starts += placing.starts.len() as u64;
-    let blocked = placing.blocked.iter().map(|at| views.jobs[*at].id.clone());
+    let blocked = placing
+        .quota_blocked_gangs
+        .iter()
+        .map(|at| views.jobs[*at].id.clone());
     limits::record_blocked_gangs(core, blocked.collect());
     plan(core, views, &placing.starts);
-    make_room(node, core, views, &placing.waits, now);
+    make_room(node, core, views, &placing.unplaced, now);
 }
 
 /// Most machines on which room is made in a cycle.
@@ -135,11 +143,11 @@
 fn make_room(
     node: &Node,
     core: &mut Core,
-    views: &views::Views,
-    waits: &[now::Waits],
+    views: &snapshot::ClusterSnapshot,
+    unplaced: &[packing::Unplaced],
     now: Instant,
 ) {
-    for wait in waits.iter().filter(|w| w.held) {
+    for wait in unplaced.iter().filter(|w| w.reserved) {
         let job = &views.jobs[wait.job];
         let (tasks, start) = (job.waiting.len(), wait.start);
         tracing::debug!(
@@ -152,25 +160,25 @@
     }
     let running = core.replica.jobs.values().filter(|j| j.placed > 0);
     let lowest = running
-        .map(|j| views::urgency_of(core, &j.record.spec))
+        .map(|j| snapshot::urgency_of(core, &j.record.spec))
         .min();
     let lowest = lowest.unwrap_or(Urgency::Critical);
-    let may = |wait: &&now::Waits| {
-        let claim = &views.claims[wait.job];
-        claim.guaranteed || claim.urgency > lowest
+    let may = |wait: &&packing::Unplaced| {
+        let request = &views.preemption_requests[wait.job];
+        request.guaranteed || request.urgency > lowest
     };
-    let waits: Vec<now::Waits> = waits.iter().filter(may).cloned().collect();
-    if waits.is_empty() {
+    let unplaced: Vec<packing::Unplaced> = unplaced.iter().filter(may).cloned().collect();
+    if unplaced.is_empty() {
         return;
     }
-    let takes = views::STOP_TAKES_S + node.settings.params.workers.report_s;
-    let used = views::team_use(node, core);
-    let made = preempt::choose(
+    let takes = snapshot::STOP_TAKES_S + node.settings.params.workers.report_s;
+    let used = snapshot::team_use(node, core);
+    let made = preemption::plan_preemption(
         &views.jobs,
-        &views.claims,
-        &waits,
+        &views.preemption_requests,
+        &unplaced,
         &views.machines,
-        &|name| views::occupants(node, core, &used, name, now),
+        &|name| snapshot::running_tasks(node, core, &used, name, now),
         takes,
         MOST_CLEARED,
     );
@@ -180,7 +188,7 @@
     }
     for (job, machines) in made.cleared {
         let names = machines.iter().map(|m| views.machines[*m].name.clone());
-        core.views.keep_for(
+        core.views.reserve_for(
             &views.jobs[job].id,
             names.collect(),
             now + cleared_within(node),
@@ -201,8 +209,8 @@
         let machine = machine.clone();
         core.plans.touch_machine(&machine);
     }
-    let held = core.replica.entry(&id.0, id.1);
-    if !matches!(held, Entry::Placed { attempt: held, .. } if *held == attempt) {
+    let reserved = core.replica.entry(&id.0, id.1);
+    if !matches!(reserved, Entry::Placed { attempt: reserved, .. } if *reserved == attempt) {
         // Planned and in no record, nor on its way into one while a turn is being planned: it has
         // not begun and will not, so its room is free at once.
         core.unplan(&id);
@@ -309,7 +317,7 @@
     }
 }
 
-fn plan(core: &mut Core, views: &views::Views, starts: &[super::Start]) {
+fn plan(core: &mut Core, views: &snapshot::ClusterSnapshot, starts: &[super::Start]) {
     // All tasks of a gang take part in one attempt, by whose number they find one another.
     let mut gang_attempts = HashMap::new();
     let mut refused = HashSet::new();
@@ -342,7 +350,7 @@
                 last.max(attempts_above(core, &id.0)) + 1
             }
         };
-        let Some(spec) = cache::spec_of(core, &job.id) else {
+        let Some(spec) = snapshot_cache::spec_of(core, &job.id) else {
             continue;
         };
         let (image, image_gb) = (spec.image.clone(), spec.image_gb);
--- a/src/placement/views.rs
+++ b/src/placement/snapshot.rs
@@ -1,9 +1,9 @@
 //! From records and reports to what the mapping works on.
 
-use super::cache::{BOOT, Progress, spec_of, tasks_on};
-use super::preempt::{Claim, Occupant};
-use super::rooms::TeamRooms;
-use super::{By, JobView, MachineView, Need};
+use super::preemption::{PreemptionRequest, RunningTask};
+use super::quota_headroom::QuotaHeadroom;
+use super::snapshot_cache::{BOOT, Progress, spec_of, tasks_on};
+use super::{JobSnapshot, MachineSnapshot, Milestone, Resources};
 use crate::cells::protection::{exclusion_of, protected_pools};
 use crate::jobs::{Entry, JobRecord, JobSpec, Shape, Urgency};
 use crate::membership::assignment::spot_of;
@@ -28,7 +28,7 @@
 /// From this part of its class's largest job on, a job counts among the largest.
 const LARGEST_PART: f64 = 0.5;
 
-fn begin_within(spec: &JobSpec, size: f64, largest: f64) -> f64 {
+fn start_within(spec: &JobSpec, size: f64, largest: f64) -> f64 {
     let one_in = match size >= largest * LARGEST_PART {
         true => LARGEST_IN,
         false => OTHERS_IN,
@@ -36,22 +36,22 @@
     BEGIN_WITHIN_S * (1 + spot_of(&spec.id) % one_in) as f64
 }
 
-pub struct Views {
-    pub jobs: Vec<JobView>,
-    pub machines: Vec<MachineView>,
+pub struct ClusterSnapshot {
+    pub jobs: Vec<JobSnapshot>,
+    pub machines: Vec<MachineSnapshot>,
     /// Per job: the kind of machine that its tasks most need.
     pub pools: Vec<String>,
-    pub claims: Vec<Claim>,
+    pub preemption_requests: Vec<PreemptionRequest>,
     /// What limited teams may still start.
-    pub rooms: TeamRooms,
+    pub headroom: QuotaHeadroom,
     /// Jobs that fail everywhere, or whose room is all protected: no machine cures that, so they rent
     /// nothing.
-    pub hopeless: Vec<bool>,
+    pub unplaceable: Vec<bool>,
 }
 
 impl JobSpec {
-    pub fn need(&self) -> Need {
-        Need {
+    pub fn resources(&self) -> Resources {
+        Resources {
             cpus: self.cpus,
             gpus: self.gpus,
             memory_gb: self.memory_gb,
@@ -59,8 +59,8 @@
     }
 }
 
-pub fn room_of(kind: &crate::cloud::MachineType) -> Need {
-    Need {
+pub fn capacity_of(kind: &crate::cloud::MachineType) -> Resources {
+    Resources {
         cpus: kind.cpus,
         gpus: kind.gpus,
         memory_gb: kind.memory_gb,
@@ -68,11 +68,11 @@
 }
 
 /// Kinds that a task may run on, cheapest first.
-pub fn kinds_for(core: &Core, spec: &JobSpec) -> Vec<String> {
+pub fn eligible_machine_types(core: &Core, spec: &JobSpec) -> Vec<String> {
     let mut kinds: Vec<_> = core
         .kinds
         .iter()
-        .filter(|k| spec.need().fits(&room_of(k)))
+        .filter(|k| spec.resources().fits(&capacity_of(k)))
         .filter(|k| spec.types.as_ref().is_none_or(|t| t.contains(&k.name)))
         .filter(|k| spec.zone.as_ref().is_none_or(|z| k.zones.contains(z)))
         .collect();
@@ -92,7 +92,7 @@
 /// A job's time, in seconds after its arrival: the earliest of the aims on its class, and its own
 /// deadline, that it can still keep. One that has missed them all counts as undated: it no longer
 /// goes ahead of work that can still be in time.
-pub fn due_after(node: &Node, core: &Core, record: &JobRecord, age: f64) -> (f64, By) {
+pub fn due_after(node: &Node, core: &Core, record: &JobRecord, age: f64) -> (f64, Milestone) {
     dues(node, core, record, age)[0]
 }
 
@@ -103,19 +103,22 @@
 }
 
 /// All times that a job can still keep, the earliest first.
-fn dues(node: &Node, core: &Core, record: &JobRecord, age: f64) -> Vec<(f64, By)> {
+fn dues(node: &Node, core: &Core, record: &JobRecord, age: f64) -> Vec<(f64, Milestone)> {
     let spec = &record.spec;
     let expected = core.duration(spec);
-    let mut aims: Vec<(f64, By)> = Vec::new();
+    let mut aims: Vec<(f64, Milestone)> = Vec::new();
     let due = record.deadline_s();
     if let Some(due) = due {
-        aims.push((due, By::End));
+        aims.push((due, Milestone::Finish));
     }
     // What waits for it must be in time, too.
     if let Some(pull) = core.views.pulls.get(&spec.id) {
         for at_ms in [pull.finish_ms, pull.late_ms] {
             if at_ms.is_finite() {
-                aims.push(((at_ms - record.since_ms() as f64) / 1000.0, By::End));
+                aims.push((
+                    (at_ms - record.since_ms() as f64) / 1000.0,
+                    Milestone::Finish,
+                ));
             }
         }
     }
@@ -124,40 +127,42 @@
             continue;
         }
         match (&objective.kind, objective.within_s, objective.times) {
-            (ObjectiveKind::Start, Some(within), _) => aims.push((within, By::Start)),
-            (ObjectiveKind::Finish, Some(within), _) => aims.push((within, By::End)),
+            (ObjectiveKind::Start, Some(within), _) => aims.push((within, Milestone::Start)),
+            (ObjectiveKind::Finish, Some(within), _) => aims.push((within, Milestone::Finish)),
             (ObjectiveKind::Deadline, _, Some(times)) => {
                 if let (Some(due), Some(whole)) = (due, spec.deadline_s) {
-                    aims.push((due + whole * (times - 1.0), By::End));
+                    aims.push((due + whole * (times - 1.0), Milestone::Finish));
                 }
             }
             _ => {}
         }
     }
-    let can_keep = |(due, by): &(f64, By)| match by {
-        By::Start => age <= *due,
-        By::End => age + expected <= *due,
+    let can_keep = |(due, by): &(f64, Milestone)| match by {
+        Milestone::Start => age <= *due,
+        Milestone::Finish => age + expected <= *due,
     };
     aims.retain(can_keep);
     aims.sort_by(|a, b| a.0.total_cmp(&b.0));
     if aims.is_empty() {
         // Undated: started by arrival plus so many estimates.
-        aims.push((expected * start_by(node, spec), By::Start));
+        aims.push((expected * start_by(node, spec), Milestone::Start));
     }
     aims
 }
 
 /// What each team's tasks use now, gone jobs' remaining tasks included. Only asked where a team
 /// has a limit or a guarantee.
-pub fn team_use(node: &Node, core: &Core) -> HashMap<String, Need> {
-    let mut used: HashMap<String, Need> = HashMap::new();
+pub fn team_use(node: &Node, core: &Core) -> HashMap<String, Resources> {
+    let mut used: HashMap<String, Resources> = HashMap::new();
     let mut teams = node.settings.params.teams.iter();
     if !teams.any(|t| t.is_limited() || t.has_guarantee()) {
         return used;
     }
     let mut add = |job: &str| {
         if let Some(spec) = spec_of(core, job) {
-            used.entry(spec.team.clone()).or_default().add(&spec.need());
+            used.entry(spec.team.clone())
+                .or_default()
+                .add(&spec.resources());
         }
     };
     for name in core.replica.fleet.machines.keys() {
@@ -178,25 +183,25 @@
 }
 
 /// What the mapping works on now.
-pub fn build(node: &Node, core: &mut Core, now: Instant, now_ms: u64) -> Views {
+pub fn build(node: &Node, core: &mut Core, now: Instant, now_ms: u64) -> ClusterSnapshot {
     let used = team_use(node, core);
     let silent = node.settings.params.workers.report_s * 2.0;
-    let mut views = Views {
+    let mut views = ClusterSnapshot {
         jobs: Vec::new(),
         machines: core.views.machine_views(now, silent),
         pools: Vec::new(),
-        claims: Vec::new(),
-        rooms: TeamRooms::default(),
-        hopeless: Vec::new(),
+        preemption_requests: Vec::new(),
+        headroom: QuotaHeadroom::default(),
+        unplaceable: Vec::new(),
     };
-    let teams = team_rooms(node, core, &used, &mut views.rooms);
+    let teams = quota_headroom(node, core, &used, &mut views.headroom);
     let within = within_guarantee(node, core);
     let protected = Arc::new(protected_pools(node, core, now_ms));
     let mut largest: HashMap<String, f64> = HashMap::new();
     for (id, progress) in &core.views.jobs {
         if let Some(job) = core.replica.jobs.get(id) {
             let spec = &job.record.spec;
-            let size = f64::from(spec.tasks) * progress.share;
+            let size = f64::from(spec.tasks) * progress.dominant_share;
             let most = largest.entry(spec.class.clone()).or_default();
             *most = most.max(size);
         }
@@ -217,8 +222,8 @@
         }
         let spec = &job.record.spec;
         let age = age_s(job.record.since_ms(), now_ms);
-        let size = f64::from(spec.tasks) * progress.share;
-        let begin = begin_within(spec, size, largest[&spec.class]);
+        let size = f64::from(spec.tasks) * progress.dominant_share;
+        let begin = start_within(spec, size, largest[&spec.class]);
         let Some(team) = teams.get(spec.team.as_str()) else {
             continue; // a team that is not in the settings any more
         };
@@ -226,23 +231,24 @@
         else {
             continue;
         };
-        let mut hopeless = failures.is_some_and(|f| f.is_everywhere());
+        let mut unplaceable = failures.is_some_and(|f| f.is_everywhere());
         if job.record.foreign && !protected.is_empty() {
-            view.barred = protected.clone();
-            hopeless |= exclusion_of(node, core, spec, now_ms).is_some();
+            view.excluded_pools = protected.clone();
+            unplaceable |= exclusion_of(node, core, spec, now_ms).is_some();
         }
         let guaranteed = within.get(&spec.team).copied().unwrap_or(false);
         view.guaranteed = guaranteed;
         view.index = views.jobs.len();
         views.jobs.push(view);
         views.pools.push(progress.pool.clone());
-        views.claims.push(Claim {
+        views.preemption_requests.push(PreemptionRequest {
             urgency: urgency_of(core, spec),
             guaranteed,
         });
-        views.hopeless.push(hopeless);
+        views.unplaceable.push(unplaceable);
     }
-    core.views.mark_kept(&views.jobs, &mut views.machines, now);
+    core.views
+        .apply_reservations(&views.jobs, &mut views.machines, now);
     views
 }
 
@@ -252,8 +258,8 @@
     record: &JobRecord,
     progress: &Progress,
     team: Option<usize>,
-    (age, begin_within): (f64, f64),
-) -> Option<JobView> {
+    (age, start_within): (f64, f64),
+) -> Option<JobSnapshot> {
     let spec = &record.spec;
     // A gang restarts only when every task of the attempt before is gone; one that completed
     // only needs its other tasks to report the same.
@@ -263,18 +269,18 @@
     }
     let dues = dues(node, core, record, age);
     let (due, by) = dues[0];
-    let begun = progress.done + progress.placed;
-    let soonest = |due: f64| match begun {
-        0 => due.min(begin_within) - age,
+    let started = progress.done + progress.placed;
+    let soonest = |due: f64| match started {
+        0 => due.min(start_within) - age,
         _ => due - age,
     };
-    let next_due = dues.get(1).map_or(begin_within, |d| d.0);
+    let next_due = dues.get(1).map_or(start_within, |d| d.0);
     let failed_on = core.failures.get(&spec.id).map(|f| f.machines.clone());
-    Some(JobView {
+    Some(JobSnapshot {
         id: spec.id.clone(),
         index: 0,
         gang,
-        need: spec.need(),
+        resources: spec.resources(),
         large: progress.large,
         kinds: progress.kinds.clone(),
         zone: progress.zone,
@@ -283,7 +289,7 @@
         most_in_zone: spec.most_in_zone(),
         zones: progress.zones.clone(),
         waiting: progress.waiting.clone(),
-        begun,
+        started,
         arrived: -age,
         guaranteed: false,
         urgency: urgency_of(core, spec),
@@ -291,12 +297,12 @@
         next_due: soonest(next_due),
         by,
         duration: core.duration(spec),
-        rented_in: core.kind(&progress.pool).map_or(0.0, |k| k.boot_s * BOOT),
+        provisioning_s: core.kind(&progress.pool).map_or(0.0, |k| k.boot_s * BOOT),
         image: progress.image,
         image_gb: spec.image_gb,
         team,
         avoid: failed_on.unwrap_or_default(),
-        barred: Arc::default(),
+        excluded_pools: Arc::default(),
     })
 }
 
@@ -305,13 +311,13 @@
     if !node.settings.params.teams.iter().any(|t| t.has_guarantee()) {
         return HashMap::new();
     }
-    let mut wants: HashMap<&str, Need> = HashMap::new();
+    let mut wants: HashMap<&str, Resources> = HashMap::new();
     for job in core.replica.jobs.values() {
         let spec = &job.record.spec;
         if !job.record.cancelled {
             let left = f64::from(spec.tasks - job.done.min(spec.tasks));
             let wants = wants.entry(&spec.team).or_default();
-            wants.add(&spec.need().times(left));
+            wants.add(&spec.resources().scaled(left));
         }
     }
     let teams = node.settings.params.teams.iter();
@@ -327,13 +333,13 @@
 }
 
 /// The tasks of a machine as far as stopping them goes.
-pub fn occupants(
+pub fn running_tasks(
     node: &Node,
     core: &Core,
-    used: &HashMap<String, Need>,
+    used: &HashMap<String, Resources>,
     name: &str,
     now: Instant,
-) -> Vec<Occupant> {
+) -> Vec<RunningTask> {
     let borrowing = |team: &str| {
         let settings = node.settings.params.teams.iter().find(|t| t.name == team);
         let used = used.get(team).copied().unwrap_or_default();
@@ -358,14 +364,14 @@
             now.saturating_duration_since(*since).as_secs_f64()
         });
         let saves = spec.checkpoint_s > 0.0;
-        there.push(Occupant {
+        there.push(RunningTask {
             attempt,
-            need: spec.need(),
+            resources: spec.resources(),
             urgency: urgency_of(core, spec),
             borrowing: borrowing(&spec.team),
             lost_s: if saves { spec.save_s } else { ran },
             grace_s: if saves { spec.save_s * 1.5 + 1.0 } else { 0.0 },
-            fixed: core.workers.stops.contains_key(&(id.clone(), attempt))
+            not_preemptible: core.workers.stops.contains_key(&(id.clone(), attempt))
                 || (spec.is_gang() && spec.tasks > 1),
             id,
         });
@@ -374,11 +380,11 @@
 }
 
 /// Adds the room of each limited team; the number by which each team's jobs name it.
-fn team_rooms<'a>(
+fn quota_headroom<'a>(
     node: &'a Node,
     core: &Core,
-    used: &HashMap<String, Need>,
-    rooms: &mut TeamRooms,
+    used: &HashMap<String, Resources>,
+    headroom: &mut QuotaHeadroom,
 ) -> HashMap<&'a str, Option<usize>> {
     let mut numbers = HashMap::new();
     for team in &node.settings.params.teams {
@@ -386,15 +392,18 @@
             .is_limited()
             .then(|| match core.limits.divided_team(core, &team.name) {
                 Some(divided) => {
-                    let number = rooms.add(divided.headroom(), divided.full_limit());
+                    let number = headroom.add(divided.headroom(), divided.full_limit());
                     if let Some(reservation) = core.limits.gang_reservation(&divided) {
-                        rooms.keep_for(number, reservation.job, reservation.amount);
+                        headroom.reserve_for(number, reservation.job, reservation.amount);
                     }
                     number
                 }
                 None => {
                     let now = used.get(&team.name).copied().unwrap_or_default();
-                    rooms.add(room_beside(team, &now), room_beside(team, &Need::default()))
+                    headroom.add(
+                        headroom_beside(team, &now),
+                        headroom_beside(team, &Resources::default()),
+                    )
                 }
             });
         numbers.insert(team.name.as_str(), number);
@@ -403,9 +412,9 @@
 }
 
 /// What a team may take beside what it uses, if one controller has its limit whole; a limit of 0 is none.
-fn room_beside(team: &Team, used: &Need) -> Need {
+fn headroom_beside(team: &Team, used: &Resources) -> Resources {
     let left = |max: f64, used: f64| if max > 0.0 { max - used } else { f64::INFINITY };
-    Need {
+    Resources {
         cpus: left(team.max_cpus, used.cpus),
         gpus: left(team.max_gpus, used.gpus),
         memory_gb: f64::INFINITY,
--- a/src/placement/cache.rs
+++ b/src/placement/snapshot_cache.rs
@@ -1,8 +1,8 @@
 //! What the mapping works on, kept from turn to turn: only the machines and jobs that something
 //! happened to are looked at anew. Times are kept as seconds since the process began.
 
-use super::views::{STOP_TAKES_S, kinds_for, room_of};
-use super::{Chunk, JobView, MachineView, Names, Need, Zones};
+use super::snapshot::{STOP_TAKES_S, capacity_of, eligible_machine_types};
+use super::{FreeSlot, JobSnapshot, MachineSnapshot, NameTable, Resources, TasksByZone};
 use crate::cloud::MachineType;
 use crate::fleet::Use;
 use crate::jobs::{Entry, JobRecord, JobSpec, split_task};
@@ -29,7 +29,7 @@
     pub waiting: Arc<Vec<u32>>,
     pub done: u32,
     pub placed: u32,
-    pub zones: Zones,
+    pub zones: TasksByZone,
     pub kinds: Vec<u32>,
     /// Name of the kind that its tasks most need.
     pub pool: String,
@@ -37,7 +37,7 @@
     pub zone: Option<u32>,
     pub large: bool,
     /// The part of a machine that a task fills.
-    pub share: f64,
+    pub dominant_share: f64,
     /// The next kind that it may run on, and the part of it that a task fills.
     pub next_kind: Option<(String, f64)>,
     /// It needs GPUs.
@@ -46,20 +46,20 @@
 
 /// A machine of ours that may be placed on.
 #[derive(Debug)]
-struct Seen {
-    view: MachineView,
+struct CachedMachine {
+    view: MachineSnapshot,
     /// From when its free room can be used, and when each task there should end.
     up_at: f64,
-    free: Need,
-    busy: Vec<Chunk>,
+    free: Resources,
+    busy: Vec<FreeSlot>,
     heard: Option<Instant>,
 }
 
 #[derive(Debug)]
-pub struct Cache {
+pub struct SnapshotCache {
     began: Instant,
-    pub names: Names,
-    machines: BTreeMap<String, Seen>,
+    pub names: NameTable,
+    machines: BTreeMap<String, CachedMachine>,
     pub jobs: BTreeMap<String, Progress>,
     shares_mark: u64,
     kinds_known: usize,
@@ -85,11 +85,11 @@
 /// starts as a whole, and of one with more tasks a part would have gathered in vain.
 const MOST_WAITING: usize = 2000;
 
-impl Cache {
+impl SnapshotCache {
     pub fn new(now: Instant) -> Self {
         Self {
             began: now,
-            names: Names::default(),
+            names: NameTable::default(),
             machines: BTreeMap::new(),
             jobs: BTreeMap::new(),
             shares_mark: 0,
@@ -112,27 +112,32 @@
                 .jobs
                 .values()
                 .filter(|p| p.gpus && p.pool == kind.name)
-                .map(|p| (p.waiting.len() as f64 + f64::from(p.placed)) * p.share)
+                .map(|p| (p.waiting.len() as f64 + f64::from(p.placed)) * p.dominant_share)
                 .sum();
             let machines = self.machines.iter();
-            let of_kind = machines.filter(|(_, seen)| seen.view.kind == number);
-            let mut of_kind: Vec<(&String, &Seen)> = of_kind.collect();
+            let of_kind = machines.filter(|(_, cached)| cached.view.kind == number);
+            let mut of_kind: Vec<(&String, &CachedMachine)> = of_kind.collect();
             let spare = of_kind.len() as f64 - needed * SPARE_BEYOND - 2.0;
-            of_kind.retain(|(_, seen)| seen.free.gpus >= kind.gpus - 1e-6);
+            of_kind.retain(|(_, cached)| cached.free.gpus >= kind.gpus - 1e-6);
             let before = &self.opened;
-            of_kind.sort_by_key(|(name, seen)| (!before.contains(*name), !seen.view.spot));
+            of_kind.sort_by_key(|(name, cached)| (!before.contains(*name), !cached.view.spot));
             let names = of_kind.into_iter().map(|(name, _)| name.clone());
             opened.extend(names.take(spare.max(0.0) as usize));
         }
         self.opened = opened;
     }
 
-    pub fn keep_for(&mut self, job: &str, machines: Vec<Arc<str>>, until: Instant) {
+    pub fn reserve_for(&mut self, job: &str, machines: Vec<Arc<str>>, until: Instant) {
         self.kept.insert(job.to_owned(), (machines, until));
     }
 
     /// Marks the machines that are kept for one of the jobs, and forgets what is over.
-    pub fn mark_kept(&mut self, jobs: &[JobView], machines: &mut [MachineView], now: Instant) {
+    pub fn apply_reservations(
+        &mut self,
+        jobs: &[JobSnapshot],
+        machines: &mut [MachineSnapshot],
+        now: Instant,
+    ) {
         if self.kept.is_empty() {
             return;
         }
@@ -141,43 +146,44 @@
         for (id, (names, _)) in &self.kept {
             let job = jobs.iter().position(|j| j.id == *id);
             for machine in machines.iter_mut().filter(|m| names.contains(&m.name)) {
-                machine.kept_for = job;
+                machine.reserved_for = job;
             }
         }
     }
 
     /// Machines that may be placed on now, with times from now on.
-    pub fn machine_views(&self, now: Instant, silent_s: f64) -> Vec<MachineView> {
+    pub fn machine_views(&self, now: Instant, silent_s: f64) -> Vec<MachineSnapshot> {
         let at = now.saturating_duration_since(self.began).as_secs_f64();
-        let heard = |seen: &&Seen| {
+        let heard = |cached: &&CachedMachine| {
             // One that missed reports may be gone: nothing new for it until it is heard again.
-            let heard = seen.heard.map(|h| now.saturating_duration_since(h));
+            let heard = cached.heard.map(|h| now.saturating_duration_since(h));
             heard.is_none_or(|h| h.as_secs_f64() <= silent_s)
         };
-        let seen = self.machines.values().filter(heard);
-        seen.map(|seen| {
-            let mut view = seen.view.clone();
-            if self.opened.contains(&*view.name) {
-                view.cpus_per_gpu = 0.0;
-            }
-            let up_in = match seen.heard {
-                Some(_) => (seen.up_at - at).max(0.0),
-                None => (seen.up_at - at).max(ANY_MOMENT_S),
-            };
-            view.chunks.push(Chunk {
-                at: up_in,
-                room: seen.free,
-            });
-            for task in &seen.busy {
-                view.chunks.push(Chunk {
-                    at: (task.at - at).max(up_in + ANY_MOMENT_S),
-                    room: task.room,
+        let cached = self.machines.values().filter(heard);
+        cached
+            .map(|cached| {
+                let mut view = cached.view.clone();
+                if self.opened.contains(&*view.name) {
+                    view.cpus_per_gpu = 0.0;
+                }
+                let up_in = match cached.heard {
+                    Some(_) => (cached.up_at - at).max(0.0),
+                    None => (cached.up_at - at).max(ANY_MOMENT_S),
+                };
+                view.free_slots.push(FreeSlot {
+                    at: up_in,
+                    available: cached.free,
                 });
-            }
-            view.chunks.sort_by(|a, b| a.at.total_cmp(&b.at));
-            view
-        })
-        .collect()
+                for task in &cached.busy {
+                    view.free_slots.push(FreeSlot {
+                        at: (task.at - at).max(up_in + ANY_MOMENT_S),
+                        available: task.available,
+                    });
+                }
+                view.free_slots.sort_by(|a, b| a.at.total_cmp(&b.at));
+                view
+            })
+            .collect()
     }
 }
 
@@ -207,7 +213,7 @@
 /// From a job's release to its end, if there is room: the order goes out with a report's answer, the
 /// image is fetched, it runs, and its end is recorded.
 pub fn takes_s(node: &Node, core: &Core, spec: &JobSpec) -> f64 {
-    let kinds = kinds_for(core, spec);
+    let kinds = eligible_machine_types(core, spec);
     let kind = kinds.first().and_then(|k| core.kind(k));
     let rate = kind.map_or(f64::INFINITY, |k| k.fetch_gb_per_s.max(0.001));
     let told = node.settings.params.workers.report_s * 0.5 + STAGE_TAKES_S;
@@ -219,7 +225,7 @@
 
 /// Brings the cache up to date with all that changed. Returns how much was looked at anew.
 pub fn refresh(core: &mut Core, me: &Member, now: Instant, now_ms: u64) -> u64 {
-    let mut cache = std::mem::replace(&mut core.views, Cache::new(now));
+    let mut cache = std::mem::replace(&mut core.views, SnapshotCache::new(now));
     let mut machines = core.replica.take_changed_on();
     machines.extend(core.plans.take_changed_machines());
     let mut jobs = core.replica.take_changed_jobs();
@@ -233,9 +239,9 @@
     }
     let at = now.saturating_duration_since(cache.began).as_secs_f64();
     for name in &machines {
-        match see_machine(core, me, &mut cache.names, name, at, now, now_ms) {
-            Some(seen) => {
-                cache.machines.insert(name.clone(), seen);
+        match cache_machine(core, me, &mut cache.names, name, at, now, now_ms) {
+            Some(cached) => {
+                cache.machines.insert(name.clone(), cached);
             }
             None => {
                 cache.machines.remove(name);
@@ -259,7 +265,7 @@
     (machines.len() + jobs.len()) as u64
 }
 
-fn progress(core: &Core, names: &mut Names, job: &Job) -> Progress {
+fn progress(core: &Core, names: &mut NameTable, job: &Job) -> Progress {
     let spec = &job.record.spec;
     let mut out = Progress::default();
     let mut waiting = Vec::new();
@@ -283,11 +289,14 @@
         }
     }
     out.waiting = Arc::new(waiting);
-    let kinds = kinds_for(core, spec);
+    let kinds = eligible_machine_types(core, spec);
     out.kinds = kinds.iter().map(|k| names.number(k)).collect();
     let share_of = |name: &str| {
         let kind = core.kind(name)?;
-        Some((name.to_owned(), spec.need().share(&room_of(kind))))
+        Some((
+            name.to_owned(),
+            spec.resources().dominant_share(&capacity_of(kind)),
+        ))
     };
     out.next_kind = kinds.get(1).and_then(|name| share_of(name));
     out.gpus = spec.gpus > 0.0;
@@ -295,8 +304,8 @@
     out.image = names.number(&spec.image);
     out.zone = spec.zone.as_ref().map(|z| names.number(z));
     let kind = core.kind(&out.pool);
-    out.share = kind.map_or(0.0, |k| spec.need().share(&room_of(k)));
-    out.large = out.share > 0.5;
+    out.dominant_share = kind.map_or(0.0, |k| spec.resources().dominant_share(&capacity_of(k)));
+    out.large = out.dominant_share > 0.5;
     out
 }
 
@@ -328,15 +337,15 @@
     live.or_else(|| core.replica.departed.get(job).map(|r| &r.spec))
 }
 
-fn see_machine(
+fn cache_machine(
     core: &Core,
     me: &Member,
-    names: &mut Names,
+    names: &mut NameTable,
     name: &str,
     at: f64,
     now: Instant,
     now_ms: u64,
-) -> Option<Seen> {
+) -> Option<CachedMachine> {
     let record = core.replica.fleet.machines.get(name)?;
     if record.owner != *me || record.state != Use::Open || core.rent.closing.contains_key(name) {
         return None;
@@ -354,27 +363,27 @@
         None if live.is_some() => at + ANY_MOMENT_S,
         None => at + (kind.boot_s * BOOT - age_s(record.hired_ms, now_ms)).max(ANY_MOMENT_S),
     };
-    let mut free = room_of(kind);
-    let mut busy: Vec<Chunk> = Vec::new();
+    let mut free = capacity_of(kind);
+    let mut busy: Vec<FreeSlot> = Vec::new();
     for id in tasks_on(core, name) {
         // A task whose size nobody knows: no room is certain until it is gone.
         let spec = spec_of(core, &id.0)?;
-        free.sub(&spec.need());
-        busy.push(Chunk {
+        free.sub(&spec.resources());
+        busy.push(FreeSlot {
             at: up_at + remaining(core, spec, &id, live, kind, now),
-            room: spec.need(),
+            available: spec.resources(),
         });
     }
     let mut images: HashSet<u32> = HashSet::new();
     if let Some(live) = live {
         images.extend(live.images.iter().map(|(name, _)| names.number(name)));
     }
-    let view = MachineView {
+    let view = MachineSnapshot {
         name: name.into(),
         kind: names.number(&record.kind),
         zone: names.number(&record.zone),
         spot: record.spot,
-        chunks: Vec::new(),
+        free_slots: Vec::new(),
         images: images.into_iter().collect(),
         fetch_gb_per_s: kind.fetch_gb_per_s,
         slowness: live.map_or(1.0, |l| l.slowness),
@@ -386,10 +395,10 @@
             true => kind.cpus / kind.gpus * KEPT_FOR_GPUS,
             false => 0.0,
         },
-        holds: Vec::new(),
-        kept_for: None,
+        reservations: Vec::new(),
+        reserved_for: None,
     };
-    Some(Seen {
+    Some(CachedMachine {
         view,
         up_at,
         free,
@@ -422,8 +431,8 @@
         let ran = now.saturating_duration_since(*since).as_secs_f64();
         return (whole - ran).max(1.0 + ran * OVERDUE);
     }
-    let seen = live.seen_since.get(id);
-    let waited = seen.map_or(0.0, |(_, since)| {
+    let cached = live.seen_since.get(id);
+    let waited = cached.map_or(0.0, |(_, since)| {
         now.saturating_duration_since(*since).as_secs_f64()
     });
     (fetch - waited).max(0.0) + whole
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -1,27 +1,27 @@
 use super::forecast::forecast;
-use super::now::place;
-use super::rooms::TeamRooms;
+use super::packing::pack;
+use super::quota_headroom::QuotaHeadroom;
 use super::*;
 
-static NO_LIMITS: TeamRooms = TeamRooms::none();
+static NO_LIMITS: QuotaHeadroom = QuotaHeadroom::none();
 
 /// No team has a limit.
-pub fn unlimited() -> now::Limits<'static> {
-    now::Limits {
-        rooms: &NO_LIMITS,
+pub fn unlimited() -> packing::PackingLimits<'static> {
+    packing::PackingLimits {
+        headroom: &NO_LIMITS,
         reserve_after: 0.0,
     }
 }
 
-pub fn machine(name: &str, free_at: f64, cpus: f64) -> MachineView {
-    MachineView {
+pub fn machine(name: &str, free_at: f64, cpus: f64) -> MachineSnapshot {
+    MachineSnapshot {
         name: name.into(),
         kind: 0,
         zone: 0,
         spot: false,
-        chunks: vec![Chunk {
+        free_slots: vec![FreeSlot {
             at: free_at,
-            room: Need {
+            available: Resources {
                 cpus,
                 gpus: 0.0,
                 memory_gb: 64.0,
@@ -32,17 +32,17 @@
         slowness: 1.0,
         cpus_per_gpu: 0.0,
         price: 1.0,
-        holds: Vec::new(),
-        kept_for: None,
+        reservations: Vec::new(),
+        reserved_for: None,
     }
 }
 
-pub fn job(id: &str, cpus: f64, tasks: u32, due: f64) -> JobView {
-    JobView {
+pub fn job(id: &str, cpus: f64, tasks: u32, due: f64) -> JobSnapshot {
+    JobSnapshot {
         id: id.into(),
         index: 0,
         gang: false,
-        need: Need {
+        resources: Resources {
             cpus,
             gpus: 0.0,
             memory_gb: 1.0,
@@ -55,25 +55,25 @@
         most_in_zone: tasks,
         zones: BTreeMap::new(),
         waiting: Arc::new((0..tasks).collect()),
-        begun: 0,
+        started: 0,
         arrived: 0.0,
         guaranteed: false,
         urgency: Urgency::Standard,
         due,
         next_due: due,
-        by: By::End,
+        by: Milestone::Finish,
         duration: 30.0,
-        rented_in: 0.0,
+        provisioning_s: 0.0,
         image: 0,
         image_gb: 1.0,
         team: None,
         avoid: HashSet::new(),
-        barred: Arc::default(),
+        excluded_pools: Arc::default(),
     }
 }
 
-fn show(jobs: &[JobView], machines: &[MachineView]) -> String {
-    let out = place(jobs, &mut machines.to_vec(), unlimited(), 2, 1000);
+fn show(jobs: &[JobSnapshot], machines: &[MachineSnapshot]) -> String {
+    let out = pack(jobs, &mut machines.to_vec(), unlimited(), 2, 1000);
     let mut text = String::new();
     for s in &out.starts {
         text.push_str(&format!(
@@ -81,7 +81,7 @@
             jobs[s.job].id, s.task, machines[s.machine].name
         ));
     }
-    let out = forecast(jobs, machines, &TeamRooms::default(), 2);
+    let out = forecast(jobs, machines, &QuotaHeadroom::default(), 2);
     for (job, mapped) in jobs.iter().zip(&out.mapped) {
         text.push_str(&format!(
             "{}: {} of {} late\n",
@@ -105,7 +105,7 @@
 fn a_startup_task_passes_only_if_the_batch_head_stays_in_time() {
     // `urgent` has had its startup tasks; `new` has not.
     let mut urgent = job("urgent", 4.0, 1, 40.0);
-    urgent.begun = 2;
+    urgent.started = 2;
     let fresh = job("new", 4.0, 1, 400.0);
     let machines = vec![machine("one", 0.0, 4.0)];
     let jobs = vec![urgent.clone(), fresh.clone()];
@@ -133,10 +133,10 @@
     let mut other = machine("b1", 0.0, 4.0);
     other.zone = 1;
     let apart = vec![machine("a1", 0.0, 4.0), other.clone()];
-    let waits = show(&[gang.clone()], &apart);
+    let unplaced = show(&[gang.clone()], &apart);
     let close = vec![machine("a1", 0.0, 4.0), other, machine("a2", 0.0, 4.0)];
     let starts = show(&[gang], &close);
-    insta::assert_snapshot!(format!("{waits}---\n{starts}"));
+    insta::assert_snapshot!(format!("{unplaced}---\n{starts}"));
 }
 
 #[test]
@@ -160,41 +160,41 @@
 
 /// A fleet played second by second: what was started ends, what arrives waits.
 struct Played {
-    machines: Vec<MachineView>,
-    jobs: Vec<(JobView, f64, f64)>,
-    begun: Vec<(String, f64)>,
+    machines: Vec<MachineSnapshot>,
+    jobs: Vec<(JobSnapshot, f64, f64)>,
+    started: Vec<(String, f64)>,
 }
 
 impl Played {
-    fn add(&mut self, mut view: JobView, now: f64, begin_within: f64) {
-        view.due = begin_within;
-        view.next_due = begin_within;
-        view.by = By::Start;
-        self.jobs.push((view, now, begin_within));
+    fn add(&mut self, mut view: JobSnapshot, now: f64, start_within: f64) {
+        view.due = start_within;
+        view.next_due = start_within;
+        view.by = Milestone::Start;
+        self.jobs.push((view, now, start_within));
     }
 
     fn second(&mut self, now: f64) {
         for machine in &mut self.machines {
-            for chunk in &mut machine.chunks {
-                chunk.at = (chunk.at - 1.0).max(0.0);
+            for slot in &mut machine.free_slots {
+                slot.at = (slot.at - 1.0).max(0.0);
             }
-            machine.holds.clear();
+            machine.reservations.clear();
         }
-        let mut views: Vec<JobView> = self.jobs.iter().map(|j| j.0.clone()).collect();
+        let mut views: Vec<JobSnapshot> = self.jobs.iter().map(|j| j.0.clone()).collect();
         for (view, (_, arrived, within)) in views.iter_mut().zip(&self.jobs) {
             view.due = within.min(190.0) - (now - arrived);
             view.next_due = view.due;
             view.arrived = *arrived;
         }
-        let out = place(&views, &mut self.machines, unlimited(), 2, 400);
+        let out = pack(&views, &mut self.machines, unlimited(), 2, 400);
         for start in &out.starts {
             let job = &mut self.jobs[start.job];
             let waiting = job.0.waiting.iter().filter(|t| **t != start.task);
             job.0.waiting = Arc::new(waiting.copied().collect());
-            if job.0.begun == 0 {
-                self.begun.push((job.0.id.clone(), now - job.1));
+            if job.0.started == 0 {
+                self.started.push((job.0.id.clone(), now - job.1));
             }
-            job.0.begun += 1;
+            job.0.started += 1;
         }
         self.jobs.retain(|j| !j.0.waiting.is_empty());
     }
@@ -209,7 +209,7 @@
             .map(|n| machine(&format!("m{n}"), 0.0, 16.0))
             .collect(),
         jobs: Vec::new(),
-        begun: Vec::new(),
+        started: Vec::new(),
     };
     for now in 0..300 {
         if now == 20 {
@@ -230,9 +230,9 @@
         played.add(small, f64::from(now), 10.0);
         played.second(f64::from(now));
     }
-    let wait = |id: &str| played.begun.iter().find(|b| b.0 == id).map(|b| b.1);
+    let wait = |id: &str| played.started.iter().find(|b| b.0 == id).map(|b| b.1);
     let small: Vec<f64> = played
-        .begun
+        .started
         .iter()
         .filter(|b| b.0.starts_with("small"))
         .map(|b| b.1)
@@ -253,18 +253,18 @@
 /// Work follows what has room, not the fleet's size: counted in machines looked at.
 #[test]
 fn placing_looks_at_machines_with_room_only() {
-    let steps = |fleet: usize| {
+    let machines_examined = |fleet: usize| {
         let busy = |n| machine(&format!("m{n}"), 30.0, 16.0);
-        let mut machines: Vec<MachineView> = (0..fleet).map(busy).collect();
+        let mut machines: Vec<MachineSnapshot> = (0..fleet).map(busy).collect();
         for n in 0..5 {
-            machines[n * fleet / 5].chunks[0].at = 0.0;
+            machines[n * fleet / 5].free_slots[0].at = 0.0;
         }
-        let jobs: Vec<JobView> = (0..20)
+        let jobs: Vec<JobSnapshot> = (0..20)
             .map(|n| job(&format!("j{n}"), 1.0, 50, 60.0))
             .collect();
-        place(&jobs, &mut machines, unlimited(), 2, 400).steps
+        pack(&jobs, &mut machines, unlimited(), 2, 400).machines_examined
     };
-    let (small, large) = (steps(100), steps(1000));
+    let (small, large) = (machines_examined(100), machines_examined(1000));
     assert!(
         large <= small * 2,
         "{small} steps of 100 machines, {large} of 1000"
@@ -276,20 +276,20 @@
 #[test]
 fn a_forecast_is_bounded_whatever_waits() {
     let foreseen = |gangs: usize| {
-        let machines: Vec<MachineView> = (0..60)
+        let machines: Vec<MachineSnapshot> = (0..60)
             .map(|n| machine(&format!("m{n}"), 30.0, 16.0))
             .collect();
-        let jobs: Vec<JobView> = (0..gangs)
+        let jobs: Vec<JobSnapshot> = (0..gangs)
             .map(|n| {
                 let mut gang = job(&format!("g{n}"), 15.0, 2, 40.0 + n as f64);
                 gang.gang = true;
                 gang
             })
             .collect();
-        let out = super::forecast::forecast(&jobs, &machines, &TeamRooms::default(), 2);
+        let out = super::forecast::forecast(&jobs, &machines, &QuotaHeadroom::default(), 2);
         let tasks: u32 = out.mapped.iter().map(|m| m.tasks).sum();
         let late: u32 = out.mapped.iter().map(|m| m.late).sum();
-        (out.steps, tasks, late)
+        (out.machines_examined, tasks, late)
     };
     let (some, many) = (foreseen(100), foreseen(600));
     assert!(many.0 <= some.0, "{} and {} steps", some.0, many.0);
@@ -308,11 +308,11 @@
     let sort = (machines()[0].kind, machines()[0].zone, machines()[0].spot);
     let own = job("job-1", 1.0, 2, 60.0);
     let mut other = job("job-2", 1.0, 2, 60.0);
-    other.barred = Arc::new(BTreeSet::from([sort]));
+    other.excluded_pools = Arc::new(BTreeSet::from([sort]));
     for (index, view) in [own, other].into_iter().enumerate() {
-        let jobs = [JobView { index: 0, ..view }];
-        let placed = now::place(&jobs, &mut machines(), unlimited(), 2, 100);
-        let mapped = forecast::forecast(&jobs, &machines(), &TeamRooms::default(), 2);
+        let jobs = [JobSnapshot { index: 0, ..view }];
+        let placed = packing::pack(&jobs, &mut machines(), unlimited(), 2, 100);
+        let mapped = forecast::forecast(&jobs, &machines(), &QuotaHeadroom::default(), 2);
         let expected = if index == 0 { 2 } else { 0 };
         assert_eq!(placed.starts.len(), expected);
         assert_eq!(mapped.used.len(), expected.min(1));
--- a/src/renting/decide.rs
+++ b/src/renting/decide.rs
@@ -11,7 +11,7 @@
 use crate::node::{Core, Node, age_s};
 use crate::placement::batch_order;
 use crate::placement::forecast::{Forecast, forecast};
-use crate::placement::views::{Views, kinds_for, room_of};
+use crate::placement::snapshot::{ClusterSnapshot, capacity_of, eligible_machine_types};
 use crate::policy::MachineTypeFacts;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -63,14 +63,20 @@
 const EARLY: Duration = Duration::from_secs(2);
 
 /// Makes up what this controller publishes: at each period, and when there is news before that.
-pub fn look_ahead(node: &Node, core: &mut Core, views: &Views, now: Instant, now_ms: u64) {
+pub fn look_ahead(
+    node: &Node,
+    core: &mut Core,
+    views: &ClusterSnapshot,
+    now: Instant,
+    now_ms: u64,
+) {
     let startup_count = node.policy.startup_count;
     let due = now >= core.rent.next_event;
     if !due && !has_news(core, views, startup_count, now) {
         return;
     }
-    let mapping = forecast(&views.jobs, &views.machines, &views.rooms, startup_count);
-    core.metrics.machines_examined += mapping.steps;
+    let mapping = forecast(&views.jobs, &views.machines, &views.headroom, startup_count);
+    core.metrics.machines_examined += mapping.machines_examined;
     let mut record = ForecastSummaryRecord {
         at_ms: now_ms,
         puts_per_s: 0.0,
@@ -142,7 +148,7 @@
 /// From this part of its own on, a controller is taken to lack writes.
 const HUNGRY: f64 = 0.75;
 
-fn has_news(core: &Core, views: &Views, startup_count: u32, now: Instant) -> bool {
+fn has_news(core: &Core, views: &ClusterSnapshot, startup_count: u32, now: Instant) -> bool {
     let Some((at, record)) = &core.rent.published else {
         return true;
     };
@@ -159,19 +165,19 @@
 }
 
 /// Of each job's waiting tasks, those that its team's limit lets start: no machine helps the others.
-fn permitted(views: &Views) -> Vec<u32> {
+fn permitted(views: &ClusterSnapshot) -> Vec<u32> {
     let order = batch_order(&views.jobs);
-    views.rooms.clone().permitted(&views.jobs, &order)
+    views.headroom.clone().permitted(&views.jobs, &order)
 }
 
 /// Startup tasks waiting, per kind.
-fn startup_queues(views: &Views, startup_count: u32) -> BTreeMap<String, u32> {
+fn startup_queues(views: &ClusterSnapshot, startup_count: u32) -> BTreeMap<String, u32> {
     let mut queues: BTreeMap<String, u32> = BTreeMap::new();
     let permitted = permitted(views);
     for (index, job) in views.jobs.iter().enumerate() {
-        if !views.hopeless[index] {
+        if !views.unplaceable[index] {
             let left = permitted[index];
-            let queue = startup_count.saturating_sub(job.begun).min(left);
+            let queue = startup_count.saturating_sub(job.started).min(left);
             *queues.entry(views.pools[index].clone()).or_default() += queue;
         }
     }
@@ -182,7 +188,7 @@
 fn outlooks(
     node: &Node,
     core: &Core,
-    views: &Views,
+    views: &ClusterSnapshot,
     mapping: &Forecast,
 ) -> BTreeMap<String, Outlook> {
     let mut pools: BTreeMap<String, Outlook> = BTreeMap::new();
@@ -200,18 +206,18 @@
     }
     for progress in core.views.jobs.values().filter(|p| p.placed > 0) {
         let pool = pools.entry(progress.pool.clone()).or_default();
-        pool.running += f64::from(progress.placed) * progress.share;
+        pool.running += f64::from(progress.placed) * progress.dominant_share;
     }
     let permitted = permitted(views);
     for (index, job) in views.jobs.iter().enumerate() {
         let name = &views.pools[index];
-        let Some(kind) = core.kind(name).filter(|_| !views.hopeless[index]) else {
+        let Some(kind) = core.kind(name).filter(|_| !views.unplaceable[index]) else {
             continue;
         };
         let pool = pools.entry(name.clone()).or_default();
         let mapped = mapping.mapped[index];
         let waiting = job.waiting.len() as u32;
-        let share = job.need.share(&room_of(kind));
+        let share = job.resources.dominant_share(&capacity_of(kind));
         pool.waiting += waiting;
         let permitted = f64::from(permitted[index]) * share;
         pool.counted_now += permitted;
@@ -364,7 +370,11 @@
     jobs.map(|job| &job.record)
         .filter(|r| core.replica.owner_of(r) == Some(&node.me))
         .filter(|r| !r.cancelled && age_s(r.since_ms(), now_ms) < period_s)
-        .filter(|r| kinds_for(core, &r.spec).first().is_some_and(|k| k == kind))
+        .filter(|r| {
+            eligible_machine_types(core, &r.spec)
+                .first()
+                .is_some_and(|k| k == kind)
+        })
         .map(|r| r.spec.tasks)
         .sum()
 }
--- a/src/workers/service.rs
+++ b/src/workers/service.rs
@@ -321,9 +321,11 @@
     let first = core.replica.entry(&id.0, id.1).last_attempt() == 1;
     let age = crate::node::age_s(job.record.accepted_ms, wall_ms());
     let late = spec.deadline_s.is_some_and(|due| age > due);
-    let pool = crate::placement::views::kinds_for(core, spec);
+    let pool = crate::placement::snapshot::eligible_machine_types(core, spec);
     if let Some(kind) = pool.first().and_then(|k| core.kind(k)) {
-        let share = spec.need().share(&crate::placement::views::room_of(kind));
+        let share = spec
+            .resources()
+            .dominant_share(&crate::placement::snapshot::capacity_of(kind));
         let tally = core.rent.tally.entry(kind.name.clone()).or_default();
         tally.finished += 1;
         tally.counted += share;
