--- a/crates/rowanmill-cells/src/service.rs
+++ b/crates/rowanmill-cells/src/service.rs
@@ -19,7 +19,7 @@
 use crate::replica::{LedgerReplica, Versioned};
 use crate::scheduler::{Scheduler, TrackedJob};
 use crate::transaction::Transaction;
-use rowanmill_state::{StateClient, StateShare, TransactionError};
+use rowanmill_state::{ServiceQuota, StateClient, TransactionError};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -188,11 +188,11 @@
 
 /// The controller's share of the ledger's limits. Requests are view by all controllers. Nearly all writes
 /// are acceptances and the leader's: each cell's controllers share its part of them.
-fn ledger_share(config: &CellsConfig) -> StateShare {
+fn ledger_share(config: &CellsConfig) -> ServiceQuota {
     let cells = config.cells.iter();
     let controllers: usize = cells.map(|cell| cell.controllers.len()).sum();
-    StateShare {
-        requests: config.ledger.rps / controllers.max(1) as f64,
-        writes: config.ledger.write_rps / config.cells.len().max(1) as f64,
+    ServiceQuota {
+        requests_per_s: config.ledger.rps / controllers.max(1) as f64,
+        writes_per_s: config.ledger.write_rps / config.cells.len().max(1) as f64,
     }
 }
--- a/crates/rowanmill-cells/src/service/requests.rs
+++ b/crates/rowanmill-cells/src/service/requests.rs
@@ -4,7 +4,7 @@
 use crate::contact::CANCELLATION_EFFECT_DELAY;
 use crate::record::{FinalState, LedgerJob, OwnershipVersion, final_key};
 use crate::transaction;
-use rowanmill_state::{Need, ReadError, TransactionError};
+use rowanmill_state::{ReadError, TransactionError, WritePriority};
 use std::time::Instant;
 
 /// How often a cancellation is repeated when the job changes at the same time.
@@ -13,7 +13,7 @@
 impl CellCoordinator {
     /// Publishes a job that this cell accepts. Only a job that is in the ledger may be accepted.
     pub async fn publish(&self, id: &str, job: &LedgerJob) -> PublishOutcome {
-        if self.ledger.writes_left(Need::User) == 0 {
+        if self.ledger.available_writes(WritePriority::UserFacing) == 0 {
             return PublishOutcome::RateLimited;
         }
         match self.commit(&transaction::publish(id, job)).await {
--- a/crates/rowanmill-cells/src/service/watch.rs
+++ b/crates/rowanmill-cells/src/service/watch.rs
@@ -48,7 +48,7 @@
     async fn read_log<S: Scheduler>(&self, scheduler: &S, hold: Duration) -> Result<(), ReadError> {
         let from = self.view().replica.revision;
         let sent = Instant::now();
-        let body = self.ledger.follow(LIVE_PREFIX, from, hold).await?;
+        let body = self.ledger.watch(LIVE_PREFIX, from, hold).await?;
         let followed = WatchResponse::decode(&body)?;
         let has_changes = !followed.events.is_empty();
         {
@@ -160,7 +160,7 @@
 ) {
     loop {
         match coordinator.read_log(scheduler, hold).await {
-            Ok(()) => tokio::time::sleep(coordinator.ledger.follow_gap()).await,
+            Ok(()) => tokio::time::sleep(coordinator.ledger.watch_interval()).await,
             Err(ReadError::Compacted | ReadError::LeaseExpired) => return,
             Err(ReadError::Failed) => {
                 coordinator.obtain_attestations(scheduler).await;
@@ -192,6 +192,6 @@
             // A waiter that was dropped has no use for the answer.
             let _ = waiter.send(has_read);
         }
-        tokio::time::sleep(coordinator.ledger.sync_gap()).await;
+        tokio::time::sleep(coordinator.ledger.read_barrier_interval()).await;
     }
 }
--- a/crates/rowanmill-state/src/client.rs
+++ b/crates/rowanmill-state/src/client.rs
@@ -1,7 +1,7 @@
 //! Calls to the state service, each with its own course for every kind of answer.
 
-use crate::budget::{Budget, Need};
 use crate::http::{CallError, Client};
+use crate::rate_limit::{RateLimiter, WritePriority};
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -15,11 +15,11 @@
 
 /// One node's part of the state service's limits.
 #[derive(Debug, Clone, Copy)]
-pub struct StateShare {
+pub struct ServiceQuota {
     /// Requests a second.
-    pub requests: f64,
+    pub requests_per_s: f64,
     /// Puts and drops a second.
-    pub writes: f64,
+    pub writes_per_s: f64,
 }
 
 /// A key and the revision that a transaction requires of it; 0 where it must not exist.
@@ -156,7 +156,7 @@
 }
 
 impl WatchResponse {
-    /// Reads an answer of [`StateClient::follow`].
+    /// Reads an answer of [`StateClient::watch`].
     pub fn decode(body: &[u8]) -> Result<Self, ReadError> {
         serde_json::from_slice(body).map_err(|_| ReadError::Failed)
     }
@@ -228,31 +228,31 @@
 pub struct StateClient {
     http: Client,
     /// Our part of the limits, and of those that will hold from some moment on.
-    share: StateShare,
-    next: StateShare,
+    share: ServiceQuota,
+    next: ServiceQuota,
     falls: Mutex<Falls>,
-    writes: Mutex<Budget>,
+    writes: Mutex<RateLimiter>,
     /// Another node could not write all that it had to.
-    others_lack: AtomicBool,
+    peers_short_of_writes: AtomicBool,
     /// What was asked so far.
-    pub used: Used,
+    pub counters: RequestCounters,
     /// When the rate of puts was last taken, and how many there had been.
     rated: Mutex<(Instant, u64)>,
 }
 
 /// What this node asked of the state service, counted up.
 #[derive(Debug, Default)]
-pub struct Used {
+pub struct RequestCounters {
     /// Requests of any kind.
     pub requests: AtomicU64,
     /// Puts and drops.
-    pub puts: AtomicU64,
+    pub writes: AtomicU64,
     /// Guards of transactions.
-    pub guards: AtomicU64,
+    pub preconditions: AtomicU64,
     /// Requests refused for being over a limit.
     pub refused: AtomicU64,
     /// Bytes of the log that were read.
-    pub followed_bytes: AtomicU64,
+    pub watched_bytes: AtomicU64,
 }
 
 /// Whether the lower limits hold by now. Nobody says so: refusals show it. A single one may be a burst
@@ -285,50 +285,54 @@
 
 impl StateClient {
     /// A client with `share` of the limits of now, and `next` of those to come.
-    pub fn new(addr: SocketAddr, share: StateShare, next: StateShare) -> Self {
+    pub fn new(addr: SocketAddr, share: ServiceQuota, next: ServiceQuota) -> Self {
         Self {
             http: Client::new(addr, 6),
             next,
             falls: Mutex::default(),
-            writes: Mutex::new(Budget::new(share.writes, Instant::now())),
+            writes: Mutex::new(RateLimiter::new(share.writes_per_s, Instant::now())),
             share,
-            others_lack: AtomicBool::new(false),
-            used: Used::default(),
+            peers_short_of_writes: AtomicBool::new(false),
+            counters: RequestCounters::default(),
             rated: Mutex::new((Instant::now(), 0)),
         }
     }
 
     /// The least time between two readings of the log, and between two readings that polls wait
     /// for: each change of any node would else cost every node a request.
-    pub fn follow_gap(&self) -> Duration {
-        Duration::from_secs_f64(1.0 / (self.part().requests * FOLLOW_PART).max(1.0))
+    pub fn watch_interval(&self) -> Duration {
+        Duration::from_secs_f64(1.0 / (self.quota().requests_per_s * FOLLOW_PART).max(1.0))
     }
 
     /// The least time between two readings that polls wait for.
-    pub fn sync_gap(&self) -> Duration {
-        Duration::from_secs_f64(1.0 / (self.part().requests * SYNC_PART).max(1.0))
+    pub fn read_barrier_interval(&self) -> Duration {
+        Duration::from_secs_f64(1.0 / (self.quota().requests_per_s * SYNC_PART).max(1.0))
     }
 
     /// How many puts and deletes this node may send now.
-    pub fn writes_left(&self, need: Need) -> usize {
-        let left = self.writes.lock().unwrap().available(need, Instant::now());
+    pub fn available_writes(&self, priority: WritePriority) -> usize {
+        let left = self
+            .writes
+            .lock()
+            .unwrap()
+            .available(priority, Instant::now());
         left.max(0.0) as usize
     }
 
     /// Whether another node lacks puts: what this one does not need to write at once it leaves to it.
-    pub fn set_others_lack(&self, lack: bool) {
-        self.others_lack.store(lack, Ordering::Relaxed);
+    pub fn set_peers_short_of_writes(&self, lack: bool) {
+        self.peers_short_of_writes.store(lack, Ordering::Relaxed);
     }
 
     /// How much of what this node may write at once is left, from 0 to 1; never much while another node
     /// lacks it.
-    pub fn writes_at_ease(&self) -> f64 {
-        let most = match self.others_lack.load(Ordering::Relaxed) {
+    pub fn write_headroom(&self) -> f64 {
+        let most = match self.peers_short_of_writes.load(Ordering::Relaxed) {
             true => LEFT_TO_OTHERS,
             false => 1.0,
         };
         let mut writes = self.writes.lock().unwrap();
-        let left = writes.available(Need::Own, Instant::now());
+        let left = writes.available(WritePriority::Background, Instant::now());
         (left / (writes.rate() * 0.8)).clamp(0.0, most)
     }
 
@@ -339,28 +343,28 @@
     }
 
     /// Our part of the limits, as far as is known by now.
-    pub fn part(&self) -> StateShare {
-        match self.has_fallen() {
+    pub fn quota(&self) -> ServiceQuota {
+        match self.has_lower_quota() {
             true => self.next,
             false => self.share,
         }
     }
 
     /// Whether the lower limits were seen to hold, here or by another node.
-    pub fn has_fallen(&self) -> bool {
+    pub fn has_lower_quota(&self) -> bool {
         self.falls.lock().unwrap().fallen
     }
 
     /// From now on the lower limits are kept to; they do not rise again.
-    pub fn fall(&self) {
-        let lower =
-            self.next.writes < self.share.writes || self.next.requests < self.share.requests;
+    pub fn adopt_lower_quota(&self) {
+        let lower = self.next.writes_per_s < self.share.writes_per_s
+            || self.next.requests_per_s < self.share.requests_per_s;
         if !lower || std::mem::replace(&mut self.falls.lock().unwrap().fallen, true) {
             return;
         }
         tracing::info!("the state service's lower limits hold");
         let mut writes = self.writes.lock().unwrap();
-        let rate = writes.rate().min(self.next.writes);
+        let rate = writes.rate().min(self.next.writes_per_s);
         writes.set_rate(rate, Instant::now());
     }
 
@@ -369,14 +373,14 @@
         let now = Instant::now();
         self.writes.lock().unwrap().drain(now);
         if self.falls.lock().unwrap().note_refusal(now) {
-            self.fall();
+            self.adopt_lower_quota();
         }
     }
 
     /// Puts a second since the last call.
-    pub fn puts_rate(&self) -> f64 {
+    pub fn measure_write_rate(&self) -> f64 {
         let now = Instant::now();
-        let puts = self.used.puts.load(Ordering::Relaxed);
+        let puts = self.counters.writes.load(Ordering::Relaxed);
         let mut last = self.rated.lock().unwrap();
         let (since, before) = *last;
         *last = (now, puts);
@@ -391,10 +395,10 @@
         body: Bytes,
         limit: Duration,
     ) -> Result<(StatusCode, Bytes), CallError> {
-        count(&self.used.requests, 1);
+        count(&self.counters.requests, 1);
         let answer = self.http.call(method, path, body, limit).await;
         if let Ok((StatusCode::TOO_MANY_REQUESTS, _)) = answer {
-            count(&self.used.refused, 1);
+            count(&self.counters.refused, 1);
         }
         answer
     }
@@ -414,9 +418,9 @@
         self.writes
             .lock()
             .unwrap()
-            .take(then.len() as f64, Instant::now());
-        count(&self.used.puts, then.len());
-        count(&self.used.guards, guards.len());
+            .consume(then.len() as f64, Instant::now());
+        count(&self.counters.writes, then.len());
+        count(&self.counters.preconditions, guards.len());
         let answer = self
             .call(Method::POST, "/multi", body.into(), CALL_LIMIT)
             .await;
@@ -439,7 +443,7 @@
             400 if body_says(&body, "no such lease") => Err(TransactionError::LeaseExpired),
             400 => {
                 // What this version writes fits both limits; what does not was written before.
-                self.fall();
+                self.adopt_lower_quota();
                 tracing::error!(answer = %String::from_utf8_lossy(&body), "state refused a transaction as malformed");
                 Err(TransactionError::Malformed)
             }
@@ -453,12 +457,7 @@
     }
 
     /// The changes under a prefix after a revision, as they came: `WatchResponse::decode` reads them.
-    pub async fn follow(
-        &self,
-        prefix: &str,
-        from: u64,
-        hold: Duration,
-    ) -> Result<Bytes, ReadError> {
+    pub async fn watch(&self, prefix: &str, from: u64, hold: Duration) -> Result<Bytes, ReadError> {
         let path = format!(
             "/follow?prefix={prefix}&from={from}&holdMs={}",
             hold.as_millis()
@@ -468,7 +467,7 @@
             .await;
         match answer {
             Ok((StatusCode::OK, body)) => {
-                count(&self.used.followed_bytes, body.len());
+                count(&self.counters.watched_bytes, body.len());
                 Ok(body)
             }
             Ok((StatusCode::GONE, _)) => Err(ReadError::Compacted),
@@ -561,7 +560,7 @@
     }
 
     /// Ends a lease at once, and removes the keys attached to it.
-    pub async fn end_lease(&self, lease: u64) -> Result<(), ReadError> {
+    pub async fn revoke_lease(&self, lease: u64) -> Result<(), ReadError> {
         let path = format!("/leases/{lease}");
         match self
             .call(Method::DELETE, &path, Bytes::new(), CALL_LIMIT)
--- a/crates/rowanmill-state/src/client/tests.rs
+++ b/crates/rowanmill-state/src/client/tests.rs
@@ -5,15 +5,15 @@
 #[test]
 fn refusals_show_that_the_limits_fell() {
     let addr = SocketAddr::from(([127, 0, 0, 1], 1));
-    let share = |writes| StateShare {
-        requests: 20.0,
-        writes,
+    let quota = |writes_per_s| ServiceQuota {
+        requests_per_s: 20.0,
+        writes_per_s,
     };
-    let client = StateClient::new(addr, share(10.0), share(7.0));
+    let client = StateClient::new(addr, quota(10.0), quota(7.0));
     let mut trace = String::new();
     let mut say = |what: &str, client: &StateClient| {
-        let left = client.writes_left(Need::Own);
-        let rate = client.part().writes;
+        let left = client.available_writes(WritePriority::Background);
+        let rate = client.quota().writes_per_s;
         trace.push_str(&format!("{what}: {left} now, {rate} a second\n"));
     };
     say("at first", &client);
@@ -22,14 +22,14 @@
     client.note_refusal();
     client.note_refusal();
     say("three", &client);
-    let unchanging = StateClient::new(addr, share(10.0), share(10.0));
+    let unchanging = StateClient::new(addr, quota(10.0), quota(10.0));
     (0..5).for_each(|_| unchanging.note_refusal());
-    assert!(!unchanging.has_fallen());
-    let told = StateClient::new(addr, share(10.0), share(7.0));
-    told.fall();
+    assert!(!unchanging.has_lower_quota());
+    let told = StateClient::new(addr, quota(10.0), quota(7.0));
+    told.adopt_lower_quota();
     say("told by another", &told);
-    told.set_others_lack(true);
-    assert!(told.writes_at_ease() <= LEFT_TO_OTHERS);
+    told.set_peers_short_of_writes(true);
+    assert!(told.write_headroom() <= LEFT_TO_OTHERS);
     insta::assert_snapshot!(trace, @r#"
     at first: 8 now, 10 a second
     one refusal: 0 now, 10 a second
--- a/crates/rowanmill-state/src/lib.rs
+++ b/crates/rowanmill-state/src/lib.rs
@@ -2,12 +2,12 @@
 //! service's limits. What is stored under which key is the caller's own matter.
 #![deny(missing_docs)]
 
-pub mod budget;
 pub mod client;
 pub mod http;
+pub mod rate_limit;
 
-pub use budget::{Budget, Need};
 pub use client::{
-    KeyValue, Listing, Operation, Precondition, ReadError, StateClient, StateShare,
-    TransactionError, Used, WatchEvent, WatchResponse,
+    KeyValue, Listing, Operation, Precondition, ReadError, RequestCounters, ServiceQuota,
+    StateClient, TransactionError, WatchEvent, WatchResponse,
 };
+pub use rate_limit::{RateLimiter, WritePriority};
--- a/crates/rowanmill-state/src/budget.rs
+++ b/crates/rowanmill-state/src/rate_limit.rs
@@ -4,7 +4,7 @@
 
 /// A rate with bursts of one second's worth.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RateLimiter {
     rate: f64,
     level: f64,
     at: Instant,
@@ -14,14 +14,14 @@
 /// of what is to come, which the others then go without: where a node may write four times a second,
 /// one submission in twelve came when less than one change was left, and was a second late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Need {
+pub enum WritePriority {
     /// A user waits for it.
-    User,
+    UserFacing,
     /// Nobody waits for it.
-    Own,
+    Background,
 }
 
-impl Budget {
+impl RateLimiter {
     /// A full budget.
     pub fn new(rate: f64, now: Instant) -> Self {
         Self {
@@ -50,11 +50,11 @@
     }
 
     /// How many may be taken now by that need.
-    pub fn available(&mut self, need: Need, now: Instant) -> f64 {
+    pub fn available(&mut self, priority: WritePriority, now: Instant) -> f64 {
         self.refill(now);
-        match need {
-            Need::User => self.level + self.rate.mul_add(0.3, 1.0),
-            Need::Own => self.level - self.rate * 0.2,
+        match priority {
+            WritePriority::UserFacing => self.level + self.rate.mul_add(0.3, 1.0),
+            WritePriority::Background => self.level - self.rate * 0.2,
         }
     }
 
@@ -65,7 +65,7 @@
     }
 
     /// Takes so many, even if that leaves less than nothing.
-    pub fn take(&mut self, count: f64, now: Instant) {
+    pub fn consume(&mut self, count: f64, now: Instant) {
         self.refill(now);
         self.level -= count;
     }
--- a/crates/rowanmill-state/tests/protocol.rs
+++ b/crates/rowanmill-state/tests/protocol.rs
@@ -2,7 +2,7 @@
 //! answer. The snapshots are the interface: they change only with the protocol.
 
 use rowanmill_state::{
-    KeyValue, Listing, Operation, Precondition, ReadError, StateClient, StateShare,
+    KeyValue, Listing, Operation, Precondition, ReadError, ServiceQuota, StateClient,
     TransactionError, WatchEvent, WatchResponse,
 };
 use rowanmill_testing::exchange::{Recorder, ScriptedAnswer};
@@ -10,9 +10,9 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-const SHARE: StateShare = StateShare {
-    requests: 1000.0,
-    writes: 1000.0,
+const SHARE: ServiceQuota = ServiceQuota {
+    requests_per_s: 1000.0,
+    writes_per_s: 1000.0,
 };
 
 fn answer(status: u16, body: &str) -> ScriptedAnswer {
@@ -172,7 +172,7 @@
     ];
     for (what, reply) in replies {
         let call = async |client: StateClient| {
-            let followed = client.follow("c/", 431, Duration::from_millis(250)).await;
+            let followed = client.watch("c/", 431, Duration::from_millis(250)).await;
             match followed.and_then(|body| WatchResponse::decode(&body)) {
                 Ok(followed) => {
                     let log: String = followed.events.iter().map(change_text).collect();
@@ -184,7 +184,7 @@
         trace.call(what, &[reply], call).await;
     }
     let at_once = async |client: StateClient| {
-        let followed = client.follow("r/", 0, Duration::ZERO).await;
+        let followed = client.watch("r/", 0, Duration::ZERO).await;
         followed.map_or_else(problem_text, |body| format!("{} bytes", body.len()))
     };
     let reply = answer(200, r#"{"ledger":433}"#);
@@ -303,7 +303,7 @@
         trace.call(what, &[reply], extended).await;
     }
     let ended = async |client: StateClient| {
-        let done = client.end_lease(7).await;
+        let done = client.revoke_lease(7).await;
         done.map_or_else(problem_text, |()| "ended".to_owned())
     };
     let replies = [
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -13,7 +13,7 @@
 use crate::state::{Operation, Precondition, TransactionError, final_key, job_key};
 use hyper::StatusCode;
 use rowanmill_limits::{ResourceAmount, TeamLimit};
-use rowanmill_state::Need;
+use rowanmill_state::WritePriority;
 use serde::Serialize;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -214,7 +214,7 @@
         Ok(before) => before,
         Err(answer) => return answer,
     };
-    if node.state.writes_left(Need::User) == 0 {
+    if node.state.available_writes(WritePriority::UserFacing) == 0 {
         return busy();
     }
     if before == Before::Done {
--- a/src/cells/scheduler.rs
+++ b/src/cells/scheduler.rs
@@ -15,7 +15,7 @@
     AdoptionOutcome, CellCoordinator, LedgerJob, LocalJobState, OwnershipVersion, Scheduler,
     TrackedJob, Unavailable, WithdrawalCondition,
 };
-use rowanmill_state::Need;
+use rowanmill_state::WritePriority;
 use std::sync::Arc;
 
 /// The scheduler of this cell.
@@ -152,7 +152,7 @@
         relinquished_revision: u64,
     ) -> Result<(), Unavailable> {
         let node = &self.node;
-        if node.state.writes_left(Need::User) == 0 {
+        if node.state.available_writes(WritePriority::UserFacing) == 0 {
             return Err(Unavailable);
         }
         record.placer = membership::choose_placer(node, &mut node.core(), &record);
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -9,7 +9,7 @@
 pub use limits::LimitsCommand;
 
 use rowanmill_config::{ConfigError, ConfigFile};
-use rowanmill_state::{StateClient, StateShare};
+use rowanmill_state::{ServiceQuota, StateClient};
 use std::error::Error;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -91,9 +91,9 @@
 }
 
 /// One person's requests a second; the service's own limits are for its controllers.
-const OPERATOR_SHARE: StateShare = StateShare {
-    requests: 10.0,
-    writes: 5.0,
+const OPERATOR_SHARE: ServiceQuota = ServiceQuota {
+    requests_per_s: 10.0,
+    writes_per_s: 5.0,
 };
 
 /// A configuration file and a client of the service that it names.
--- a/src/jobs/ends.rs
+++ b/src/jobs/ends.rs
@@ -6,7 +6,7 @@
 use crate::state::replica::Job;
 use crate::state::{Operation, Precondition, Replica, final_key, given_up_key, job_key, page_key};
 use rowanmill_cells::OwnershipVersion;
-use rowanmill_state::Need;
+use rowanmill_state::WritePriority;
 use std::sync::Arc;
 
 /// A job that is over, as it is to be recorded.
@@ -51,7 +51,10 @@
         .collect()
     };
     while !over.is_empty() {
-        let room = node.state.writes_left(Need::Own).min(most);
+        let room = node
+            .state
+            .available_writes(WritePriority::Background)
+            .min(most);
         let (guards, ops, count) = ending(&over, short, room);
         if room < 2 {
             return true;
@@ -147,7 +150,7 @@
 /// Whether changes are short: little may be written now, or of late pages were left for later turns.
 /// At the beginning of a turn a node may write again, however much waits for it.
 pub fn is_short(node: &Node) -> bool {
-    node.state.writes_at_ease() < AT_EASE || node.core().plans.unwritten() >= LEFT_OVER
+    node.state.write_headroom() < AT_EASE || node.core().plans.unwritten() >= LEFT_OVER
 }
 
 /// Pages left for the next turn, on the mean, that tell of a shortage.
@@ -159,13 +162,13 @@
 /// Moves jobs that ended to their final keys and drops the pages that they left, when there are
 /// changes to spare.
 pub async fn tidy(node: &Arc<Node>) {
-    let spare =
-        (node.state.writes_left(Need::Own) / 2).min(node.settings.max_transaction_operations());
+    let spare = (node.state.available_writes(WritePriority::Background) / 2)
+        .min(node.settings.max_transaction_operations());
     let (guards, ops) = {
         let core = node.core();
         let replica = &core.replica;
         let few = replica.closed.len() + replica.orphans.len() < MOST_LEFT;
-        if few && (core.plans.unwritten() >= LEFT_OVER || node.state.writes_at_ease() < AT_EASE) {
+        if few && (core.plans.unwritten() >= LEFT_OVER || node.state.write_headroom() < AT_EASE) {
             return;
         }
         tidying(replica, spare)
--- a/src/jobs/writer.rs
+++ b/src/jobs/writer.rs
@@ -18,7 +18,7 @@
     ASSIGNMENT_KEY, FORMS_KEY, MOST_BYTES, Operation, Precondition, TransactionError, job_key,
     page_key,
 };
-use rowanmill_state::Need;
+use rowanmill_state::WritePriority;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -103,7 +103,10 @@
     let mut singly = false;
     let mut fine = true;
     while !dirty.is_empty() {
-        let room = node.state.writes_left(Need::Own).min(ops);
+        let room = node
+            .state
+            .available_writes(WritePriority::Background)
+            .min(ops);
         if room == 0 {
             let mut core = node.core();
             core.metrics.deferred_pages += dirty.len() as u64;
@@ -201,7 +204,7 @@
     limits::withdraw_uncovered_starts(core);
     withdraw_broken_gangs(core);
     let most_guards = node.settings.max_transaction_operations() * 4;
-    let at_ease = node.state.writes_at_ease() >= 0.98;
+    let at_ease = node.state.write_headroom() >= 0.98;
     make_up(core, &node.me, most_guards, at_ease, now)
 }
 
--- a/src/limits/transfer.rs
+++ b/src/limits/transfer.rs
@@ -5,7 +5,7 @@
 use crate::node::{Core, Node};
 use crate::state::{Operation, Precondition, TransactionError, allotment_key};
 use rowanmill_limits::{RecordChange, RecordChangeKind};
-use rowanmill_state::Need;
+use rowanmill_state::WritePriority;
 use std::sync::Arc;
 use std::time::Instant;
 
@@ -18,7 +18,7 @@
 pub async fn change_own_allocations(node: &Arc<Node>, now: Instant) {
     let changes = next_changes(&mut node.core(), now);
     for (team, change) in changes {
-        if node.state.writes_left(Need::Own) == 0 {
+        if node.state.available_writes(WritePriority::Background) == 0 {
             return;
         }
         write_change(node, &team, change).await;
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -60,7 +60,7 @@
         && stands_back
     {
         // Its teams and machines, and the lead if it has it, go to others with the lease.
-        if node.state.end_lease(lease).await.is_ok() {
+        if node.state.revoke_lease(lease).await.is_ok() {
             node.core().standing.lease = None;
         }
         return;
@@ -102,7 +102,7 @@
         && incarnation != node.me.incarnation
     {
         // A process of the same name that ended: its lease would only keep others waiting.
-        let _ = node.state.end_lease(lease).await;
+        let _ = node.state.revoke_lease(lease).await;
     }
     let sent = Instant::now();
     let Ok(lease) = node.state.create_lease(ttl).await else {
--- a/src/membership/sharing.rs
+++ b/src/membership/sharing.rs
@@ -12,7 +12,7 @@
 use crate::placement::{Milestone, Resources};
 use crate::state::replica::Versioned;
 use crate::state::{ASSIGNMENT_KEY, LEADER_KEY, Operation, Precondition, rental_key};
-use rowanmill_state::Need as Budget;
+use rowanmill_state::WritePriority;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -230,7 +230,7 @@
             || core.replica.assignment.is_none()
             || fleet.values().any(|m| !present.contains(&m.owner));
         // Records of machines that follow the work take the place of starts where puts are short.
-        let every = match node.state.writes_at_ease() < 0.5 {
+        let every = match node.state.write_headroom() < 0.5 {
             true => SHARE_EVERY * 2,
             false => SHARE_EVERY,
         };
@@ -268,8 +268,12 @@
     let most = match orphaned {
         // Until a takeover is done its workers' leases run out and nobody's tasks start: it may use
         // what is kept back for users, and what the absent controllers do not write.
-        true => most.min(node.state.writes_left(Budget::User).max(TAKEOVER_RECORDS)),
-        false => MOST_RECORDS.min(node.state.writes_left(Budget::Own)),
+        true => most.min(
+            node.state
+                .available_writes(WritePriority::UserFacing)
+                .max(TAKEOVER_RECORDS),
+        ),
+        false => MOST_RECORDS.min(node.state.available_writes(WritePriority::Background)),
     };
     let mut moved = 0;
     {
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -9,7 +9,7 @@
 use crate::node::{Core, Node};
 use crate::state::replica::Job;
 pub use processor_time::{CpuAccount, ProcessorTime};
-use rowanmill_state::Used;
+use rowanmill_state::RequestCounters;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
@@ -96,14 +96,14 @@
 
 impl Totals {
     fn read(node: &Node) -> Self {
-        let used: &Used = &node.state.used;
+        let used: &RequestCounters = &node.state.counters;
         let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         Self {
             requests: load(&used.requests),
-            puts: load(&used.puts),
-            guards: load(&used.guards),
+            puts: load(&used.writes),
+            guards: load(&used.preconditions),
             refused: load(&used.refused),
-            watched_bytes: load(&used.followed_bytes),
+            watched_bytes: load(&used.watched_bytes),
             by_account: node.processor_time.totals(),
             process: processor_time::process_time(),
         }
--- a/src/node.rs
+++ b/src/node.rs
@@ -81,8 +81,8 @@
             },
             state: StateClient::new(
                 settings.endpoints.state,
-                settings.state_share(),
-                settings.announced_state_share(),
+                settings.state_quota(),
+                settings.announced_state_quota(),
             ),
             cloud: CloudClient::new(settings.endpoints.cloud),
             core: Mutex::new(Core::new(settings.page_layout(), now)),
--- a/src/pipelines/service.rs
+++ b/src/pipelines/service.rs
@@ -5,7 +5,7 @@
 use crate::membership;
 use crate::node::{Core, Node, wall_ms};
 use crate::state::{Operation, Precondition, final_key, job_key};
-use rowanmill_state::Need;
+use rowanmill_state::WritePriority;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -67,7 +67,10 @@
     let most = node.settings.max_transaction_operations();
     loop {
         // Users wait for each stage.
-        let room = node.state.writes_left(Need::User).min(most);
+        let room = node
+            .state
+            .available_writes(WritePriority::UserFacing)
+            .min(most);
         let mut steps = steps(node, &mut node.core(), ended_here, room);
         let (mut guards, mut ops) = (Vec::new(), Vec::new());
         let mut bytes = 0;
--- a/src/placement/service.rs
+++ b/src/placement/service.rs
@@ -31,7 +31,7 @@
             let worked = scheduling_cycle(&node).await;
             node.cycle_ended();
             // Where writes are scarce, a record should hold more starts rather than come sooner.
-            let scarce = LONGEST_PAUSE.mul_f64(1.0 - node.state.writes_at_ease());
+            let scarce = LONGEST_PAUSE.mul_f64(1.0 - node.state.write_headroom());
             pause = pause.max(worked * PAUSE_PER_WORK).max(scarce);
         }
         if logged.elapsed().as_secs_f64() >= node.policy.period_s {
--- a/src/renting/decide.rs
+++ b/src/renting/decide.rs
@@ -109,9 +109,9 @@
 fn part_writes(node: &Node, core: &Core, now_ms: u64) {
     // One node's refusals tell all of them that the limits fell.
     if core.replica.outlooks.values().any(|o| o.record.fallen) {
-        node.state.fall();
+        node.state.adopt_lower_quota();
     }
-    let part = node.state.part().writes;
+    let part = node.state.quota().writes_per_s;
     let (mut spare, mut wanted) = (0.0, 0.0);
     let mut own = 1.0;
     for (name, kept) in &core.replica.outlooks {
@@ -135,7 +135,7 @@
             o.record.unwritten >= LACKS
                 && age_s(o.record.at_ms, now_ms) < node.policy.period_s * 2.0
         });
-    node.state.set_others_lack(lacks);
+    node.state.set_peers_short_of_writes(lacks);
     // In proportion to what each could not write: the busiest node has the leader's records, most
     // machines and the gangs, and had as much as any other.
     node.state
--- a/src/renting/release.rs
+++ b/src/renting/release.rs
@@ -9,7 +9,7 @@
 use crate::state::follow::LOST;
 use crate::state::replica::Versioned;
 use crate::state::{Operation, Precondition, rental_key};
-use rowanmill_state::Need;
+use rowanmill_state::WritePriority;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -54,7 +54,7 @@
     change: impl FnMut(&mut Rented) -> bool,
 ) -> Vec<String> {
     // Beyond what this node may write it would only be refused, and take others' puts along.
-    let left = node.state.writes_left(Need::User);
+    let left = node.state.available_writes(WritePriority::UserFacing);
     let most = node.settings.max_transaction_operations().min(left);
     let (mut guards, mut ops, mut rentals) = (Vec::new(), Vec::new(), Vec::new());
     let written: Vec<String> = {
@@ -133,7 +133,7 @@
     {
         let mut core = node.core();
         let due = core.rent.merged_at.is_none_or(|at| now >= at + MERGE_EVERY);
-        if !due || node.state.writes_at_ease() < 0.5 {
+        if !due || node.state.write_headroom() < 0.5 {
             return;
         }
         core.rent.merged_at = Some(now);
--- a/src/renting/service.rs
+++ b/src/renting/service.rs
@@ -62,8 +62,8 @@
         return;
     };
     let mut record = record;
-    record.puts_per_s = node.state.puts_rate();
-    record.fallen = node.state.has_fallen();
+    record.puts_per_s = node.state.measure_write_rate();
+    record.fallen = node.state.has_lower_quota();
     let put = Operation::put(outlook_key(&node.me.name), &record);
     if let Ok(revision) = node
         .state
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -3,7 +3,7 @@
 
 use super::{NextLimits, Settings, StateParams};
 use crate::jobs::pages::Layout;
-use rowanmill_state::StateShare;
+use rowanmill_state::ServiceQuota;
 use std::time::Duration;
 
 const BYTES_PER_KIB: f64 = 1024.0;
@@ -45,25 +45,25 @@
 
 impl Settings {
     /// This controller's share of the state service's limits of now.
-    pub fn state_share(&self) -> StateShare {
+    pub fn state_quota(&self) -> ServiceQuota {
         let controllers = f64::from(self.params.size);
-        StateShare {
-            requests: self.params.state.rps / controllers,
-            writes: self.params.state.write_rps / controllers,
+        ServiceQuota {
+            requests_per_s: self.params.state.rps / controllers,
+            writes_per_s: self.params.state.write_rps / controllers,
         }
     }
 
     /// This controller's share once the announced limits hold, where they are lower.
-    pub fn announced_state_share(&self) -> StateShare {
+    pub fn announced_state_quota(&self) -> ServiceQuota {
         let controllers = f64::from(self.params.size);
         let lower = |share: f64, announced: Option<f64>| {
             announced.map_or(share, |limit| share.min(limit / controllers))
         };
-        let current = self.state_share();
+        let current = self.state_quota();
         let NextLimits { rps, write_rps, .. } = self.params.state.next();
-        StateShare {
-            requests: lower(current.requests, rps),
-            writes: lower(current.writes, write_rps),
+        ServiceQuota {
+            requests_per_s: lower(current.requests_per_s, rps),
+            writes_per_s: lower(current.writes_per_s, write_rps),
         }
     }
 
--- a/src/state/follow.rs
+++ b/src/state/follow.rs
@@ -21,7 +21,7 @@
         }
         node.core().loaded = true;
         while let Ok(()) | Err(ReadError::Failed) = turn(&node, hold).await {
-            tokio::time::sleep(node.state.follow_gap()).await;
+            tokio::time::sleep(node.state.watch_interval()).await;
         }
         node.core().loaded = false;
         tracing::info!("the log was cut before our place: loading anew");
@@ -42,7 +42,7 @@
             let _ = waiter.send(fresh);
         }
         // Whoever comes meanwhile shares the next read.
-        tokio::time::sleep(node.state.sync_gap()).await;
+        tokio::time::sleep(node.state.read_barrier_interval()).await;
     }
 }
 
@@ -75,7 +75,7 @@
 }
 
 async fn follow(node: &Node, from: u64, hold: Duration) -> Result<WatchResponse, ReadError> {
-    let body = node.state.follow(LIVE, from, hold).await?;
+    let body = node.state.watch(LIVE, from, hold).await?;
     let _charge = node.processor_time.charge(CpuAccount::WatchDecoding);
     WatchResponse::decode(&body)
 }
--- a/src/testing/fleet_scale.rs
+++ b/src/testing/fleet_scale.rs
@@ -301,7 +301,7 @@
     assert_eq!(refused, (0, 0), "records fit the limits");
     assert!(largest_value(&state) <= VALUE_BYTES);
     let reports = workers.answered.load(Ordering::Relaxed);
-    let puts = second.node.state.used.puts.load(Ordering::Relaxed);
+    let puts = second.node.state.counters.writes.load(Ordering::Relaxed);
     println!("reports answered: {reports}; puts of the second controller: {puts}");
     assert!(puts < MOST_PUTS, "{puts} puts");
 }
