--- a/src/cells/heartbeats.rs
+++ b/src/cells/heartbeats.rs
@@ -1,6 +1,7 @@
 //! What the ledger permits of the answer to a worker's heartbeat. It decides; the workers' service acts.
 
 use super::local_state::tracked_job;
+use crate::jobs::TaskRef;
 use crate::node::{Core, Node};
 use crate::workers::Report;
 use rowanmill_cells::TrackedJob;
@@ -39,11 +40,11 @@
 /// changes to them or by the heartbeat.
 fn tracked_jobs_on(core: &Core, report: &Report) -> Vec<TrackedJob> {
     let recorded = core.replica.on.get(&report.machine).into_iter().flatten();
-    let recorded = recorded.map(|(job, _)| job.as_str());
-    let planned = core.plans.on(&report.machine).map(|(job, _)| job.as_str());
+    let recorded = recorded.map(|task| task.job.as_str());
+    let planned = core.plans.on(&report.machine).map(|task| task.job.as_str());
     let reported = report.tasks.iter();
-    let reported = reported.filter_map(|task| crate::jobs::split_task(&task.task));
-    let reported = reported.map(|(job, _)| job);
+    let reported = reported.filter_map(|task| TaskRef::try_from(task.task.as_str()).ok());
+    let reported = reported.map(|task| task.job);
     let ids: BTreeSet<&str> = recorded.chain(planned).chain(reported).collect();
     let jobs = &core.replica.jobs;
     let tracked = |id: &str| tracked_job(id, &jobs.get(id)?.record);
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -5,10 +5,12 @@
 pub mod plans;
 pub mod runtime_estimate;
 pub mod spec;
+mod task_id;
 pub mod writer;
 
 pub use pages::{Entry, Layout, Page, PageId};
 pub use spec::{JobSpec, Shape, SpecError, Submission, Urgency, is_job_id};
+pub use task_id::{TaskId, TaskRef};
 
 use rowanmill_cells::OwnershipVersion;
 use serde::{Deserialize, Serialize};
@@ -140,12 +142,3 @@
         }
     }
 }
-
-/// Splits `job-000412/3` into the job's id and the task's number.
-pub fn split_task(name: &str) -> Option<(&str, u32)> {
-    let (job, index) = name.split_once('/')?;
-    if !is_job_id(job) {
-        return None;
-    }
-    index.parse().ok().map(|index| (job, index))
-}
--- a/src/jobs/plans.rs
+++ b/src/jobs/plans.rs
@@ -1,7 +1,6 @@
 //! What is planned of tasks and not in the records yet: starts, exits, withdrawals.
 
-use super::Entry;
-use crate::workers::TaskId;
+use super::{Entry, TaskId};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
@@ -52,23 +51,23 @@
             on.insert(id.clone());
             self.changed_machines.insert(machine.clone());
         }
-        let since = self.since.entry(id.0.clone());
+        let since = self.since.entry(id.job.clone());
         since.or_insert_with(Instant::now);
-        let changes = self.changes.entry(id.0.clone()).or_default();
-        let before = changes.insert(id.1, entry.clone());
+        let changes = self.changes.entry(id.job.clone()).or_default();
+        let before = changes.insert(id.index, entry.clone());
         self.leaves(id, before, Some(&entry));
     }
 
     pub fn remove(&mut self, id: &TaskId, held: &Entry) {
         self.note(id, held);
-        let Some(changes) = self.changes.get_mut(&id.0) else {
+        let Some(changes) = self.changes.get_mut(&id.job) else {
             return;
         };
-        let before = changes.remove(&id.1);
+        let before = changes.remove(&id.index);
         if changes.is_empty() {
-            self.changes.remove(&id.0);
-            self.since.remove(&id.0);
-            self.ranks.remove(&id.0);
+            self.changes.remove(&id.job);
+            self.since.remove(&id.job);
+            self.ranks.remove(&id.job);
         }
         self.leaves(id, before, None);
     }
@@ -76,12 +75,12 @@
     pub fn remove_job(&mut self, job: &str) {
         let tasks: Vec<u32> = self.of(job).into_iter().flatten().map(|c| *c.0).collect();
         for task in tasks {
-            self.remove(&(job.to_owned(), task), &Entry::default());
+            self.remove(&TaskId::new(job, task), &Entry::default());
         }
     }
 
     fn note(&mut self, id: &TaskId, held: &Entry) {
-        self.changed_jobs.insert(id.0.clone());
+        self.changed_jobs.insert(id.job.clone());
         if let Entry::Placed { machine, .. } = held {
             self.changed_machines.insert(machine.clone());
         }
--- a/src/jobs/writer/tests.rs
+++ b/src/jobs/writer/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::jobs::ends::tidying;
-use crate::jobs::{Final, Layout};
+use crate::jobs::{Final, Layout, TaskId};
 use rowanmill_state::KeyValue;
 use serde_json::{Value, json};
 use std::time::Instant;
@@ -46,7 +46,7 @@
 fn what_was_seen_under_an_earlier_ownership_is_not_recorded() {
     let (me, mut core) = core();
     core.note_ownership(&me, Instant::now());
-    core.plan(&("job-1".into(), 0), Entry::Waiting { last: 1 });
+    core.plan(&TaskId::new("job-1", 0), Entry::Waiting { last: 1 });
     let ours = show(&core);
     put(&mut core, "r/m/r-1", rental("vm-1", "me", 2), 12);
     core.note_ownership(&me, Instant::now());
@@ -69,13 +69,13 @@
     core.note_ownership(&me, Instant::now());
     put(&mut core, "r/m/r-2", rental("vm-2", "me", 1), 9);
     core.note_ownership(&me, Instant::now());
-    core.plan(&("job-1".into(), 0), Entry::Waiting { last: 1 });
+    core.plan(&TaskId::new("job-1", 0), Entry::Waiting { last: 1 });
     let on_second = Entry::Placed {
         attempt: 1,
         machine: "vm-2".into(),
         session: 1,
     };
-    core.plan(&("job-1".into(), 1), on_second);
+    core.plan(&TaskId::new("job-1", 1), on_second);
     let before = show(&core);
     put(&mut core, "r/m/r-1", rental("vm-1", "other", 2), 12);
     put(&mut core, "r/m/r-2", rental("vm-2", "other", 2), 13);
@@ -110,9 +110,9 @@
         session: 1,
     };
     for task in 0..20 {
-        core.plan(&("job-2".into(), task), start.clone());
+        core.plan(&TaskId::new("job-2", task), start.clone());
     }
-    core.plan(&("job-1".into(), 1), start);
+    core.plan(&TaskId::new("job-1", 1), start);
     let dirty = make_up(&core, &me, 96, true, Instant::now());
     let mut units = Vec::new();
     let mut rest = &dirty[..];
@@ -158,13 +158,13 @@
         });
         trace.push_str(&format!("{what}: {}\n", waits.join(", ")));
     };
-    core.plan(&("job-2".into(), 0), Entry::Done);
+    core.plan(&TaskId::new("job-2", 0), Entry::Done);
     say(&core, "one of five done");
-    core.plan(&("job-2".into(), 1), Entry::Waiting { last: 1 });
+    core.plan(&TaskId::new("job-2", 1), Entry::Waiting { last: 1 });
     say(&core, "one to be placed again");
-    core.unplan(&("job-2".into(), 1));
+    core.unplan(&TaskId::new("job-2", 1));
     for task in 1..4 {
-        core.plan(&("job-2".into(), task), Entry::Done);
+        core.plan(&TaskId::new("job-2", task), Entry::Done);
     }
     say(&core, "four of five done");
     insta::assert_snapshot!(trace, @r#"
@@ -219,7 +219,7 @@
                 machine,
                 session: 1,
             };
-            core.plan(&(id.to_owned(), task), entry);
+            core.plan(&TaskId::new(id, task), entry);
         }
     }
     let dirty = make_up(&core, &me, 32, true, Instant::now());
@@ -309,7 +309,7 @@
         machine: "vm-1".into(),
         session: 1,
     };
-    core.plan(&("job-1".into(), 1), start);
+    core.plan(&TaskId::new("job-1", 1), start);
     withdraw_unstartable(&mut core, &me);
     assert_eq!(core.plans.on("vm-1").count(), 1);
     let mut returning = rental("vm-1", "me", 1);
@@ -336,8 +336,8 @@
         machine: "vm-1".into(),
         session: 1,
     };
-    core.plan(&("job-1".into(), 1), start);
-    core.plan(&("job-2".into(), 0), Entry::Waiting { last: 1 });
+    core.plan(&TaskId::new("job-1", 1), start);
+    core.plan(&TaskId::new("job-2", 0), Entry::Waiting { last: 1 });
     let order = |s| {
         let dirty = make_up(
             &core,
@@ -373,7 +373,7 @@
             machine: machine.into(),
             session: 1,
         };
-        core.plan(&("job-2".into(), task), entry);
+        core.plan(&TaskId::new("job-2", task), entry);
     }
     withdraw_broken_gangs(&mut core);
     let whole = show(&core);
@@ -442,7 +442,7 @@
 fn an_exit_does_not_undo_a_later_start() {
     let (me, mut core) = core();
     core.note_ownership(&me, Instant::now());
-    core.plan(&("job-1".into(), 0), Entry::Waiting { last: 1 });
+    core.plan(&TaskId::new("job-1", 0), Entry::Waiting { last: 1 });
     put(&mut core, "r/m/r-2", rental("vm-2", "other", 1), 12);
     let page = json!([[2, "vm-2", 1]]);
     put(&mut core, "r/p/job-1/0", page, 13);
@@ -488,7 +488,7 @@
             machine,
             session: 2,
         };
-        core.plan(&("job-1".into(), task), entry);
+        core.plan(&TaskId::new("job-1", task), entry);
     }
     let dirty = make_up(&core, &me, 96, true, Instant::now());
     let largest = dirty.iter().map(|d| match &d.op {
--- a/src/jobs/writer/withdrawal.rs
+++ b/src/jobs/writer/withdrawal.rs
@@ -2,7 +2,7 @@
 
 use super::Dirty;
 use crate::fleet::Use;
-use crate::jobs::Entry;
+use crate::jobs::{Entry, TaskId};
 use crate::membership::assignment::Member;
 use crate::node::Core;
 
@@ -21,7 +21,7 @@
         .flat_map(|(id, changes)| changes.iter().map(move |(task, entry)| (id, *task, entry)));
     let lost: Vec<_> = changes
         .filter(|(_, _, entry)| matches!(entry, Entry::Placed { machine, .. } if !takes(machine)))
-        .map(|(id, task, _)| (id.clone(), task))
+        .map(|(id, task, _)| TaskId::new(id, task))
         .collect();
     for id in lost {
         core.unplan(&id);
@@ -41,7 +41,7 @@
         let starts = changes.iter().filter(|(_, e)| is_placed(e));
         let starts: Vec<u32> = starts.map(|(task, _)| *task).collect();
         if !starts.is_empty() && !(0..spec.tasks).all(|t| is_placed(core.entry(id, t))) {
-            broken.extend(starts.into_iter().map(|task| (id.clone(), task)));
+            broken.extend(starts.into_iter().map(|task| TaskId::new(id, task)));
         }
     }
     for id in broken {
@@ -66,7 +66,7 @@
             .map(|(task, _)| *task)
             .collect();
         for task in starts {
-            core.unplan(&(d.job.clone(), task));
+            core.unplan(&TaskId::new(&d.job, task));
         }
     }
 }
@@ -86,11 +86,11 @@
 /// Forgets planned changes that the records now hold, or that no longer apply to them.
 pub(super) fn settle(core: &mut Core) {
     let replica = &core.replica;
-    core.workers.stops.retain(|((id, task), attempt), _| {
+    core.workers.stops.retain(|(id, attempt), _| {
         let entry = replica
             .jobs
-            .contains_key(id)
-            .then(|| replica.entry(id, *task));
+            .contains_key(&id.job)
+            .then(|| replica.entry(&id.job, id.index));
         matches!(entry, Some(Entry::Placed { attempt: held, .. }) if held == attempt)
     });
     let mut over = Vec::new();
@@ -98,7 +98,7 @@
         let known = core.replica.jobs.contains_key(id);
         for (task, entry) in changes {
             if !known || !applies(core.replica.entry(id, *task), entry) {
-                over.push((id.clone(), *task));
+                over.push(TaskId::new(id, *task));
             }
         }
     }
--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::jobs::Entry;
 use crate::jobs::pages::tests::wide;
+use crate::jobs::{Entry, TaskId};
 use rowanmill_limits::ResourceAmount;
 use serde_json::{Value, json};
 use std::time::Instant;
@@ -43,7 +43,7 @@
         machine: "vm-1".into(),
         session: 1,
     };
-    core.plan(&(id.to_owned(), task), entry);
+    core.plan(&TaskId::new(id, task), entry);
 }
 
 fn planned(core: &Core) -> usize {
@@ -143,13 +143,13 @@
         core.limits.divided_team(core, "t").unwrap().headroom().cpus
     };
     assert_eq!(headroom_cpus(&mut core), 0.0);
-    core.plan(&("job-1".into(), 0), Entry::Waiting { last: 1 });
+    core.plan(&TaskId::new("job-1", 0), Entry::Waiting { last: 1 });
     assert_eq!(
         headroom_cpus(&mut core),
         0.0,
         "an absence that is not recorded may become void"
     );
-    core.plan(&("job-1".into(), 1), Entry::Done);
+    core.plan(&TaskId::new("job-1", 1), Entry::Done);
     assert_eq!(headroom_cpus(&mut core), 1.0);
 }
 
--- a/src/limits/withdrawal.rs
+++ b/src/limits/withdrawal.rs
@@ -1,7 +1,7 @@
 //! Withdraws planned starts that this controller's allocations do not cover.
 
 use super::{DividedTeam, refresh_usage};
-use crate::jobs::Entry;
+use crate::jobs::{Entry, TaskId};
 use crate::node::Core;
 use std::collections::HashMap;
 
@@ -13,7 +13,7 @@
         .limits
         .divided_teams(core)
         .filter(DividedTeam::is_overcommitted);
-    let uncovered: Vec<(String, u32)> = overcommitted
+    let uncovered: Vec<TaskId> = overcommitted
         .flat_map(|team| uncovered_starts(core, &team))
         .collect();
     if uncovered.is_empty() {
@@ -26,7 +26,7 @@
 }
 
 /// The planned starts of a team that its allocation does not cover, as jobs with the tasks' numbers.
-fn uncovered_starts(core: &Core, team: &DividedTeam) -> Vec<(String, u32)> {
+fn uncovered_starts(core: &Core, team: &DividedTeam) -> Vec<TaskId> {
     let mut headroom = team.headroom_for_planned();
     let mut uncovered = Vec::new();
     for PlannedStarts { job, tasks } in planned_starts(core, team.name) {
@@ -39,7 +39,7 @@
             let need = team.amount(spec, unit.len() as u32);
             match headroom.filter(|headroom| need.fits_within(*headroom)) {
                 Some(left) => headroom = Some(left.saturating_sub(need)),
-                None => uncovered.extend(unit.iter().map(|task| (job.clone(), *task))),
+                None => uncovered.extend(unit.iter().map(|task| TaskId::new(job, *task))),
             }
         }
     }
--- a/src/node.rs
+++ b/src/node.rs
@@ -3,7 +3,7 @@
 use crate::cloud::{CloudClient, MachineType};
 use crate::jobs::plans::Plans;
 use crate::jobs::runtime_estimate::{Failures, RuntimeEstimate};
-use crate::jobs::{Entry, JobSpec, Layout};
+use crate::jobs::{Entry, JobSpec, Layout, TaskId};
 use crate::limits::TeamQuotas;
 use crate::membership::Standing;
 use crate::membership::assignment::Member;
@@ -16,7 +16,7 @@
 use crate::renting::service::RentState;
 use crate::settings::Settings;
 use crate::state::{Operation, Precondition, Replica, StateClient, rental_key};
-use crate::workers::{TaskId, Workers};
+use crate::workers::Workers;
 use rowanmill_cells::{CellCoordinator, CellsConfig};
 use rowanmill_limits::LimitsConfig;
 use std::collections::HashMap;
@@ -246,12 +246,12 @@
     }
 
     pub fn plan(&mut self, id: &TaskId, entry: Entry) {
-        let held = self.replica.entry(&id.0, id.1);
+        let held = self.replica.entry(&id.job, id.index);
         self.plans.insert(id, held, entry);
     }
 
     pub fn unplan(&mut self, id: &TaskId) {
-        let held = self.replica.entry(&id.0, id.1);
+        let held = self.replica.entry(&id.job, id.index);
         self.plans.remove(id, held);
     }
 
@@ -277,7 +277,7 @@
         let open = self.views.opened.contains(name);
         let needs_gpus = !open && self.kind(kind).is_some_and(|k| k.gpus > 0.0);
         let on = self.replica.on.get(name).into_iter().flatten();
-        on.filter_map(|(job, _)| self.replica.jobs.get(job))
+        on.filter_map(|task| self.replica.jobs.get(&task.job))
             .any(|job| !needs_gpus || job.record.spec.gpus > 0.0)
     }
 
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -3,8 +3,7 @@
 
 use super::packing::Unplaced;
 use super::{JobSnapshot, MachineSnapshot, Resources};
-use crate::jobs::Urgency;
-use crate::workers::TaskId;
+use crate::jobs::{TaskId, Urgency};
 use std::collections::{HashMap, HashSet};
 
 /// A task on a machine, as far as stopping it goes.
--- a/src/placement/preemption/tests.rs
+++ b/src/placement/preemption/tests.rs
@@ -7,7 +7,7 @@
     let mut urgent = job("urgent", 3.0, 1, 20.0);
     urgent.by = super::super::Milestone::Start;
     let running_task = |id: &str, urgency, lost_s| RunningTask {
-        id: (id.to_string(), 0),
+        id: TaskId::new(id, 0),
         attempt: 1,
         resources: Resources {
             cpus: 2.0,
@@ -57,7 +57,7 @@
             3.0,
             2,
         );
-        let names: Vec<&str> = stops.stops.iter().map(|s| s.0.0.as_str()).collect();
+        let names: Vec<&str> = stops.stops.iter().map(|s| s.0.job.as_str()).collect();
         trace.push_str(&format!("{what}: stop {names:?}\n"));
     }
     insta::assert_snapshot!(trace, @r#"
--- a/src/placement/service.rs
+++ b/src/placement/service.rs
@@ -1,7 +1,7 @@
 //! The placing loop: plans starts, and has them recorded before anything acts on them.
 
 use super::{packing, preemption, snapshot, snapshot_cache};
-use crate::jobs::{Entry, JobSpec, Urgency, writer};
+use crate::jobs::{Entry, JobSpec, TaskId, Urgency, writer};
 use crate::limits;
 use crate::membership;
 use crate::metrics::{self, CpuAccount, Metrics};
@@ -183,7 +183,7 @@
         MOST_CLEARED,
     );
     for (id, attempt, grace) in made.stops {
-        tracing::debug!(job = id.0, task = id.1, "stopped to make room");
+        tracing::debug!(job = id.job, task = id.index, "stopped to make room");
         stop(core, id, attempt, grace);
     }
     for (job, machines) in made.cleared {
@@ -204,12 +204,12 @@
     node.settings.heartbeat_interval() * 3 + Duration::from_secs(5)
 }
 
-fn stop(core: &mut Core, id: crate::workers::TaskId, attempt: u64, grace: f64) {
-    if let Entry::Placed { machine, .. } = core.entry(&id.0, id.1) {
+fn stop(core: &mut Core, id: TaskId, attempt: u64, grace: f64) {
+    if let Entry::Placed { machine, .. } = core.entry(&id.job, id.index) {
         let machine = machine.clone();
         core.plans.touch_machine(&machine);
     }
-    let reserved = core.replica.entry(&id.0, id.1);
+    let reserved = core.replica.entry(&id.job, id.index);
     if !matches!(reserved, Entry::Placed { attempt: reserved, .. } if *reserved == attempt) {
         // Planned and in no record, nor on its way into one while a turn is being planned: it has
         // not begun and will not, so its room is free at once.
@@ -237,7 +237,7 @@
         };
         for task in 0..job.record.spec.tasks {
             if let Entry::Placed { attempt, .. } = core.entry(id, task) {
-                stops.push(((id.clone(), task), *attempt));
+                stops.push((TaskId::new(id, task), *attempt));
             }
         }
     }
@@ -257,7 +257,7 @@
         };
         let left = at.saturating_duration_since(now).as_secs_f64();
         for id in core.replica.on.get(name).into_iter().flatten() {
-            let Some(job) = core.replica.jobs.get(&id.0) else {
+            let Some(job) = core.replica.jobs.get(&id.job) else {
                 continue;
             };
             let spec = &job.record.spec;
@@ -272,9 +272,9 @@
                 continue;
             }
             let grace = if saves { left.max(spec.save_s) } else { 0.0 };
-            for task in mates(spec, id.1) {
-                let mate = (id.0.clone(), task);
-                if let Entry::Placed { attempt, .. } = core.entry(&mate.0, task) {
+            for task in mates(spec, id.index) {
+                let mate = TaskId::new(&id.job, task);
+                if let Entry::Placed { attempt, .. } = core.entry(&mate.job, task) {
                     stops.push(((mate, *attempt), grace));
                 }
             }
@@ -303,12 +303,12 @@
         .iter()
         .filter(|(name, _)| !fleet.contains_key(*name))
         .flat_map(|(_, on)| on.iter().cloned())
-        .filter(|(job, _)| core.owns_job(&node.me, job))
+        .filter(|task| core.owns_job(&node.me, &task.job))
         .collect();
     for id in gone {
         if let Entry::Placed {
             attempt, machine, ..
-        } = core.entry(&id.0, id.1)
+        } = core.entry(&id.job, id.index)
             && !core.replica.fleet.machines.contains_key(machine)
         {
             let last = *attempt;
@@ -342,12 +342,12 @@
             continue;
         }
         let machine = &views.machines[start.machine];
-        let id = (job.id.clone(), start.task);
+        let id = TaskId::new(&job.id, start.task);
         let attempt = match gang_attempts.get(&start.job) {
             Some(attempt) => *attempt,
             None => {
-                let last = core.entry(&id.0, id.1).last_attempt();
-                last.max(attempts_above(core, &id.0)) + 1
+                let last = core.entry(&id.job, id.index).last_attempt();
+                last.max(attempts_above(core, &id.job)) + 1
             }
         };
         let Some(spec) = snapshot_cache::spec_of(core, &job.id) else {
--- a/src/placement/service/tests.rs
+++ b/src/placement/service/tests.rs
@@ -18,11 +18,14 @@
         machine: "vm-1".into(),
         session: 1,
     };
-    core.plan(&("job-1".into(), 1), planned);
+    core.plan(&TaskId::new("job-1", 1), planned);
     for task in [0, 1] {
-        stop(&mut core, ("job-1".into(), task), 1, 0.0);
+        stop(&mut core, TaskId::new("job-1", task), 1, 0.0);
     }
-    let stops: Vec<_> = core.workers.stops.keys().collect();
+    let stops = core.workers.stops.keys();
+    let stops: Vec<_> = stops
+        .map(|(id, attempt)| ((&id.job, id.index), attempt))
+        .collect();
     insta::assert_snapshot!(
         format!("{:?}\n{:?}\nto be stopped {stops:?}", core.entry("job-1", 0), core.entry("job-1", 1)),
         @r#"
--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -167,7 +167,7 @@
     };
     for name in core.replica.fleet.machines.keys() {
         for id in tasks_on(core, name) {
-            add(&id.0);
+            add(&id.job);
         }
     }
     // An absence that is not recorded may become void, see `limits::usage`.
@@ -353,11 +353,11 @@
     let mut there = Vec::new();
     for id in tasks_on(core, name) {
         let id = id.into_owned();
-        let Some(job) = core.replica.jobs.get(&id.0) else {
+        let Some(job) = core.replica.jobs.get(&id.job) else {
             continue;
         };
         let spec = &job.record.spec;
-        let Entry::Placed { attempt, .. } = *core.entry(&id.0, id.1) else {
+        let Entry::Placed { attempt, .. } = *core.entry(&id.job, id.index) else {
             continue;
         };
         let ran = live.running_since.get(&id).map_or(0.0, |(_, since)| {
--- a/src/placement/snapshot_cache.rs
+++ b/src/placement/snapshot_cache.rs
@@ -5,12 +5,12 @@
 use super::{FreeSlot, JobSnapshot, MachineSnapshot, NameTable, Resources, TasksByZone};
 use crate::cloud::MachineType;
 use crate::fleet::Use;
-use crate::jobs::{Entry, JobRecord, JobSpec, split_task};
+use crate::jobs::{Entry, JobRecord, JobSpec, TaskId, TaskRef};
 use crate::membership::assignment::Member;
 use crate::node::{Core, Node, age_s};
 use crate::pipelines::paths::{Pull, pulls};
 use crate::state::replica::Job;
-use crate::workers::{Live, TaskId, TaskState};
+use crate::workers::{Live, TaskState};
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -311,7 +311,7 @@
 
 /// Tasks on a machine: recorded, about to be recorded, or reported.
 pub fn tasks_on<'a>(core: &'a Core, name: &str) -> Vec<Cow<'a, TaskId>> {
-    let is_here = |id: &&TaskId| matches!(core.entry(&id.0, id.1), Entry::Placed { machine, .. } if machine == name);
+    let is_here = |id: &&TaskId| matches!(core.entry(&id.job, id.index), Entry::Placed { machine, .. } if machine == name);
     let recorded = core.replica.on.get(name).into_iter().flatten();
     let mut on: Vec<Cow<TaskId>> = recorded.filter(is_here).map(Cow::Borrowed).collect();
     on.extend(core.plans.on(name).map(Cow::Borrowed));
@@ -322,11 +322,11 @@
     };
     let running = live.report.tasks.iter();
     for task in running.filter(|t| t.state != TaskState::Ended) {
-        let Some(id) = split_task(&task.task) else {
+        let Ok(id) = TaskRef::try_from(task.task.as_str()) else {
             continue;
         };
-        if let Err(place) = on.binary_search_by(|known| (known.0.as_str(), known.1).cmp(&id)) {
-            on.insert(place, Cow::Owned((id.0.to_owned(), id.1)));
+        if let Err(place) = on.binary_search_by(|known| known.borrowed().cmp(&id)) {
+            on.insert(place, Cow::Owned(id.into()));
         }
     }
     on
@@ -367,7 +367,7 @@
     let mut busy: Vec<FreeSlot> = Vec::new();
     for id in tasks_on(core, name) {
         // A task whose size nobody knows: no room is certain until it is gone.
-        let spec = spec_of(core, &id.0)?;
+        let spec = spec_of(core, &id.job)?;
         free.sub(&spec.resources());
         busy.push(FreeSlot {
             at: up_at + remaining(core, spec, &id, live, kind, now),
@@ -416,7 +416,7 @@
     kind: &MachineType,
     now: Instant,
 ) -> f64 {
-    if let Entry::Placed { attempt, .. } = core.entry(&id.0, id.1)
+    if let Entry::Placed { attempt, .. } = core.entry(&id.job, id.index)
         && let Some(grace) = core.workers.stops.get(&(id.clone(), *attempt))
     {
         return STOP_TAKES_S + grace;
--- a/src/state/replica.rs
+++ b/src/state/replica.rs
@@ -4,7 +4,7 @@
 use crate::fleet::Fleet;
 mod records;
 
-use crate::jobs::{Entry, Final, JobRecord, Layout, Page, PageId, Stored};
+use crate::jobs::{Entry, Final, JobRecord, Layout, Page, PageId, Stored, TaskId};
 use crate::limits::{StoredAllocations, parse_allocations};
 use crate::membership::assignment::{Assignment, Member};
 use crate::membership::schema_versions::SchemaVersions;
@@ -43,7 +43,7 @@
     /// Pages whose job is not there (any more).
     pub orphans: BTreeMap<(String, PageId), Versioned<Page>>,
     /// Which tasks the records place on each machine.
-    pub on: HashMap<String, BTreeSet<(String, u32)>>,
+    pub on: HashMap<String, BTreeSet<TaskId>>,
     /// Jobs that ended of late: their tasks may still hold room on machines.
     pub departed: HashMap<String, JobRecord>,
     departed_order: VecDeque<String>,
@@ -402,7 +402,7 @@
 
     /// Which tasks are on which machine, of jobs that have not ended.
     fn index(&mut self, id: &str, task: u32, old: &Entry, new: &Entry) {
-        let id = (id.to_owned(), task);
+        let id = TaskId::new(id, task);
         if let Entry::Placed { machine, .. } = old {
             if let Some(on) = self.on.get_mut(machine) {
                 on.remove(&id);
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -260,7 +260,7 @@
     replica.remove("r/p/job-000304/0", 54);
     replica.remove("r/q/job-000304/0", 54);
     let on = replica.on.values().flatten();
-    assert_eq!(on.filter(|id| id.0 == "job-000304").count(), 0);
+    assert_eq!(on.filter(|id| id.job == "job-000304").count(), 0);
 }
 
 fn text(op: Operation) -> String {
--- a/src/testing/compatibility/interfaces.rs
+++ b/src/testing/compatibility/interfaces.rs
@@ -522,7 +522,7 @@
         [1, "vm-1", 1]
     ]);
     served.put("r/p/job-1/0", page, 13);
-    let stop = (("job-1".to_owned(), 1), 1);
+    let stop = (crate::jobs::TaskId::new("job-1", 1), 1);
     served.node.core().workers.stops.insert(stop, 10.0);
     let sacks = json!([{"sack": "job-1/1", "turn": 1, "stage": "running"},
         {"sack": "job-1/2", "turn": 2, "stage": "pulling"},
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -6,7 +6,7 @@
 pub use wire::{Cause, Order, Report, TaskState};
 
 use crate::jobs::plans::Plans;
-use crate::jobs::{Entry, split_task};
+use crate::jobs::{Entry, TaskId, TaskRef};
 use crate::state::Replica;
 use crate::state::replica::Job;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -14,9 +14,6 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// A task of a job, by number.
-pub type TaskId = (String, u32);
-
 /// What this node knows of its machines and their tasks beyond the records.
 #[derive(Debug, Default)]
 pub struct Workers {
@@ -118,7 +115,7 @@
             return;
         }
         let ignored = self.unseen.iter().filter(|((id, attempt), _)| {
-            let name = format!("{}/{}", id.0, id.1);
+            let name = id.to_string();
             let shown = |t: &wire::ReportedTask| t.attempt == *attempt && t.task == name;
             !report.tasks.iter().any(shown)
         });
@@ -195,18 +192,19 @@
     now: Instant,
 ) -> Reading {
     let mut out = Reading::default();
-    let mut reported: HashMap<(&str, u32), u64> = HashMap::new();
+    let mut reported: HashMap<TaskRef<'_>, u64> = HashMap::new();
     for task in &report.tasks {
-        let Some((job, index)) = split_task(&task.task) else {
+        let Ok(named) = TaskRef::try_from(task.task.as_str()) else {
             continue;
         };
-        let id: TaskId = (job.to_owned(), index);
+        let TaskRef { job, index } = named;
+        let id = TaskId::from(named);
         let record = replica.jobs.get(job);
         let entry = replica.entry(job, index);
         let recorded = matches!(entry, Entry::Placed { attempt, machine, .. }
             if *attempt == task.attempt && *machine == report.machine);
         if recorded {
-            reported.insert((job, index), task.attempt);
+            reported.insert(named, task.attempt);
         }
         match task.state {
             TaskState::Ended => {
@@ -258,7 +256,7 @@
         report, live, replica, token, pending, now, &reported, &mut out,
     );
     live.running_since
-        .retain(|id, (attempt, _)| reported.get(&(id.0.as_str(), id.1)) == Some(attempt));
+        .retain(|id, (attempt, _)| reported.get(&id.borrowed()) == Some(attempt));
     live.forget_gone(replica.on.get(&report.machine));
     out
 }
@@ -289,7 +287,7 @@
     token: u64,
     pending: &Pending,
     now: Instant,
-    reported: &HashMap<(&str, u32), u64>,
+    reported: &HashMap<TaskRef<'_>, u64>,
     out: &mut Reading,
 ) {
     let before = std::mem::take(&mut live.unseen);
@@ -297,13 +295,13 @@
         return;
     };
     for id in on {
-        if reported.contains_key(&(id.0.as_str(), id.1)) {
+        if reported.contains_key(&id.borrowed()) {
             continue;
         }
-        let record = replica.jobs.get(&id.0);
+        let record = replica.jobs.get(&id.job);
         let Entry::Placed {
             attempt, session, ..
-        } = *replica.entry(&id.0, id.1)
+        } = *replica.entry(&id.job, id.index)
         else {
             continue;
         };
@@ -317,12 +315,12 @@
         if session > report.session {
             continue; // a late report from before the start
         }
-        if pending.plans.get(&id.0, id.1).is_some() {
+        if pending.plans.get(&id.job, id.index).is_some() {
             // Withdrawn already, and the record of that is under way: a `run` now would start
             // what is about to be placed elsewhere.
             continue;
         }
-        let cancelled = pending.is_over(&id.0, record);
+        let cancelled = pending.is_over(&id.job, record);
         let withdrawn = pending.stops.contains_key(&(id.clone(), attempt))
             && !live.sent.contains(&(id.clone(), attempt));
         if cancelled || withdrawn {
@@ -342,7 +340,7 @@
         live.unseen.insert(key.clone(), first);
         live.sent.insert(key);
         live.seen_since.insert(id.clone(), (attempt, now));
-        let name = format!("{}/{}", id.0, id.1);
+        let name = id.to_string();
         out.orders.push(Order::run(&name, attempt));
     }
 }
--- a/src/workers/service.rs
+++ b/src/workers/service.rs
@@ -4,7 +4,7 @@
 use crate::cells;
 use crate::fleet::Use;
 use crate::http::{HttpResponse, error_response, json_response, retry_later};
-use crate::jobs::Entry;
+use crate::jobs::{Entry, TaskId, TaskRef};
 use crate::membership;
 use crate::membership::assignment::Member;
 use crate::metrics::CpuAccount;
@@ -268,8 +268,8 @@
     };
     let reading = read(report, &mut live, &core.replica, token, &pending, now);
     for task in &report.tasks {
-        if let Some((job, _)) = crate::jobs::split_task(&task.task)
-            && let Some(job) = core.replica.jobs.get(job)
+        if let Ok(task) = TaskRef::try_from(task.task.as_str())
+            && let Some(job) = core.replica.jobs.get(task.job)
         {
             let spec = &job.record.spec;
             live.use_image(&spec.image, spec.image_gb, cache_gb);
@@ -278,7 +278,7 @@
     live.report = report.clone();
     // Until an exit is recorded it is reported again; it counts once.
     let new =
-        |core: &Core, id: &super::TaskId| reading.facts.get(id) != Some(core.entry(&id.0, id.1));
+        |core: &Core, id: &TaskId| reading.facts.get(id) != Some(core.entry(&id.job, id.index));
     let mut freed = false;
     for (id, ran) in reading
         .completed
@@ -296,10 +296,10 @@
         }
     }
     for (id, entry) in reading.facts {
-        freed |= *core.entry(&id.0, id.1) != entry;
+        freed |= *core.entry(&id.job, id.index) != entry;
         if let Entry::Waiting { last } = &entry {
             // A start planned on top of this exit already says the same.
-            if core.entry(&id.0, id.1).last_attempt() > *last {
+            if core.entry(&id.job, id.index).last_attempt() > *last {
                 continue;
             }
         }
@@ -313,12 +313,12 @@
     Taken::Read { freed, answer }
 }
 
-fn learn(core: &mut Core, live: &mut Live, id: &super::TaskId, ran: Option<Duration>) {
-    let Some(job) = core.replica.jobs.get(&id.0) else {
+fn learn(core: &mut Core, live: &mut Live, id: &TaskId, ran: Option<Duration>) {
+    let Some(job) = core.replica.jobs.get(&id.job) else {
         return;
     };
     let spec = &job.record.spec;
-    let first = core.replica.entry(&id.0, id.1).last_attempt() == 1;
+    let first = core.replica.entry(&id.job, id.index).last_attempt() == 1;
     let age = crate::node::age_s(job.record.accepted_ms, wall_ms());
     let late = spec.deadline_s.is_some_and(|due| age > due);
     let pool = crate::placement::snapshot::eligible_machine_types(core, spec);
@@ -342,15 +342,15 @@
     learned.add(ratio);
 }
 
-fn fail(core: &mut Core, live: &mut Live, machine: &str, id: &super::TaskId, now: Instant) {
-    let failures = core.failures.entry(id.0.clone()).or_default();
+fn fail(core: &mut Core, live: &mut Live, machine: &str, id: &TaskId, now: Instant) {
+    let failures = core.failures.entry(id.job.clone()).or_default();
     failures.machines.insert(machine.to_owned());
     failures.count += 1;
     failures.last = Some(now);
     if failures.is_everywhere() {
         return; // the job is at fault rather than the machine
     }
-    live.failed_jobs.insert(id.0.clone());
+    live.failed_jobs.insert(id.job.clone());
     if live.failed_jobs.len() >= 2 {
         tracing::info!(machine, "fails whatever it is given");
         core.rent.to_return.push(machine.to_owned());
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -50,8 +50,8 @@
     };
     let reading = read(&report, &mut live, replica, TOKEN, &pending, now);
     let mut text = String::new();
-    for ((job, task), entry) in &reading.facts {
-        text.push_str(&format!("record {job}/{task} {entry:?}\n"));
+    for (task, entry) in &reading.facts {
+        text.push_str(&format!("record {task} {entry:?}\n"));
     }
     for order in &reading.orders {
         text.push_str(&format!(
@@ -142,7 +142,7 @@
 #[test]
 fn a_withdrawn_start_is_not_ordered_while_its_record_is_under_way() {
     let replica = replica(false, json!([[1, "vm-1", 1]]));
-    let id: TaskId = ("job-1".into(), 0);
+    let id = TaskId::new("job-1", 0);
     let stops = Stops::from([((id.clone(), 1), 0.0)]);
     let none = Plans::default();
     let empty = || report(1, TOKEN, json!([]));
