--- a/src/cells/protection.rs
+++ b/src/cells/protection.rs
@@ -39,8 +39,11 @@
             for spot in [false, true] {
                 let facts = pool_facts(machine_type, zone, spot);
                 if node.policy.is_protected(&facts, now_ms) {
-                    let type_number = names.number(&machine_type.name);
-                    protected.insert((type_number, names.number(zone), spot));
+                    protected.insert(PoolId {
+                        machine_type: names.intern(&machine_type.name),
+                        zone: names.intern(zone),
+                        spot,
+                    });
                 }
             }
         }
--- a/src/placement/index.rs
+++ b/src/placement/index.rs
@@ -2,19 +2,19 @@
 //! for again and again: when so much is free, and how empty a machine is. An answer is kept until its
 //! machine changes, so that a job costs a look at the machines that it may use and no more.
 
-use super::{FreeSlot, JobSnapshot, MachineSnapshot, Reservation, Resources};
+use super::{
+    FreeSlot, JobSnapshot, MIN_FETCH_GB_PER_S, MachineSnapshot, PoolId, Reservation, Resources,
+};
 use std::cell::Cell;
 use std::collections::HashMap;
 
-/// Machines that are alike in all that a job may demand of a machine.
+/// The machines of one pool: alike in all that a job may demand of a machine.
 #[derive(Debug)]
-struct Group {
-    kind: u32,
-    zone: u32,
-    spot: bool,
-    /// Places of its machines in the mapping, ascending.
+struct PoolMembers {
+    pool: PoolId,
+    /// Indices of its machines in the snapshot, ascending.
     members: Vec<usize>,
-    /// Those of them on which something may still start now.
+    /// Those of them on which a task may still start now.
     open: Vec<usize>,
 }
 
@@ -76,7 +76,10 @@
         if self.with_image.is_some_and(|set| set.contains(machine)) {
             return 0.0;
         }
-        self.job.image_gb / self.summaries[machine].fetch_gb_per_s.max(0.001)
+        self.job.image_gb
+            / self.summaries[machine]
+                .fetch_gb_per_s
+                .max(MIN_FETCH_GB_PER_S)
     }
 
     pub fn run(&self, machine: usize) -> f64 {
@@ -107,7 +110,7 @@
     summaries: Vec<Summary>,
     /// Per image, the machines that have it or are fetching it.
     images: HashMap<u32, MachineSet>,
-    groups: Vec<Group>,
+    pools: Vec<PoolMembers>,
     emptiness: Vec<Cell<f64>>,
     start_times: Vec<StartTimes>,
     /// The most room that any machine has, by resource.
@@ -116,12 +119,12 @@
 
 impl<'a> MachineIndex<'a> {
     pub fn new(machines: &'a mut [MachineSnapshot]) -> Self {
-        let mut groups: Vec<Group> = Vec::new();
+        let mut pools: Vec<PoolMembers> = Vec::new();
         let mut images: HashMap<u32, MachineSet> = HashMap::new();
         let mut largest = Resources::default();
-        for (place, machine) in machines.iter().enumerate() {
+        for (index, machine) in machines.iter().enumerate() {
             for image in &machine.images {
-                images.entry(*image).or_default().insert(place);
+                images.entry(*image).or_default().insert(index);
             }
             let available = machine.free_at(f64::INFINITY);
             largest = Resources {
@@ -129,15 +132,12 @@
                 gpus: largest.gpus.max(available.gpus),
                 memory_gb: largest.memory_gb.max(available.memory_gb),
             };
-            let (kind, zone, spot) = (machine.kind, machine.zone, machine.spot);
-            let same = |g: &&mut Group| (g.kind, g.zone, g.spot) == (kind, zone, spot);
-            match groups.iter_mut().find(same) {
-                Some(group) => group.members.push(place),
-                None => groups.push(Group {
-                    kind,
-                    zone,
-                    spot,
-                    members: vec![place],
+            let pool = machine.pool();
+            match pools.iter_mut().find(|known| known.pool == pool) {
+                Some(known) => known.members.push(index),
+                None => pools.push(PoolMembers {
+                    pool,
+                    members: vec![index],
                     open: Vec::new(),
                 }),
             }
@@ -147,7 +147,7 @@
             images,
             emptiness: vec![Cell::new(f64::NAN); machines.len()],
             machines,
-            groups,
+            pools,
             start_times: Vec::new(),
             largest,
         }
@@ -176,13 +176,17 @@
 
     /// Machines that a job may run on, wherever its other tasks are.
     pub fn usable(&self, job: &JobSnapshot) -> impl Iterator<Item = usize> {
-        let members = self.groups_for(job).flat_map(|g| g.members.iter().copied());
+        let members = self
+            .pools_for(job)
+            .flat_map(|known| known.members.iter().copied());
         members.filter(|m| self.is_admitted(job, *m))
     }
 
     /// Those of them that are open.
     pub fn usable_open(&self, job: &JobSnapshot) -> impl Iterator<Item = usize> {
-        let open = self.groups_for(job).flat_map(|g| g.open.iter().copied());
+        let open = self
+            .pools_for(job)
+            .flat_map(|known| known.open.iter().copied());
         open.filter(|m| self.is_admitted(job, *m))
     }
 
@@ -192,23 +196,23 @@
             && (job.avoid.is_empty() || !job.avoid.contains(&*self.machines[machine].name))
     }
 
-    fn groups_for(&self, job: &JobSnapshot) -> impl Iterator<Item = &Group> {
-        let groups = self.groups.iter();
-        groups.filter(|g| job.may_use_pool(g.kind, g.zone, g.spot))
+    fn pools_for(&self, job: &JobSnapshot) -> impl Iterator<Item = &PoolMembers> {
+        let pools = self.pools.iter();
+        pools.filter(|known| job.may_use_pool(known.pool))
     }
 
     /// Opens the machines for which the condition holds.
     pub fn open(&mut self, is_open: impl Fn(usize) -> bool) {
-        for group in &mut self.groups {
-            let members = group.members.iter().copied();
-            group.open = members.filter(|m| is_open(*m)).collect();
+        for pool in &mut self.pools {
+            let members = pool.members.iter().copied();
+            pool.open = members.filter(|m| is_open(*m)).collect();
         }
     }
 
     /// Of the open machines, closes those for which the condition no longer holds.
     pub fn retain_open(&mut self, is_open: impl Fn(usize) -> bool) {
-        for group in &mut self.groups {
-            group.open.retain(|m| is_open(*m));
+        for pool in &mut self.pools {
+            pool.open.retain(|m| is_open(*m));
         }
     }
 
--- a/src/placement/packing.rs
+++ b/src/placement/packing.rs
@@ -5,8 +5,8 @@
 use super::index::MachineIndex;
 use super::quota_headroom::QuotaHeadroom;
 use super::{
-    END_TOLERANCE, JobSnapshot, MachineSnapshot, Milestone, Reservation, Resources, SLACK, Start,
-    TasksByZone, batch_order, first as first_class, startup_order,
+    END_TOLERANCE, JobSnapshot, MachineSnapshot, Milestone, PriorityClass, Reservation, Resources,
+    SLACK, Start, TasksByZone, batch_order, startup_order,
 };
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, HashSet};
@@ -148,7 +148,7 @@
             let at = &self.machines.machines()[machine];
             let fetch = times.fetch(machine);
             let end = fetch + times.run(machine);
-            if at.takes(&view.resources, &self.free[machine])
+            if at.accommodates(&view.resources, &self.free[machine])
                 && at.respects_reservations(&view.resources, end)
             {
                 found.push(Candidate {
@@ -203,7 +203,7 @@
             while wanted > 0 {
                 let view = &self.jobs[job];
                 let machine = &self.machines.machines()[at.machine];
-                if !machine.takes(&view.resources, &self.free[at.machine])
+                if !machine.accommodates(&view.resources, &self.free[at.machine])
                     || !view.may_add_in_zone(&self.progress[job].zones, machine.zone)
                     || !machine.respects_reservations(&view.resources, at.end)
                 {
@@ -275,7 +275,7 @@
             if !is_limited
                 && view.due > 0.0
                 && view.next_due > view.due
-                && view.by == Milestone::Start
+                && view.due_milestone == Milestone::Start
                 && start > view.due
                 && !self.progress[job].deferred
             {
@@ -459,8 +459,9 @@
                 let job = &jobs[head];
                 let later = |other: &usize| {
                     let other = &jobs[*other];
-                    first_class(other) < first_class(job)
-                        || (first_class(other) == first_class(job) && other.due > job.next_due)
+                    let (other_class, class) =
+                        (PriorityClass::from(other), PriorityClass::from(job));
+                    other_class < class || (other_class == class && other.due > job.next_due)
                 };
                 let rest = &batch[batch_at + 1..];
                 let place = batch_at + rest.iter().position(later).unwrap_or(rest.len());
--- a/src/placement/preemption/tests.rs
+++ b/src/placement/preemption/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn only_lower_priority_gives_way_and_least_is_lost() {
     let mut urgent = job("urgent", 3.0, 1, 20.0);
-    urgent.by = super::super::Milestone::Start;
+    urgent.due_milestone = super::super::Milestone::Start;
     let running_task = |id: &str, urgency, lost_s| RunningTask {
         id: TaskId::new(id, 0),
         attempt: 1,
--- a/src/placement/scale_tests.rs
+++ b/src/placement/scale_tests.rs
@@ -137,7 +137,7 @@
         job.resources.memory_gb = 51.0;
         job.one_zone = true;
         job.kinds = vec![PLAIN, WITH_GPUS];
-        job.by = Milestone::Start;
+        job.due_milestone = Milestone::Start;
         self.vary(&mut job, 90.0, rng);
         job
     }
--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -3,7 +3,7 @@
 use super::preemption::{PreemptionRequest, RunningTask};
 use super::quota_headroom::QuotaHeadroom;
 use super::snapshot_cache::{BOOT, Progress, spec_of, tasks_on};
-use super::{JobSnapshot, MachineSnapshot, Milestone, Resources};
+use super::{JobSnapshot, MachineSnapshot, Milestone, Resources, capacity_of};
 use crate::cells::protection::{exclusion_of, protected_pools};
 use crate::jobs::{Entry, JobRecord, JobSpec, Shape, Urgency};
 use crate::membership::assignment::spot_of;
@@ -49,24 +49,6 @@
     pub unplaceable: Vec<bool>,
 }
 
-impl JobSpec {
-    pub fn resources(&self) -> Resources {
-        Resources {
-            cpus: self.cpus,
-            gpus: self.gpus,
-            memory_gb: self.memory_gb,
-        }
-    }
-}
-
-pub fn capacity_of(kind: &crate::cloud::MachineType) -> Resources {
-    Resources {
-        cpus: kind.cpus,
-        gpus: kind.gpus,
-        memory_gb: kind.memory_gb,
-    }
-}
-
 /// Kinds that a task may run on, cheapest first.
 pub fn eligible_machine_types(core: &Core, spec: &JobSpec) -> Vec<String> {
     let mut kinds: Vec<_> = core
@@ -268,7 +250,7 @@
         return None;
     }
     let dues = dues(node, core, record, age);
-    let (due, by) = dues[0];
+    let (due, due_milestone) = dues[0];
     let started = progress.done + progress.placed;
     let soonest = |due: f64| match started {
         0 => due.min(start_within) - age,
@@ -295,7 +277,7 @@
         urgency: urgency_of(core, spec),
         due: soonest(due),
         next_due: soonest(next_due),
-        by,
+        due_milestone,
         duration: core.duration(spec),
         provisioning_s: core.kind(&progress.pool).map_or(0.0, |k| k.boot_s * BOOT),
         image: progress.image,
--- a/src/placement/snapshot_cache.rs
+++ b/src/placement/snapshot_cache.rs
@@ -1,8 +1,11 @@
 //! What the mapping works on, kept from turn to turn: only the machines and jobs that something
 //! happened to are looked at anew. Times are kept as seconds since the process began.
 
-use super::snapshot::{STOP_TAKES_S, capacity_of, eligible_machine_types};
-use super::{FreeSlot, JobSnapshot, MachineSnapshot, NameTable, Resources, TasksByZone};
+use super::snapshot::{STOP_TAKES_S, eligible_machine_types};
+use super::{
+    FreeSlot, JobSnapshot, MIN_FETCH_GB_PER_S, MachineSnapshot, NameTable, Resources, TasksByZone,
+    capacity_of,
+};
 use crate::cloud::MachineType;
 use crate::fleet::Use;
 use crate::jobs::{Entry, JobRecord, JobSpec, TaskId, TaskRef};
@@ -107,7 +110,7 @@
     fn open_spare(&mut self, kinds: &[MachineType]) {
         let mut opened = HashSet::new();
         for kind in kinds.iter().filter(|k| k.gpus > 0.0) {
-            let number = self.names.number(&kind.name);
+            let number = self.names.intern(&kind.name);
             let needed: f64 = self
                 .jobs
                 .values()
@@ -215,7 +218,7 @@
 pub fn takes_s(node: &Node, core: &Core, spec: &JobSpec) -> f64 {
     let kinds = eligible_machine_types(core, spec);
     let kind = kinds.first().and_then(|k| core.kind(k));
-    let rate = kind.map_or(f64::INFINITY, |k| k.fetch_gb_per_s.max(0.001));
+    let rate = kind.map_or(f64::INFINITY, |k| k.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S));
     let told = node.settings.params.workers.report_s * 0.5 + STAGE_TAKES_S;
     told + spec.image_gb / rate + core.duration(spec)
 }
@@ -283,14 +286,14 @@
             Entry::Placed { machine, .. } => {
                 out.placed += 1;
                 if let Some(machine) = core.replica.fleet.machines.get(machine) {
-                    *out.zones.entry(names.number(&machine.zone)).or_default() += 1;
+                    *out.zones.entry(names.intern(&machine.zone)).or_default() += 1;
                 }
             }
         }
     }
     out.waiting = Arc::new(waiting);
     let kinds = eligible_machine_types(core, spec);
-    out.kinds = kinds.iter().map(|k| names.number(k)).collect();
+    out.kinds = kinds.iter().map(|k| names.intern(k)).collect();
     let share_of = |name: &str| {
         let kind = core.kind(name)?;
         Some((
@@ -301,8 +304,8 @@
     out.next_kind = kinds.get(1).and_then(|name| share_of(name));
     out.gpus = spec.gpus > 0.0;
     out.pool = kinds.into_iter().next().unwrap_or_default();
-    out.image = names.number(&spec.image);
-    out.zone = spec.zone.as_ref().map(|z| names.number(z));
+    out.image = names.intern(&spec.image);
+    out.zone = spec.zone.as_ref().map(|z| names.intern(z));
     let kind = core.kind(&out.pool);
     out.dominant_share = kind.map_or(0.0, |k| spec.resources().dominant_share(&capacity_of(k)));
     out.large = out.dominant_share > 0.5;
@@ -376,12 +379,12 @@
     }
     let mut images: HashSet<u32> = HashSet::new();
     if let Some(live) = live {
-        images.extend(live.images.iter().map(|(name, _)| names.number(name)));
+        images.extend(live.images.iter().map(|(name, _)| names.intern(name)));
     }
     let view = MachineSnapshot {
         name: name.into(),
-        kind: names.number(&record.kind),
-        zone: names.number(&record.zone),
+        kind: names.intern(&record.kind),
+        zone: names.intern(&record.zone),
         spot: record.spot,
         free_slots: Vec::new(),
         images: images.into_iter().collect(),
@@ -423,7 +426,7 @@
     }
     let slowness = live.map_or(1.0, |l| l.slowness);
     let whole = core.duration(spec) * slowness;
-    let fetch = spec.image_gb / kind.fetch_gb_per_s.max(0.001);
+    let fetch = spec.image_gb / kind.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S);
     let Some(live) = live else {
         return fetch + whole;
     };
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -2,6 +2,9 @@
 use super::packing::pack;
 use super::quota_headroom::QuotaHeadroom;
 use super::*;
+use crate::jobs::Urgency;
+use std::collections::{BTreeMap, BTreeSet, HashSet};
+use std::sync::Arc;
 
 static NO_LIMITS: QuotaHeadroom = QuotaHeadroom::none();
 
@@ -61,7 +64,7 @@
         urgency: Urgency::Standard,
         due,
         next_due: due,
-        by: Milestone::Finish,
+        due_milestone: Milestone::Finish,
         duration: 30.0,
         provisioning_s: 0.0,
         image: 0,
@@ -169,7 +172,7 @@
     fn add(&mut self, mut view: JobSnapshot, now: f64, start_within: f64) {
         view.due = start_within;
         view.next_due = start_within;
-        view.by = Milestone::Start;
+        view.due_milestone = Milestone::Start;
         self.jobs.push((view, now, start_within));
     }
 
@@ -305,10 +308,10 @@
 #[test]
 fn protected_machines_take_no_work_of_other_cells() {
     let machines = || vec![machine("vm-1", 0.0, 4.0)];
-    let sort = (machines()[0].kind, machines()[0].zone, machines()[0].spot);
+    let pool = machines()[0].pool();
     let own = job("job-1", 1.0, 2, 60.0);
     let mut other = job("job-2", 1.0, 2, 60.0);
-    other.excluded_pools = Arc::new(BTreeSet::from([sort]));
+    other.excluded_pools = Arc::new(BTreeSet::from([pool]));
     for (index, view) in [own, other].into_iter().enumerate() {
         let jobs = [JobSnapshot { index: 0, ..view }];
         let placed = packing::pack(&jobs, &mut machines(), unlimited(), 2, 100);
--- a/src/workers/service.rs
+++ b/src/workers/service.rs
@@ -325,7 +325,7 @@
     if let Some(kind) = pool.first().and_then(|k| core.kind(k)) {
         let share = spec
             .resources()
-            .dominant_share(&crate::placement::snapshot::capacity_of(kind));
+            .dominant_share(&crate::placement::capacity_of(kind));
         let tally = core.rent.tally.entry(kind.name.clone()).or_default();
         tally.finished += 1;
         tally.counted += share;
