--- a/src/policy/facts.rs
+++ b/src/policy/facts.rs
@@ -42,6 +42,7 @@
 }
 
 impl<'a> MachineTypeFacts<'a> {
+    /// The values in the order of the schema's facts of a machine type.
     pub(super) fn values(&self) -> [Value<'a>; MACHINE_TYPE_FACTS] {
         [
             Value::Text(self.machine_type),
@@ -63,6 +64,7 @@
 }
 
 impl<'a> JobFacts<'a> {
+    /// The values in the order of the schema's facts of a job.
     pub(super) fn values(&self) -> [Value<'a>; 4] {
         [
             Value::Text(self.class),
--- a/src/policy/lexer.rs
+++ b/src/policy/lexer.rs
@@ -9,6 +9,7 @@
     pub kind: TokenKind,
 }
 
+/// What a token is, with its value.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum TokenKind {
     Number(f64),
@@ -50,22 +51,27 @@
             tokens.push(Token { position, kind });
             return Ok(());
         };
-        let (kind, length) =
-            first_token(rest, first).map_err(|reason| SourceError::new(position, reason))?;
+        let (kind, length) = first_token(rest, first, position)?;
         tokens.push(Token { position, kind });
         rest = &rest[length..];
     }
 }
 
-/// The token with which `rest` begins and its length in bytes, or why there is none.
-fn first_token(rest: &str, first: char) -> Result<(TokenKind, usize), String> {
+/// The token with which `rest` begins, and its length in bytes.
+fn first_token(
+    rest: &str,
+    first: char,
+    position: Position,
+) -> Result<(TokenKind, usize), SourceError> {
+    let refuse = |reason: String| SourceError::new(position, reason);
     if first == QUOTE {
-        return quoted_text(rest);
+        let text = quoted_text(rest);
+        return text.ok_or_else(|| refuse("a text that does not end on its line".to_owned()));
     }
     if first.is_ascii_digit() || first == '.' {
         let digits = prefix(rest, |c| c.is_ascii_digit() || c == '.');
         let number = digits.parse::<f64>();
-        let number = number.map_err(|_| format!("`{digits}` is not a number"))?;
+        let number = number.map_err(|_| refuse(format!("`{digits}` is not a number")))?;
         return Ok((TokenKind::Number(number), digits.len()));
     }
     if first.is_alphabetic() || first == '_' {
@@ -73,16 +79,16 @@
         return Ok((TokenKind::Word(word.to_owned()), word.len()));
     }
     let sign = SIGNS.iter().find(|sign| rest.starts_with(**sign));
-    let sign = sign.ok_or_else(|| format!("`{first}` means nothing here"))?;
+    let sign = sign.ok_or_else(|| refuse(format!("`{first}` means nothing here")))?;
     Ok((TokenKind::Sign(sign), sign.len()))
 }
 
-fn quoted_text(rest: &str) -> Result<(TokenKind, usize), String> {
+/// The text between the quotes with which `rest` begins; `None` if the second is missing.
+fn quoted_text(rest: &str) -> Option<(TokenKind, usize)> {
     let inside = &rest[QUOTE.len_utf8()..];
-    let end = inside.find(QUOTE);
-    let end = end.ok_or("a text that does not end on its line")?;
+    let end = inside.find(QUOTE)?;
     let length = end + 2 * QUOTE.len_utf8();
-    Ok((TokenKind::Text(inside[..end].to_owned()), length))
+    Some((TokenKind::Text(inside[..end].to_owned()), length))
 }
 
 /// The longest beginning of `text` whose characters all belong to a token.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -178,31 +178,34 @@
     };
     let domain = setting.domain();
     let expr = type_check::check(&statement.expr, setting.facts(), domain.value_type())?;
-    check_constant(setting, &domain, &expr)
-        .map_err(|reason| SourceError::new(statement.expr.position, reason))?;
+    if let Some(reason) = problem_with_constant(setting, &domain, &expr) {
+        return Err(SourceError::new(statement.expr.position, reason));
+    }
     Ok((setting, expr))
 }
 
-/// Refuses constants out of range, and time zones that are none.
-fn check_constant(setting: Setting, domain: &ValueDomain, expr: &TypedExpr) -> Result<(), String> {
+/// What is wrong with a constant: out of range, or not the name of a time zone.
+fn problem_with_constant(
+    setting: Setting,
+    domain: &ValueDomain,
+    expr: &TypedExpr,
+) -> Option<String> {
     match (domain, expr) {
         (ValueDomain::Number(range), TypedExpr::Number(number)) if !range.contains(number) => {
             let (least, most) = (range.start(), range.end());
-            Err(format!("{number} is out of range: {least} to {most}"))
+            Some(format!("{number} is out of range: {least} to {most}"))
         }
-        _ if setting == Setting::TimeZone => check_time_zone(expr),
-        _ => Ok(()),
+        _ if setting == Setting::TimeZone => problem_with_time_zone(expr),
+        _ => None,
     }
 }
 
-fn check_time_zone(expr: &TypedExpr) -> Result<(), String> {
+fn problem_with_time_zone(expr: &TypedExpr) -> Option<String> {
     let TypedExpr::Text(name) = expr else {
-        return Err("`time_zone` must be a name, such as \"Asia/Ho_Chi_Minh\"".to_owned());
+        return Some("`time_zone` must be a name, such as \"Asia/Ho_Chi_Minh\"".to_owned());
     };
-    match protection::time_zone(name) {
-        Some(_) => Ok(()),
-        None => Err(format!("no time zone is named `{name}`")),
-    }
+    let is_known = protection::time_zone(name).is_some();
+    (!is_known).then(|| format!("no time zone is named `{name}`"))
 }
 
 #[cfg(test)]
--- a/src/policy/schema.rs
+++ b/src/policy/schema.rs
@@ -31,6 +31,7 @@
 }
 
 impl ValueDomain {
+    /// The type that an expression for the setting must have.
     pub fn value_type(&self) -> ValueType {
         match self {
             ValueDomain::Number(_) => ValueType::Number,
--- a/src/policy/syntax.rs
+++ b/src/policy/syntax.rs
@@ -25,6 +25,7 @@
 }
 
 impl SourceError {
+    /// Names a place and what is wrong there.
     pub fn new(position: Position, reason: impl Into<String>) -> Self {
         Self {
             position,
