--- a/src/cells/local_state.rs
+++ b/src/cells/local_state.rs
@@ -57,7 +57,10 @@
 /// The cell's capacity, by its records.
 pub(super) fn capacity_summary(core: &Core, now_ms: u64) -> CapacitySummary {
     let machines = core.replica.fleet.machines.values();
-    let cpus = machines.map(|machine| core.kind(&machine.kind).map_or(0.0, |kind| kind.cpus));
+    let cpus = machines.map(|machine| {
+        core.kind(&machine.pool.machine_type)
+            .map_or(0.0, |kind| kind.cpus)
+    });
     let total_cpus: f64 = cpus.fold(0.0, |total, cpus| total + cpus);
     let (mut used_cpus, mut waiting_tasks) = (0.0, 0);
     for job in core.replica.jobs.values() {
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -1,38 +1,42 @@
 use super::*;
+use crate::membership::assignment::Member;
+use crate::state::replica::Versioned;
 
 fn rental(machines: usize, name_bytes: usize) -> Rental {
-    let rented = |n: usize| Rented {
+    let machine = |n: usize| RentedMachine {
         name: format!("{n:0name_bytes$}"),
         owner: Member {
             name: format!("controller-{:08}", n % 9),
             incarnation: u64::MAX >> 12,
         },
-        token: u64::MAX >> 11,
-        state: Use::Closing,
+        fencing_token: u64::MAX >> 11,
+        state: MachineState::Releasing,
     };
     Rental {
-        kind: "a-kind-of-machine-with-a-long-name".into(),
-        zone: "a-zone-with-a-long-name".into(),
-        spot: true,
+        pool: MachinePool {
+            machine_type: "a-kind-of-machine-with-a-long-name".into(),
+            zone: "a-zone-with-a-long-name".into(),
+            spot: true,
+        },
         count: machines as u32,
-        hired_ms: u64::MAX >> 11,
-        open: true,
-        machines: (0..machines).map(rented).collect(),
+        requested_ms: u64::MAX >> 11,
+        unconfirmed: true,
+        machines: (0..machines).map(machine).collect(),
     }
 }
 
-/// A record that does not fit is refused for ever: whatever the limit on values, a rental
-/// asks for no more machines than its record has room for.
+/// A record that does not fit is refused for ever: under any limit on values, a rental asks for no more
+/// machines than its record has room for.
 #[test]
-fn a_rental_fits_its_record_whatever_the_limit_on_values() {
+fn a_rental_fits_its_record_under_any_limit_on_values() {
     let mut trace = String::new();
     for kb in [1, 2, 8, 32] {
-        let most = most_hired(kb * 1024);
-        let bytes = serde_json::to_vec(&rental(most, 60)).unwrap().len();
-        assert!(bytes <= kb * 1024, "{most} machines take {bytes}");
-        let records = 1122_usize.div_ceil(most);
+        let max = max_machines_per_rental(kb * 1024);
+        let bytes = serde_json::to_vec(&rental(max, 60)).unwrap().len();
+        assert!(bytes <= kb * 1024, "{max} machines take {bytes}");
+        let records = 1122_usize.div_ceil(max);
         trace.push_str(&format!(
-            "{kb} KiB: {most} machines a rental; 1122 machines change hands with {records} puts\n"
+            "{kb} KiB: {max} machines a rental; 1122 machines change hands with {records} puts\n"
         ));
     }
     insta::assert_snapshot!(trace, @r"
@@ -43,25 +47,25 @@
     ");
 }
 
-/// Rentals are merged in one transaction, whose changes may come in any order: a machine that
-/// seemed gone for a moment would have its tasks placed again.
+/// Rentals are merged in one transaction, whose changes may arrive in any order: a machine that seemed
+/// released for a moment would have its tasks placed again.
 #[test]
-fn a_merged_rental_keeps_its_machines_whatever_comes_first() {
+fn a_merged_rental_keeps_its_machines_in_any_order_of_changes() {
     let (mut small, mut other) = (rental(1, 4), rental(1, 4));
     small.machines[0].name = "vm-1".into();
     other.machines[0].name = "vm-2".into();
     let mut merged = small.clone();
     merged.machines.extend(other.machines.clone());
-    for set_first in [true, false] {
+    for put_first in [true, false] {
         let mut fleet = Fleet::default();
-        fleet.put("r-1", small.clone(), 5);
-        fleet.put("r-2", other.clone(), 6);
-        if set_first {
-            fleet.put("r-1", merged.clone(), 9);
-            fleet.remove("r-2", 9);
+        fleet.apply_put("r-1", small.clone(), 5);
+        fleet.apply_put("r-2", other.clone(), 6);
+        if put_first {
+            fleet.apply_put("r-1", merged.clone(), 9);
+            fleet.apply_delete("r-2", 9);
         } else {
-            fleet.remove("r-2", 9);
-            fleet.put("r-1", merged.clone(), 9);
+            fleet.apply_delete("r-2", 9);
+            fleet.apply_put("r-1", merged.clone(), 9);
         }
         assert_eq!(fleet.machines.len(), 2);
         assert_eq!(fleet.machines["vm-2"].rental, "r-1");
@@ -69,57 +73,63 @@
     }
 }
 
-/// A rental of fifty machines from before the limit fell to 1 KiB changes hands in parts, and stays
-/// whole in the replica whichever part comes first.
+/// A rental of fifty machines from before the limit fell to 1 KiB changes owner in parts, and stays
+/// whole in the replica whichever part arrives first.
 #[test]
-fn a_rental_that_is_too_large_is_written_in_parts() {
+fn a_rental_too_large_for_its_record_is_written_in_parts() {
     let mut old = rental(50, 9);
-    old.open = false;
-    let kept = Versioned {
+    old.unconfirmed = false;
+    let versioned = Versioned {
         record: old.clone(),
         revision: 7,
     };
-    assert_eq!(in_parts("r-1", kept.clone(), 8192).len(), 1);
-    let parts = in_parts("r-1", kept, 1536);
+    assert_eq!(split_to_fit("r-1", versioned.clone(), 8192).len(), 1);
+    let parts = split_to_fit("r-1", versioned, 1536);
     let names: Vec<_> = parts
         .iter()
-        .map(|(name, k)| format!("{name}@{} of {}", k.revision, k.record.machines.len()))
+        .map(|part| {
+            let Versioned { record, revision } = &part.rental;
+            format!("{}@{revision} of {}", part.name, record.machines.len())
+        })
         .collect();
     insta::assert_snapshot!(names.join(", "), @r#"r-1@7 of 25, r-1.7-1@0 of 25"#);
-    for turned in [false, true] {
+    for reversed in [false, true] {
         let mut fleet = Fleet::default();
-        fleet.put("r-1", old.clone(), 7);
+        fleet.apply_put("r-1", old.clone(), 7);
         let mut parts = parts.clone();
-        if turned {
+        if reversed {
             parts.reverse();
         }
-        for (name, part) in parts {
-            fleet.put(&name, part.record, 9);
+        for part in parts {
+            fleet.apply_put(&part.name, part.rental.record, 9);
         }
         assert_eq!(fleet.machines.len(), 50);
     }
 }
 
 #[test]
-fn a_change_of_owner_is_one_record_and_what_left_is_remembered() {
+fn machines_changing_owner_share_one_record_and_released_ones_are_remembered() {
     let mut fleet = Fleet::default();
-    fleet.put("r-1", rental(3, 4), 7);
-    let back: Rental =
+    fleet.apply_put("r-1", rental(3, 4), 7);
+    let read: Rental =
         serde_json::from_str(&serde_json::to_string(&rental(3, 4)).unwrap()).unwrap();
-    assert_eq!(back, rental(3, 4));
-    let changed = fleet.changed_by(["0000", "0002"], |m| {
-        m.token += 1;
+    assert_eq!(read, rental(3, 4));
+    let changed = fleet.with_machines_changed(["0000", "0002"], |m| {
+        m.fencing_token += 1;
         m.name != "0002"
     });
     assert_eq!(changed.len(), 1);
-    let kept = changed["r-1"].clone();
-    assert_eq!(kept.revision, 7, "the guard is the mark that was read");
-    fleet.put("r-1", kept.record, 9);
-    assert!(fleet.is_gone("0002") && !fleet.machines.contains_key("0002"));
-    assert_eq!(fleet.machines["0000"].token, (u64::MAX >> 11) + 1);
-    fleet.put("r-1", rental(3, 4), 7);
+    let versioned = changed["r-1"].clone();
+    assert_eq!(
+        versioned.revision, 7,
+        "the precondition is the revision that was read"
+    );
+    fleet.apply_put("r-1", versioned.record, 9);
+    assert!(fleet.was_released("0002") && !fleet.machines.contains_key("0002"));
+    assert_eq!(fleet.machines["0000"].fencing_token, (u64::MAX >> 11) + 1);
+    fleet.apply_put("r-1", rental(3, 4), 7);
     assert!(
         !fleet.machines.contains_key("0002"),
-        "an older record came late"
+        "an older record that arrives late changes nothing"
     );
 }
--- a/src/jobs/writer.rs
+++ b/src/jobs/writer.rs
@@ -7,7 +7,7 @@
 use super::pages::entry_bytes;
 use super::plans::Changes;
 use super::{Entry, Page, PageId};
-use crate::fleet::Use;
+use crate::fleet::MachineState;
 use crate::limits::{self, QuotaCharge};
 use crate::membership::assignment::Member;
 use crate::metrics::CpuAccount;
@@ -312,7 +312,7 @@
         let mut needed = Vec::new();
         if let Entry::Placed { machine, .. } = entry {
             let ours = core.replica.fleet.machines.get(machine);
-            if ours.is_none_or(|m| m.owner != *me || m.state != Use::Open) {
+            if ours.is_none_or(|m| m.owner != *me || m.state != MachineState::Active) {
                 continue; // it left our hands since this was planned
             }
             needed.extend(core.machine_guard(machine));
--- a/src/jobs/writer/withdrawal.rs
+++ b/src/jobs/writer/withdrawal.rs
@@ -1,7 +1,7 @@
 //! Planned changes that no longer follow from the records: taken back or forgotten.
 
 use super::Dirty;
-use crate::fleet::Use;
+use crate::fleet::MachineState;
 use crate::jobs::{Entry, TaskId};
 use crate::membership::assignment::Member;
 use crate::node::Core;
@@ -13,7 +13,7 @@
     let fleet = &core.replica.fleet.machines;
     let takes = |name: &str| {
         let machine = fleet.get(name);
-        machine.is_some_and(|m| m.owner == *me && m.state == Use::Open)
+        machine.is_some_and(|m| m.owner == *me && m.state == MachineState::Active)
     };
     let changes = core
         .plans
--- a/src/membership/sharing.rs
+++ b/src/membership/sharing.rs
@@ -4,14 +4,13 @@
     Assignment, Demand, Member, Shared, Wanted, Work, part_jobs, part_machines,
 };
 use super::schema_versions::CAN_DIVIDE_LIMITS;
-use crate::fleet::{Rental, in_parts};
+use crate::fleet::{RentalPart, split_to_fit};
 use crate::jobs::JobRecord;
 use crate::metrics::CpuAccount;
 use crate::node::{Core, Node, age_s, wall_ms};
 use crate::placement::capacity_of;
 use crate::placement::snapshot::{due_after, eligible_machine_types, urgency_of};
 use crate::placement::{Milestone, Resources};
-use crate::state::replica::Versioned;
 use crate::state::{ASSIGNMENT_KEY, LEADER_KEY, Operation, Precondition, rental_key};
 use rowanmill_state::WritePriority;
 use std::collections::BTreeMap;
@@ -105,8 +104,12 @@
         let all = |levels: BTreeMap<_, Wanted>| levels.values().map(|w| w.any + w.ordinary).sum();
         let mut room: BTreeMap<(Member, String, bool), f64> = BTreeMap::new();
         for machine in core.replica.fleet.machines.values() {
-            if machine.state == crate::fleet::Use::Open {
-                let key = (machine.owner.clone(), machine.kind.clone(), machine.spot);
+            if machine.state == crate::fleet::MachineState::Active {
+                let key = (
+                    machine.owner.clone(),
+                    machine.pool.machine_type.clone(),
+                    machine.pool.spot,
+                );
                 *room.entry(key).or_default() += 1.0;
             }
         }
@@ -188,9 +191,9 @@
         .iter()
         .map(|(name, m)| Shared {
             name,
-            kind: &m.kind,
-            zone: &m.zone,
-            spot: m.spot,
+            kind: &m.pool.machine_type,
+            zone: &m.pool.zone,
+            spot: m.pool.spot,
             owner: &m.owner,
             tasks: replica.on.get(name).map_or(0, |on| on.len() as u32),
         })
@@ -280,10 +283,10 @@
     {
         let core = node.core();
         let fleet = &core.replica.fleet;
-        let changed = fleet.changed_by(owners.keys().copied(), |machine| {
+        let changed = fleet.with_machines_changed(owners.keys().copied(), |machine| {
             if let Some(to) = owners.get(machine.name.as_str()) {
                 machine.owner = (*to).clone();
-                machine.token += 1;
+                machine.fencing_token += 1;
                 moved += 1;
             }
             true
@@ -291,19 +294,18 @@
         let mut bytes = 0;
         let before = ops.len();
         for (name, kept) in changed {
-            let parts = in_parts(&name, kept, node.settings.max_value_bytes());
-            let set = |(name, kept): &(String, Versioned<Rental>)| {
-                Operation::put(rental_key(name), &kept.record)
-            };
+            let parts = split_to_fit(&name, kept, node.settings.max_value_bytes());
+            let set =
+                |part: &RentalPart| Operation::put(rental_key(&part.name), &part.rental.record);
             let new: Vec<Operation> = parts.iter().map(set).collect();
             bytes += new.iter().map(Operation::bytes).sum::<usize>();
             let left = most.saturating_sub(ops.len() - before);
             if bytes > crate::state::MOST_BYTES || new.len() > left {
                 break;
             }
-            guards.extend(parts.iter().map(|(name, kept)| Precondition {
-                key: rental_key(name),
-                revision: kept.revision,
+            guards.extend(parts.iter().map(|part| Precondition {
+                key: rental_key(&part.name),
+                revision: part.rental.revision,
             }));
             ops.extend(new);
         }
--- a/src/node.rs
+++ b/src/node.rs
@@ -314,7 +314,7 @@
     /// Keeps what is known in memory to the machines that this node owns. Only machines whose
     /// records changed are looked at.
     pub fn note_ownership(&mut self, me: &Member, now: Instant) {
-        for name in self.replica.fleet.take_changed() {
+        for name in self.replica.fleet.take_changed_machines() {
             self.note_owner(me, &name, now);
         }
     }
@@ -324,7 +324,7 @@
     pub fn note_owner(&mut self, me: &Member, name: &str, now: Instant) {
         self.plans.touch_machine(name);
         let machine = self.replica.fleet.machines.get(name);
-        let token = machine.filter(|m| m.owner == *me).map(|m| m.token);
+        let token = machine.filter(|m| m.owner == *me).map(|m| m.fencing_token);
         let known = self.workers.owned.get(name).map(|(_, known)| *known);
         if token == known {
             return;
--- a/src/placement/snapshot_cache.rs
+++ b/src/placement/snapshot_cache.rs
@@ -7,7 +7,7 @@
     capacity_of,
 };
 use crate::cloud::MachineType;
-use crate::fleet::Use;
+use crate::fleet::MachineState;
 use crate::jobs::{Entry, JobRecord, JobSpec, TaskId, TaskRef};
 use crate::membership::assignment::Member;
 use crate::node::{Core, Node, age_s};
@@ -286,7 +286,9 @@
             Entry::Placed { machine, .. } => {
                 out.placed += 1;
                 if let Some(machine) = core.replica.fleet.machines.get(machine) {
-                    *out.zones.entry(names.intern(&machine.zone)).or_default() += 1;
+                    *out.zones
+                        .entry(names.intern(&machine.pool.zone))
+                        .or_default() += 1;
                 }
             }
         }
@@ -350,10 +352,13 @@
     now_ms: u64,
 ) -> Option<CachedMachine> {
     let record = core.replica.fleet.machines.get(name)?;
-    if record.owner != *me || record.state != Use::Open || core.rent.closing.contains_key(name) {
+    if record.owner != *me
+        || record.state != MachineState::Active
+        || core.rent.closing.contains_key(name)
+    {
         return None;
     }
-    let kind = core.kind(&record.kind)?;
+    let kind = core.kind(&record.pool.machine_type)?;
     let live = core.workers.live.get(name);
     // Taken by the cloud, or deaf: it takes nothing new, and is no room to count on.
     if live.is_some_and(|l| l.taken_at.is_some() || l.deaf.is_some()) {
@@ -364,7 +369,7 @@
         Some(_) => at,
         // Up, but yet to show that it hears us.
         None if live.is_some() => at + ANY_MOMENT_S,
-        None => at + (kind.boot_s * BOOT - age_s(record.hired_ms, now_ms)).max(ANY_MOMENT_S),
+        None => at + (kind.boot_s * BOOT - age_s(record.requested_ms, now_ms)).max(ANY_MOMENT_S),
     };
     let mut free = capacity_of(kind);
     let mut busy: Vec<FreeSlot> = Vec::new();
@@ -383,14 +388,14 @@
     }
     let view = MachineSnapshot {
         name: name.into(),
-        kind: names.intern(&record.kind),
-        zone: names.intern(&record.zone),
-        spot: record.spot,
+        kind: names.intern(&record.pool.machine_type),
+        zone: names.intern(&record.pool.zone),
+        spot: record.pool.spot,
         free_slots: Vec::new(),
         images: images.into_iter().collect(),
         fetch_gb_per_s: kind.fetch_gb_per_s,
         slowness: live.map_or(1.0, |l| l.slowness),
-        price: match record.spot {
+        price: match record.pool.spot {
             true => kind.spot_price,
             false => kind.price,
         },
--- a/src/renting/decide.rs
+++ b/src/renting/decide.rs
@@ -5,7 +5,7 @@
     ForecastSummaryRecord, Held, Outlook, Verdict, k_of_size, periodic, remedial, to_return,
 };
 use crate::cells::protection;
-use crate::fleet::{Machine, Use};
+use crate::fleet::{Machine, MachineState};
 use crate::limits::MAX_PUBLISHED_BYTES;
 use crate::membership::assignment::Member;
 use crate::node::{Core, Node, age_s};
@@ -296,11 +296,15 @@
             }
             Verdict::Return => {
                 let fleet = &core.replica.fleet.machines;
-                let up = fleet.values().filter(|m| m.kind == kind).count();
+                let up = fleet
+                    .values()
+                    .filter(|m| m.pool.machine_type == kind)
+                    .count();
                 let may = |held: &&Held| {
                     let machine = fleet.get(&held.name);
                     machine.is_some_and(|m| {
-                        node.policy.allows_release(&facts, &m.zone, m.spot)
+                        node.policy
+                            .allows_release(&facts, &m.pool.zone, m.pool.spot)
                             && !is_protected(node, core, m, now_ms)
                     })
                 };
@@ -317,9 +321,9 @@
 
 /// Whether operators protect a machine now: it is not drained by choice.
 fn is_protected(node: &Node, core: &Core, machine: &Machine, now_ms: u64) -> bool {
-    let kind = core.kind(&machine.kind);
+    let kind = core.kind(&machine.pool.machine_type);
     kind.is_some_and(|kind| {
-        protection::is_protected(node, kind, &machine.zone, machine.spot, now_ms)
+        protection::is_protected(node, kind, &machine.pool.zone, machine.pool.spot, now_ms)
     })
 }
 
@@ -415,7 +419,7 @@
     let machines = core.replica.fleet.machines.iter();
     machines
         .filter(|(name, m)| {
-            m.kind == kind && m.owner == *me && !core.workers.live.contains_key(*name)
+            m.pool.machine_type == kind && m.owner == *me && !core.workers.live.contains_key(*name)
         })
         .count() as u32
 }
@@ -460,19 +464,19 @@
     let machines = core.replica.fleet.machines.iter();
     let mut held: Vec<Held> = machines
         .filter(|(name, m)| {
-            m.kind == kind
+            m.pool.machine_type == kind
                 && m.owner == node.me
-                && m.state == Use::Open
+                && m.state == MachineState::Active
                 && !core.rent.closing.contains_key(*name)
                 && !core.serves_its_purpose(name, kind)
                 && !mapping.used.contains(name.as_str())
         })
         .filter_map(|(name, m)| {
             let unused = core.workers.live.get(name)?.used_at.elapsed().as_secs_f64();
-            let age = age_s(m.hired_ms, now_ms);
+            let age = age_s(m.requested_ms, now_ms);
             Some(Held {
                 name: name.clone(),
-                remaining_hold_s: node.policy.idle_hold_s(&facts, &m.zone, m.spot)
+                remaining_hold_s: node.policy.idle_hold_s(&facts, &m.pool.zone, m.pool.spot)
                     - unused.min(age),
             })
         })
--- a/src/renting/provision.rs
+++ b/src/renting/provision.rs
@@ -3,7 +3,7 @@
 use super::decide::Wish;
 use super::service::guard;
 use crate::cloud::{self, CloudError};
-use crate::fleet::{Rental, Rented, Use, most_hired};
+use crate::fleet::{MachinePool, MachineState, Rental, RentedMachine, max_machines_per_rental};
 use crate::membership;
 use crate::membership::assignment::{Member, targets};
 use crate::node::{Core, Node, age_s, wall_ms};
@@ -25,7 +25,7 @@
     for wish in wishes {
         let mut left = wish.count;
         let mut spot_left = wish.spot;
-        let most = most_hired(node.settings.max_value_bytes()) as u32;
+        let most = max_machines_per_rental(node.settings.max_value_bytes()) as u32;
         let offers = offers(node, &wish);
         let mut zones_left = 0;
         for (at, (zone, spot)) in offers.iter().cloned().enumerate() {
@@ -46,12 +46,14 @@
             let mut count = count.div_ceil(zones as u32);
             while count > 0 {
                 let record = Rental {
-                    kind: wish.kind.clone(),
-                    zone: zone.clone(),
-                    spot,
+                    pool: MachinePool {
+                        machine_type: wish.kind.clone(),
+                        zone: zone.clone(),
+                        spot,
+                    },
                     count: count.min(most),
-                    hired_ms: wall_ms(),
-                    open: true,
+                    requested_ms: wall_ms(),
+                    unconfirmed: true,
                     machines: Vec::new(),
                 };
                 let asked = record.count;
@@ -96,7 +98,7 @@
     let count_in = |zone: &str| {
         let machines = core.replica.fleet.machines.values();
         machines
-            .filter(|m| m.zone == zone && m.kind == wish.kind)
+            .filter(|m| m.pool.zone == zone && m.pool.machine_type == wish.kind)
             .count()
     };
     let mut offers: Vec<(String, bool)> = Vec::new();
@@ -150,9 +152,9 @@
 async fn send_hire(node: &Arc<Node>, revision: u64, name: &str, record: &Rental) -> u32 {
     let rental = cloud::RentalRequest {
         name,
-        machine_type: &record.kind,
-        zone: &record.zone,
-        spot: record.spot,
+        machine_type: &record.pool.machine_type,
+        zone: &record.pool.zone,
+        spot: record.pool.spot,
         count: record.count,
     };
     let outcome = node.cloud.rent(&rental).await;
@@ -166,9 +168,9 @@
     };
     tracing::info!(
         name,
-        kind = record.kind,
-        zone = record.zone,
-        spot = record.spot,
+        kind = record.pool.machine_type,
+        zone = record.pool.zone,
+        spot = record.pool.spot,
         asked = record.count,
         got = names.len(),
         "rented"
@@ -179,27 +181,31 @@
         // An earlier answer to the same request may be in the record by now, and its machines may
         // have changed hands or gone: filling it again would take their tokens back.
         let kept = core.replica.fleet.rentals.get(name);
-        let Some(mark_before) = kept.filter(|k| k.record.open).map(|k| k.revision) else {
+        let Some(mark_before) = kept.filter(|k| k.record.unconfirmed).map(|k| k.revision) else {
             return got;
         };
         if got < record.count {
-            let key = (record.kind.clone(), record.zone.clone(), record.spot);
+            let key = (
+                record.pool.machine_type.clone(),
+                record.pool.zone.clone(),
+                record.pool.spot,
+            );
             let until = Instant::now() + Duration::from_secs(20);
             core.rent.refused.insert(key, until);
         }
         let owners = first_owners(node, &core, record, names.len());
         let machines = names.into_iter().zip(owners);
         // A token starts at the leader's revision, and rises from there with each change of owner.
-        let machines: Vec<Rented> = machines
-            .map(|(name, owner)| Rented {
+        let machines: Vec<RentedMachine> = machines
+            .map(|(name, owner)| RentedMachine {
                 name,
                 owner,
-                token: revision,
-                state: Use::Open,
+                fencing_token: revision,
+                state: MachineState::Active,
             })
             .collect();
         let filled = Rental {
-            open: false,
+            unconfirmed: false,
             machines,
             ..record.clone()
         };
@@ -229,23 +235,27 @@
 
 /// Who gets new machines: those whose work lacks most, so that few change hands while they boot.
 fn first_owners(node: &Node, core: &Core, rental: &Rental, count: usize) -> Vec<Member> {
-    let (kind, zone, spot) = (&rental.kind, &rental.zone, rental.spot);
+    let (kind, zone, spot) = (
+        &rental.pool.machine_type,
+        &rental.pool.zone,
+        rental.pool.spot,
+    );
     let present = core.replica.present();
     let Some(shares) = core.replica.assignment.as_ref() else {
         return vec![node.me.clone(); count];
     };
     let fleet = &core.replica.fleet.machines;
-    let of_kind = || fleet.values().filter(|m| m.kind == *kind);
+    let of_kind = || fleet.values().filter(|m| m.pool.machine_type == *kind);
     let (demand, ..) = membership::demand(node, core, &shares.record);
-    let now = |spot: bool| of_kind().filter(|m| m.spot == spot).count();
+    let now = |spot: bool| of_kind().filter(|m| m.pool.spot == spot).count();
     let count_with = |s: bool| (now(s) + if s == spot { count } else { 0 }) as f64;
     let targets = targets(&present, kind, &demand, count_with(true), count_with(false));
     let targets = targets.of(spot);
     let mut have: BTreeMap<&Member, (f64, u32)> = present.iter().map(|m| (m, (0.0, 0))).collect();
-    for machine in of_kind().filter(|m| m.spot == spot) {
+    for machine in of_kind().filter(|m| m.pool.spot == spot) {
         if let Some(have) = have.get_mut(&machine.owner) {
             have.0 += 1.0;
-            have.1 += u32::from(machine.zone == *zone);
+            have.1 += u32::from(machine.pool.zone == *zone);
         }
     }
     let mut owners = Vec::with_capacity(count);
@@ -275,8 +285,8 @@
     let now_ms = wall_ms();
     let open: Vec<(String, Rental)> = {
         let core = node.core();
-        let open = core.replica.fleet.open();
-        open.filter(|(_, r)| age_s(r.hired_ms, now_ms) > 4.0)
+        let open = core.replica.fleet.unconfirmed_rentals();
+        open.filter(|(_, r)| age_s(r.requested_ms, now_ms) > 4.0)
             .map(|(name, r)| (name.clone(), r.clone()))
             .collect()
     };
--- a/src/renting/release.rs
+++ b/src/renting/release.rs
@@ -3,7 +3,10 @@
 
 use super::service::guard;
 use crate::cloud::{self, MAX_RELEASE_BATCH};
-use crate::fleet::{Machine, Rental, Rented, Use, in_parts, most_hired};
+use crate::fleet::{
+    Machine, MachinePool, MachineState, Rental, RentalPart, RentedMachine, max_machines_per_rental,
+    split_to_fit,
+};
 use crate::membership;
 use crate::node::{Core, Node, age_s, wall_ms};
 use crate::state::follow::LOST;
@@ -51,7 +54,7 @@
 async fn write_fleet(
     node: &Arc<Node>,
     names: &[String],
-    change: impl FnMut(&mut Rented) -> bool,
+    change: impl FnMut(&mut RentedMachine) -> bool,
 ) -> Vec<String> {
     // Beyond what this node may write it would only be refused, and take others' puts along.
     let left = node.state.available_writes(WritePriority::UserFacing);
@@ -60,26 +63,22 @@
     let written: Vec<String> = {
         let core = node.core();
         let fleet = &core.replica.fleet;
-        let changed = fleet.changed_by(names.iter().map(String::as_str), change);
+        let changed = fleet.with_machines_changed(names.iter().map(String::as_str), change);
         let mut bytes = 0;
         for (name, kept) in changed {
-            let parts = in_parts(&name, kept, node.settings.max_value_bytes());
-            let op = |(name, kept): &(String, Versioned<Rental>)| match kept
-                .record
-                .machines
-                .is_empty()
-            {
-                true => Operation::delete(rental_key(name)),
-                false => Operation::put(rental_key(name), &kept.record),
+            let parts = split_to_fit(&name, kept, node.settings.max_value_bytes());
+            let op = |part: &RentalPart| match part.rental.record.machines.is_empty() {
+                true => Operation::delete(rental_key(&part.name)),
+                false => Operation::put(rental_key(&part.name), &part.rental.record),
             };
             let new: Vec<Operation> = parts.iter().map(op).collect();
             bytes += new.iter().map(Operation::bytes).sum::<usize>();
             if bytes > crate::state::MOST_BYTES || ops.len() + new.len() > most {
                 break;
             }
-            guards.extend(parts.iter().map(|(name, kept)| Precondition {
-                key: rental_key(name),
-                revision: kept.revision,
+            guards.extend(parts.iter().map(|part| Precondition {
+                key: rental_key(&part.name),
+                revision: part.rental.revision,
             }));
             ops.extend(new);
             rentals.push(name);
@@ -113,11 +112,11 @@
         let core = node.core();
         let fleet = &core.replica.fleet.machines;
         let known = names.into_iter().filter(|n| fleet.contains_key(n));
-        known.partition(|n| fleet[n].state == Use::Closing)
+        known.partition(|n| fleet[n].state == MachineState::Releasing)
     };
     if !new.is_empty() {
-        let close = |machine: &mut Rented| {
-            machine.state = Use::Closing;
+        let close = |machine: &mut RentedMachine| {
+            machine.state = MachineState::Releasing;
             true
         };
         recorded.extend(write_fleet(node, &new, close).await);
@@ -156,7 +155,7 @@
     let mut ops = Vec::new();
     for (other, kept) in others {
         record.machines.extend(kept.record.machines);
-        record.hired_ms = record.hired_ms.max(kept.record.hired_ms);
+        record.requested_ms = record.requested_ms.max(kept.record.requested_ms);
         guards.push(Precondition {
             key: rental_key(&other),
             revision: kept.revision,
@@ -180,14 +179,22 @@
 /// Rentals of one kind, zone and sort whose machines fit one record, the largest first.
 fn to_merge(node: &Node, core: &Core) -> Vec<(String, Versioned<Rental>)> {
     let now_ms = wall_ms();
-    let most = most_hired(node.settings.max_value_bytes());
+    let most = max_machines_per_rental(node.settings.max_value_bytes());
     let settled = |rental: &Rental| {
-        let boot = core.kind(&rental.kind).map_or(60.0, |k| k.boot_s);
-        !rental.open && age_s(rental.hired_ms, now_ms) > boot * 3.0 + 20.0
+        let boot = core
+            .kind(&rental.pool.machine_type)
+            .map_or(60.0, |k| k.boot_s);
+        !rental.unconfirmed && age_s(rental.requested_ms, now_ms) > boot * 3.0 + 20.0
     };
     let rentals = core.replica.fleet.rentals.iter();
     let settled: Vec<_> = rentals.filter(|(_, k)| settled(&k.record)).collect();
-    let sort = |r: &Rental| (r.kind.clone(), r.zone.clone(), r.spot);
+    let sort = |r: &Rental| {
+        (
+            r.pool.machine_type.clone(),
+            r.pool.zone.clone(),
+            r.pool.spot,
+        )
+    };
     let mut counts: BTreeMap<_, usize> = BTreeMap::new();
     for (_, kept) in &settled {
         *counts.entry(sort(&kept.record)).or_default() += 1;
@@ -221,8 +228,8 @@
     if names.is_empty() || membership::lead_mark(node) != Some(revision) {
         return;
     }
-    let give_back = |machine: &mut Rented| {
-        machine.state = machine.state.max(Use::Returning);
+    let give_back = |machine: &mut RentedMachine| {
+        machine.state = machine.state.max(MachineState::Draining);
         true
     };
     let mut left = names;
@@ -270,7 +277,7 @@
             continue;
         };
         let empty = !core.replica.on.contains_key(name) && core.plans.on(name).next().is_none();
-        if record.state == Use::Closing {
+        if record.state == MachineState::Releasing {
             close.push((name.clone(), "decided before"));
             continue;
         }
@@ -301,18 +308,21 @@
                         .tasks
                         .iter()
                         .all(|t| t.state == crate::workers::TaskState::Ended);
-                    if record.state == Use::Returning && empty && idle {
+                    if record.state == MachineState::Draining && empty && idle {
                         close.push((name.clone(), "returned"));
                     }
                 }
             }
             None => {
-                let boot = core.kinds.iter().find(|k| k.name == record.kind);
+                let boot = core
+                    .kinds
+                    .iter()
+                    .find(|k| k.name == record.pool.machine_type);
                 let boot = boot.map_or(60.0, |k| k.boot_s);
                 // In an outage it may also keep them for as long as that lasts (`may_renew`).
                 let known =
                     now.saturating_duration_since(core.contact_since.unwrap_or(now).max(*since));
-                let unheard = age_s(record.hired_ms, now_ms) > boot * 3.0 + 15.0;
+                let unheard = age_s(record.requested_ms, now_ms) > boot * 3.0 + 15.0;
                 // An owner before us that is cut off from the state service may keep the worker
                 // for as long as it may go without proof; only then does silence mean anything.
                 if unheard && known > silence + node.settings.disconnected_lease_limit() {
@@ -351,7 +361,7 @@
         let core = node.core();
         let leading = core.standing.leading;
         leading.is_some_and(|(_, since)| since.elapsed() > lag)
-            && core.replica.fleet.open().next().is_none()
+            && core.replica.fleet.unconfirmed_rentals().next().is_none()
     };
     for listed in list {
         {
@@ -368,7 +378,7 @@
                 }
                 continue;
             }
-            if core.replica.fleet.is_gone(&listed.name) || listed.has_failed() || !settled {
+            if core.replica.fleet.was_released(&listed.name) || listed.has_failed() || !settled {
                 continue;
             }
         }
@@ -381,17 +391,19 @@
 async fn adopt(node: &Arc<Node>, revision: u64, listed: cloud::ListedMachine) {
     let key = rental_key(&format!("a-{}", listed.name));
     let record = Rental {
-        kind: listed.machine_type,
-        zone: listed.zone,
-        spot: listed.spot,
+        pool: MachinePool {
+            machine_type: listed.machine_type,
+            zone: listed.zone,
+            spot: listed.spot,
+        },
         count: 1,
-        hired_ms: wall_ms().saturating_sub((listed.age_s * 1000.0) as u64),
-        open: false,
-        machines: vec![Rented {
+        requested_ms: wall_ms().saturating_sub((listed.age_s * 1000.0) as u64),
+        unconfirmed: false,
+        machines: vec![RentedMachine {
             name: listed.name.clone(),
             owner: node.me.clone(),
-            token: revision,
-            state: Use::Open,
+            fencing_token: revision,
+            state: MachineState::Active,
         }],
     };
     let guards = [
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::fleet::most_hired;
+use crate::fleet::max_machines_per_rental;
 use serde_json::json;
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
         (1580, 5, 3332, 32.0, 22.0, 47.0),
     ] {
         let s = Settings::parse(&settings(size, sockets, kb, lease_s, cancel_s), "t").unwrap();
-        let records = machines.div_ceil(most_hired(s.max_value_bytes()));
+        let records = machines.div_ceil(max_machines_per_rental(s.max_value_bytes()));
         // The leader writes ten records at a time and waits for each answer.
         let takeover = s.presence_ttl() + Duration::from_millis(700) * records.div_ceil(10) as u32;
         assert!(machines + 200 < sockets - crate::api::OWN_SOCKETS);
--- a/src/state/replica.rs
+++ b/src/state/replica.rs
@@ -73,7 +73,7 @@
         let ended_order = std::mem::take(&mut self.ended_order);
         let incarnations = std::mem::take(&mut self.incarnations);
         let mut fleet = std::mem::take(&mut self.fleet);
-        fleet.reset();
+        fleet.clear_for_reload();
         let jobs = std::mem::take(&mut self.jobs);
         let on = std::mem::take(&mut self.on);
         *self = Self {
@@ -172,7 +172,7 @@
             }
             "m" => {
                 if let Some(record) = read(key, data) {
-                    self.fleet.put(name, record, revision);
+                    self.fleet.apply_put(name, record, revision);
                 }
             }
             "n" => {
@@ -476,7 +476,7 @@
                 };
                 self.differ(id, page, before);
             }
-            "m" => self.fleet.remove(name, revision),
+            "m" => self.fleet.apply_delete(name, revision),
             "n" if self
                 .presence
                 .get(name)
--- a/src/testing/compatibility/cluster_records.rs
+++ b/src/testing/compatibility/cluster_records.rs
@@ -1,7 +1,7 @@
 //! Records of the fleet, of the controllers and of what these publish.
 
 use super::trace::Trace;
-use crate::fleet::{Rental, Rented, Use};
+use crate::fleet::{MachinePool, MachineState, Rental, RentedMachine};
 use crate::jobs::Layout;
 use crate::membership::assignment::{Assignment, Member};
 use crate::membership::schema_versions::{CAN, CAN_DIVIDE_LIMITS, SchemaVersions};
@@ -24,35 +24,40 @@
 fn rental_record_keeps_its_json() {
     let mut trace = Trace::default();
     let requested = Rental {
-        kind: "m4".into(),
-        zone: "a".into(),
-        spot: false,
+        pool: MachinePool {
+            machine_type: "m4".into(),
+            zone: "a".into(),
+            spot: false,
+        },
         count: 4,
-        hired_ms: 1_796_178_941_403,
-        open: true,
+        requested_ms: 1_796_178_941_403,
+        unconfirmed: true,
         machines: Vec::new(),
     };
     let key = || rental_key("r-9-2");
     trace.add("requested, not answered", key(), &requested);
-    let machine = |name: &str, owner, token, state| Rented {
+    let machine = |name: &str, owner, token, state| RentedMachine {
         name: name.into(),
         owner: member(owner),
-        token,
+        fencing_token: token,
         state,
     };
     let answered = Rental {
-        spot: true,
-        open: false,
+        pool: MachinePool {
+            spot: true,
+            ..requested.pool.clone()
+        },
+        unconfirmed: false,
         machines: vec![
-            machine("vm-000005", 0, 9, Use::Open),
-            machine("vm-000006", 1, 10, Use::Returning),
-            machine("vm-000007", 0, 11, Use::Closing),
+            machine("vm-000005", 0, 9, MachineState::Active),
+            machine("vm-000006", 1, 10, MachineState::Draining),
+            machine("vm-000007", 0, 11, MachineState::Releasing),
         ],
         ..requested.clone()
     };
     trace.add("answered, each use of a machine", key(), &answered);
     let returned = Rental {
-        open: false,
+        unconfirmed: false,
         ..requested
     };
     trace.add("no machine left", key(), &returned);
@@ -226,7 +231,7 @@
     let rental = json!({"kind": "m4", "zone": "a", "spot": true, "count": 1, "hired_ms": 5,
         "added_later": null, "owners": [["millstone-0", 3]], "machines": [["vm-1", 0, 9, 7]]});
     let read: Rental = serde_json::from_value(rental).unwrap();
-    assert!(!read.open);
-    assert_eq!(read.machines[0].state, Use::Closing);
+    assert!(!read.unconfirmed);
+    assert_eq!(read.machines[0].state, MachineState::Releasing);
     assert_eq!(read.machines[0].owner.name, "millstone-0");
 }
--- a/src/testing/compatibility/interfaces.rs
+++ b/src/testing/compatibility/interfaces.rs
@@ -5,7 +5,7 @@
 use crate::api::{self, Server, limit::Limit};
 use crate::background::BackgroundTasks;
 use crate::cloud::MachineType;
-use crate::fleet::{Rental, Rented, Use};
+use crate::fleet::{MachinePool, MachineState, Rental, RentedMachine};
 use crate::http::HttpResponse;
 use crate::jobs::Submission;
 use crate::membership::assignment::Member;
@@ -487,17 +487,19 @@
 /// vm-1 is this owner's.
 fn own(node: &Node, owner: Member, revision: u64) {
     let rental = Rental {
-        kind: "c4".to_owned(),
-        zone: "a".to_owned(),
-        spot: false,
+        pool: MachinePool {
+            machine_type: "c4".to_owned(),
+            zone: "a".to_owned(),
+            spot: false,
+        },
         count: 1,
-        hired_ms: 0,
-        open: false,
-        machines: vec![Rented {
+        requested_ms: 0,
+        unconfirmed: false,
+        machines: vec![RentedMachine {
             name: "vm-1".to_owned(),
             owner,
-            token: TOKEN,
-            state: Use::Open,
+            fencing_token: TOKEN,
+            state: MachineState::Active,
         }],
     };
     let mut core = node.core();
--- a/src/workers/service.rs
+++ b/src/workers/service.rs
@@ -2,7 +2,7 @@
 
 use super::{Live, Pending, Report, read};
 use crate::cells;
-use crate::fleet::Use;
+use crate::fleet::MachineState;
 use crate::http::{HttpResponse, error_response, json_response, retry_later};
 use crate::jobs::{Entry, TaskId, TaskRef};
 use crate::membership;
@@ -136,8 +136,8 @@
     let idle = report.tasks.is_empty()
         && answer.orders.is_empty()
         && report.notice_s.is_none()
-        && record.state == Use::Open
-        && report.token == record.token
+        && record.state == MachineState::Active
+        && report.token == record.fencing_token
         && !core.replica.on.contains_key(&report.machine);
     if !idle {
         return None;
@@ -187,7 +187,12 @@
 /// What the machine is told, by the records as they now stand.
 fn orders(node: &Node, core: &mut Core, report: &Report, now: Instant) -> Option<wire::Answer> {
     let _charge = node.processor_time.charge(CpuAccount::Heartbeats);
-    let token = core.replica.fleet.machines.get(&report.machine)?.token;
+    let token = core
+        .replica
+        .fleet
+        .machines
+        .get(&report.machine)?
+        .fencing_token;
     let owned = core.workers.owned.get(&report.machine);
     if owned.is_none_or(|(_, known)| *known != token) {
         return None; // it changed hands while the answer waited
@@ -227,7 +232,10 @@
     let name = report.machine.clone();
     core.note_owner(&node.me, &name, now);
     let machine = core.replica.fleet.machines.get(&name);
-    let Some(token) = machine.filter(|m| m.owner == node.me).map(|m| m.token) else {
+    let Some(token) = machine
+        .filter(|m| m.owner == node.me)
+        .map(|m| m.fencing_token)
+    else {
         return Taken::NotOurs;
     };
     if report.token > token {
--- a/src/workers/service/tests.rs
+++ b/src/workers/service/tests.rs
@@ -1,7 +1,7 @@
 //! Versioned traces of reports as they come, early, late or from a machine that hears nothing.
 
 use super::*;
-use crate::fleet::{Rental, Rented, Use};
+use crate::fleet::{MachinePool, MachineState, Rental, RentedMachine};
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::state::{Operation, rental_key};
@@ -59,17 +59,19 @@
             incarnation: 1,
         };
         let rental = Rental {
-            kind: "m".into(),
-            zone: "a".into(),
-            spot: false,
+            pool: MachinePool {
+                machine_type: "m".into(),
+                zone: "a".into(),
+                spot: false,
+            },
             count: 1,
-            hired_ms: 0,
-            open: false,
-            machines: vec![Rented {
+            requested_ms: 0,
+            unconfirmed: false,
+            machines: vec![RentedMachine {
                 name: "vm-1".into(),
                 owner: if ours { self.node.me.clone() } else { other },
-                token,
-                state: Use::Open,
+                fencing_token: token,
+                state: MachineState::Active,
             }],
         };
         self.revision += 1;
