--- a/src/placement/service.rs
+++ b/src/placement/service.rs
@@ -115,7 +115,7 @@
         let startup = node.policy.startup_count;
         let limits = packing::PackingLimits {
             headroom: &views.headroom,
-            reserve_after: core.limits.gang_reservation_delay_s(),
+            reservation_delay_s: core.limits.gang_reservation_delay_s(),
         };
         packing::pack(
             &views.jobs,
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -12,7 +12,7 @@
 pub fn unlimited() -> packing::PackingLimits<'static> {
     packing::PackingLimits {
         headroom: &NO_LIMITS,
-        reserve_after: 0.0,
+        reservation_delay_s: 0.0,
     }
 }
 
