--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -3,7 +3,9 @@
 use super::Server;
 use crate::cells::requests;
 use crate::http::{HttpResponse, error_response, json_response, retry_later};
-use crate::jobs::{Final, JobRecord, JobSpec, SpecError, Stage, Stored, Submission, is_job_id};
+use crate::jobs::{
+    JobRecord, JobSpec, SpecError, Stage, StoredJob, Submission, TerminalState, is_job_id,
+};
 use crate::membership;
 use crate::metrics::{CpuAccount, memory};
 use crate::node::{Core, Node, wall_ms};
@@ -66,7 +68,7 @@
 /// What is known of a job, with nothing older than the call.
 pub enum Known {
     Live(Stage, u32, u32),
-    Over(Final),
+    Over(TerminalState),
     Never,
     Unclear,
 }
@@ -114,7 +116,7 @@
         }
     }
     match node.state.get(&final_key(id)).await {
-        Ok(Some(value)) => match serde_json::from_value::<Final>(value) {
+        Ok(Some(value)) => match serde_json::from_value::<TerminalState>(value) {
             Ok(last) => {
                 node.core().replica.remember_ended(id, last);
                 Known::Over(last)
@@ -233,16 +235,16 @@
     ];
     let (put, stage) = match before {
         Before::Done => (
-            Operation::put(job_key(&id), &Stored::Open(record)),
+            Operation::put(job_key(&id), &StoredJob::Open(record)),
             Stage::Queued,
         ),
         Before::Open => {
-            let blocked = Stored::Blocked { record, awaits };
+            let blocked = StoredJob::Blocked { record, awaits };
             (Operation::put(job_key(&id), &blocked), Stage::Queued)
         }
         // It needs a cancelled job, and so it is over: taken all the same.
         Before::Cancelled => (
-            Operation::put(final_key(&id), &Final::Cancelled),
+            Operation::put(final_key(&id), &TerminalState::Cancelled),
             Stage::Cancelled,
         ),
     };
@@ -254,7 +256,7 @@
         Ok(revision) => {
             let mut core = node.core();
             match before {
-                Before::Cancelled => core.replica.remember_ended(&id, Final::Cancelled),
+                Before::Cancelled => core.replica.remember_ended(&id, TerminalState::Cancelled),
                 _ => core.apply(vec![put], revision),
             }
             drop(core);
@@ -291,9 +293,9 @@
 
 /// How a job ended, if that is in memory: final states never change. Where there are cells, only what the
 /// ledger holds is told to users.
-fn ended_in_memory(node: &Node, id: &str) -> Option<Final> {
+fn ended_in_memory(node: &Node, id: &str) -> Option<TerminalState> {
     match &node.cells {
-        Some(cells) => cells.final_state(id).map(Final::from),
+        Some(cells) => cells.final_state(id).map(TerminalState::from),
         None => node.core().replica.ended(id),
     }
 }
@@ -354,7 +356,7 @@
                     let reason = "`awaits` names a job that was never accepted";
                     return Err(error_response(StatusCode::UNPROCESSABLE_ENTITY, reason));
                 }
-                Ok(Some(value)) => match serde_json::from_value::<Final>(value) {
+                Ok(Some(value)) => match serde_json::from_value::<TerminalState>(value) {
                     Ok(last) => node.core().replica.remember_ended(id, last),
                     Err(_) => return Err(no_state()),
                 },
@@ -373,8 +375,8 @@
                 .get(id)
                 .is_some_and(|j| j.record.cancelled);
         match (core.replica.ended(id), cancelled) {
-            (Some(Final::Cancelled), _) | (_, true) => before = Before::Cancelled,
-            (Some(Final::Done), _) => {}
+            (Some(TerminalState::Cancelled), _) | (_, true) => before = Before::Cancelled,
+            (Some(TerminalState::Done), _) => {}
             (None, false) if before == Before::Done => before = Before::Open,
             (None, false) => {}
         }
@@ -384,7 +386,7 @@
 
 /// Whether a job's record fits a value for as long as it is kept, whichever limit holds by then.
 pub fn fits(node: &Node, record: &JobRecord, awaits: &[String]) -> bool {
-    let blocked = Stored::Blocked {
+    let blocked = StoredJob::Blocked {
         record: record.clone(),
         awaits: awaits.to_vec(),
     };
@@ -492,7 +494,7 @@
                 (held.revision, vec![Operation::put(job_key(id), &CANCELLED)])
             } else if let Some(job) = core.replica.jobs.get(id) {
                 let record = job.record.clone().into_cancelled();
-                let put = Operation::put(job_key(id), &Stored::Open(record));
+                let put = Operation::put(job_key(id), &StoredJob::Open(record));
                 (job.revision, vec![put])
             } else {
                 continue;
--- a/src/cells/heartbeats.rs
+++ b/src/cells/heartbeats.rs
@@ -41,7 +41,10 @@
 fn tracked_jobs_on(core: &Core, report: &Report) -> Vec<TrackedJob> {
     let recorded = core.replica.on.get(&report.machine).into_iter().flatten();
     let recorded = recorded.map(|task| task.job.as_str());
-    let planned = core.plans.on(&report.machine).map(|task| task.job.as_str());
+    let planned = core
+        .pending_changes
+        .starts_on(&report.machine)
+        .map(|task| task.job.as_str());
     let reported = report.tasks.iter();
     let reported = reported.filter_map(|task| TaskRef::try_from(task.task.as_str()).ok());
     let reported = reported.map(|task| task.job);
--- a/src/cells/local_state.rs
+++ b/src/cells/local_state.rs
@@ -2,7 +2,7 @@
 //! reads.
 
 use super::protection;
-use crate::jobs::{Final, JobRecord};
+use crate::jobs::{JobRecord, TerminalState};
 use crate::node::{Core, Node};
 use rowanmill_cells::record::CapacitySummary;
 use rowanmill_cells::{LocalJobState, TrackedJob};
@@ -34,7 +34,10 @@
     if job.record.cancelled {
         return LocalJobState::Cancelling;
     }
-    let has_planned_tasks = core.plans.of(id).is_some_and(|planned| !planned.is_empty());
+    let has_planned_tasks = core
+        .pending_changes
+        .of_job(id)
+        .is_some_and(|planned| !planned.is_empty());
     let has_started = job.placed > 0 || job.done > 0 || has_planned_tasks;
     let is_excluded = || protection::exclusion_of(node, core, &job.record.spec, now_ms).is_some();
     LocalJobState::Open {
@@ -46,8 +49,8 @@
 
 fn state_without_record(core: &Core, id: &str) -> LocalJobState {
     match core.replica.ended(id) {
-        Some(Final::Done) => LocalJobState::Completed,
-        Some(Final::Cancelled) => LocalJobState::Cancelled,
+        Some(TerminalState::Done) => LocalJobState::Completed,
+        Some(TerminalState::Cancelled) => LocalJobState::Cancelled,
         // Nothing is done about a job whose record cannot be read.
         None if core.replica.is_unreadable(id) => LocalJobState::Cancelling,
         None => LocalJobState::Absent,
--- a/src/cells/mod.rs
+++ b/src/cells/mod.rs
@@ -14,18 +14,18 @@
 pub use heartbeats::{halted_jobs_on, permits_renewal, permits_starts};
 pub use scheduler::CellScheduler;
 
-use crate::jobs::Final;
+use crate::jobs::TerminalState;
 use crate::node::Node;
 use crate::settings::Settings;
 use rowanmill_cells::service::BackgroundTask;
 use rowanmill_cells::{FinalState, WorkerTiming};
 use std::sync::Arc;
 
-impl From<FinalState> for Final {
+impl From<FinalState> for TerminalState {
     fn from(state: FinalState) -> Self {
         match state {
-            FinalState::Done => Final::Done,
-            FinalState::Cancelled => Final::Cancelled,
+            FinalState::Done => TerminalState::Done,
+            FinalState::Cancelled => TerminalState::Cancelled,
         }
     }
 }
--- a/src/cells/requests/mod.rs
+++ b/src/cells/requests/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::api::users::{Known, current_state, told, told_progress};
 use crate::http::{HttpResponse, error_response, json_response, retry_later};
-use crate::jobs::{Final, Stage};
+use crate::jobs::{Stage, TerminalState};
 use crate::node::Node;
 use hyper::StatusCode;
 use rowanmill_cells::{CellCoordinator, LedgerJobState};
@@ -35,7 +35,7 @@
     json_response(StatusCode::OK, &told(id, stage))
 }
 
-fn ended(id: &str, final_state: impl Into<Final>) -> HttpResponse {
+fn ended(id: &str, final_state: impl Into<TerminalState>) -> HttpResponse {
     in_stage(id, final_state.into().into())
 }
 
--- a/src/cells/scheduler.rs
+++ b/src/cells/scheduler.rs
@@ -5,7 +5,7 @@
 use super::local_state::{capacity_summary, local_job_state, tracked_jobs};
 use super::protection::{self, ProtectionExclusion};
 use crate::api::users::{Verdict, check_acceptance, fits};
-use crate::jobs::{GivenUp, JobRecord, SpecError, Stored, Submission};
+use crate::jobs::{JobRecord, Relinquished, SpecError, StoredJob, Submission};
 use crate::membership;
 use crate::node::{Core, Node, wall_ms};
 use crate::state::replica::Job;
@@ -108,7 +108,8 @@
         let Some(pair) = pair.map_err(|_| Unavailable)? else {
             return Ok(None);
         };
-        let GivenUp { epoch } = serde_json::from_str(pair.value.get()).map_err(|_| Unavailable)?;
+        let Relinquished { epoch } =
+            serde_json::from_str(pair.value.get()).map_err(|_| Unavailable)?;
         Ok(Some(RelinquishedRecord {
             epoch,
             revision: pair.revision,
@@ -157,7 +158,7 @@
         }
         record.placer = membership::choose_placer(node, &mut node.core(), &record);
         let preconditions = never_here_since(id, relinquished_revision);
-        let put = Operation::put(job_key(id), &Stored::Open(record));
+        let put = Operation::put(job_key(id), &StoredJob::Open(record));
         self.write(&preconditions, vec![put]).await
     }
 
@@ -209,7 +210,7 @@
             };
             (precondition, record)
         };
-        let put = Operation::put(job_key(id), &Stored::Open(record));
+        let put = Operation::put(job_key(id), &StoredJob::Open(record));
         self.write(&[precondition], vec![put]).await
     }
 }
@@ -292,7 +293,7 @@
         let previous = self.read_relinquished(id).await?;
         let previous_revision = previous.map_or(NO_REVISION, |record| record.revision);
         let preconditions = never_here_since(id, previous_revision);
-        let put = Operation::put(given_up_key(id), &GivenUp { epoch });
+        let put = Operation::put(given_up_key(id), &Relinquished { epoch });
         self.write(&preconditions, vec![put]).await?;
         Ok(true)
     }
--- a/src/jobs/ends.rs
+++ b/src/jobs/ends.rs
@@ -1,6 +1,6 @@
 //! The ends of jobs: moved to their final keys with their pages, or given up to another cell.
 
-use super::{Entry, Final, GivenUp, PageId, Stored};
+use super::{PageId, Relinquished, StoredJob, TaskRecord, TerminalState};
 use crate::metrics::CpuAccount;
 use crate::node::{Core, Node};
 use crate::state::replica::Job;
@@ -22,7 +22,7 @@
 /// What remains of a job that is over.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Last {
-    Final(Final),
+    Final(TerminalState),
     /// Nothing of it runs here any more, and it is to be another cell's.
     GivenUp(OwnershipVersion),
 }
@@ -70,7 +70,7 @@
             if let Last::Final(last) = ended.last {
                 core.replica.remember_ended(&ended.id, last);
             }
-            core.plans.remove_job(&ended.id);
+            core.pending_changes.discard_job(&ended.id);
             core.failures.remove(&ended.id);
         }
     }
@@ -94,7 +94,7 @@
             Last::Final(outcome) if short => {
                 ops.push(Operation::put(
                     job_key(&ended.id),
-                    &Stored::Finished { outcome },
+                    &StoredJob::Finished { outcome },
                 ));
                 continue;
             }
@@ -107,7 +107,7 @@
             Last::GivenUp(stamp) if ended.is_whole => {
                 ops.push(Operation::put(
                     given_up_key(&ended.id),
-                    &GivenUp::under(stamp),
+                    &Relinquished::under(stamp),
                 ));
                 ops.push(Operation::delete(job_key(&ended.id)));
             }
@@ -122,27 +122,27 @@
 /// Done once every task is; a cancelled one is over once none of its tasks can be on a machine.
 fn over(core: &Core, id: &str, job: &Job) -> Option<Last> {
     let tasks = job.record.spec.tasks;
-    let planned = core.plans.of(id);
+    let planned = core.pending_changes.of_job(id);
     if job.record.cancelled {
-        let is_placed = |e: &Entry| matches!(e, Entry::Placed { .. });
+        let is_placed = |e: &TaskRecord| matches!(e, TaskRecord::Placed { .. });
         let mut placed = i64::from(job.placed);
         for (task, entry) in planned.into_iter().flatten() {
             placed += i64::from(is_placed(entry));
-            placed -= i64::from(is_placed(core.replica.entry(id, *task)));
+            placed -= i64::from(is_placed(core.replica.task_record(id, *task)));
         }
         let given_up = job.record.ledger.filter(|_| job.record.withdrawn);
-        let last = given_up.map_or(Last::Final(Final::Cancelled), Last::GivenUp);
+        let last = given_up.map_or(Last::Final(TerminalState::Cancelled), Last::GivenUp);
         return (placed == 0).then_some(last);
     }
     let mut done = job.done;
     for (task, entry) in planned.into_iter().flatten() {
-        if *entry == Entry::Done && *core.replica.entry(id, *task) != Entry::Done {
+        if *entry == TaskRecord::Done && *core.replica.task_record(id, *task) != TaskRecord::Done {
             done += 1;
         }
     }
     // A gang's tasks complete together: one that is done says that all are.
     let needed = if job.record.spec.is_gang() { 1 } else { tasks };
-    (done >= needed).then_some(Last::Final(Final::Done))
+    (done >= needed).then_some(Last::Final(TerminalState::Done))
 }
 
 /// From this part of what may be written at once on, changes are not short.
@@ -150,7 +150,8 @@
 /// Whether changes are short: little may be written now, or of late pages were left for later turns.
 /// At the beginning of a turn a node may write again, however much waits for it.
 pub fn is_short(node: &Node) -> bool {
-    node.state.write_headroom() < AT_EASE || node.core().plans.unwritten() >= LEFT_OVER
+    node.state.write_headroom() < AT_EASE
+        || node.core().pending_changes.write_backlog() >= LEFT_OVER
 }
 
 /// Pages left for the next turn, on the mean, that tell of a shortage.
@@ -168,7 +169,10 @@
         let core = node.core();
         let replica = &core.replica;
         let few = replica.closed.len() + replica.orphans.len() < MOST_LEFT;
-        if few && (core.plans.unwritten() >= LEFT_OVER || node.state.write_headroom() < AT_EASE) {
+        if few
+            && (core.pending_changes.write_backlog() >= LEFT_OVER
+                || node.state.write_headroom() < AT_EASE)
+        {
             return;
         }
         tidying(replica, spare)
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -2,13 +2,13 @@
 
 mod ends;
 pub mod pages;
-pub mod plans;
+pub mod pending_changes;
 pub mod runtime_estimate;
 pub mod spec;
 mod task_id;
 pub mod writer;
 
-pub use pages::{Entry, Layout, Page, PageId};
+pub use pages::{PageId, PageLayout, ProgressPage, TaskRecord};
 pub use spec::{JobSpec, Shape, SpecError, Submission, Urgency, is_job_id};
 pub use task_id::{TaskId, TaskRef};
 
@@ -88,7 +88,7 @@
 /// cannot be read.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Stored {
+pub enum StoredJob {
     /// It waits for other jobs.
     Blocked {
         #[serde(rename = "held")]
@@ -99,18 +99,18 @@
     /// It ended, and is yet to be moved to its final key: where changes are short that waits.
     Finished {
         #[serde(rename = "over")]
-        outcome: Final,
+        outcome: TerminalState,
     },
 }
 
 /// What is kept of a job that this cell gave up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GivenUp {
+pub struct Relinquished {
     /// The epoch of the ledger's record at that time: a handover under it may have been sent.
     pub epoch: u64,
 }
 
-impl GivenUp {
+impl Relinquished {
     pub fn under(stamp: OwnershipVersion) -> Self {
         Self { epoch: stamp.epoch }
     }
@@ -119,7 +119,7 @@
 /// What is kept of a job for ever.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Final {
+pub enum TerminalState {
     Done,
     Cancelled,
 }
@@ -134,11 +134,11 @@
     Cancelled,
 }
 
-impl From<Final> for Stage {
-    fn from(last: Final) -> Self {
+impl From<TerminalState> for Stage {
+    fn from(last: TerminalState) -> Self {
         match last {
-            Final::Done => Stage::Done,
-            Final::Cancelled => Stage::Cancelled,
+            TerminalState::Done => Stage::Done,
+            TerminalState::Cancelled => Stage::Cancelled,
         }
     }
 }
--- a/src/jobs/pages.rs
+++ b/src/jobs/pages.rs
@@ -13,9 +13,11 @@
 /// How jobs are divided into pages: tasks on a page of either form, and what a page may take. Where
 /// both are as long, dense pages are not used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Layout {
-    pub wide: usize,
-    pub dense: usize,
+pub struct PageLayout {
+    #[serde(rename = "wide")]
+    pub plain_tasks: usize,
+    #[serde(rename = "dense")]
+    pub compact_tasks: usize,
     #[serde(skip)]
     pub value_bytes: usize,
 }
@@ -24,28 +26,28 @@
 /// without the dense page that overrules it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PageId {
-    Wide(usize),
-    Dense(usize),
+    Plain(usize),
+    Compact(usize),
 }
 
-impl Layout {
-    pub fn wide_of(&self, task: u32) -> PageId {
-        PageId::Wide(task as usize / self.wide)
+impl PageLayout {
+    pub fn plain_page_of(&self, task: u32) -> PageId {
+        PageId::Plain(task as usize / self.plain_tasks)
     }
 
-    pub fn dense_of(&self, task: u32) -> PageId {
-        PageId::Dense(task as usize / self.dense)
+    pub fn compact_page_of(&self, task: u32) -> PageId {
+        PageId::Compact(task as usize / self.compact_tasks)
     }
 
-    pub fn uses_dense(&self) -> bool {
-        self.dense < self.wide
+    pub fn uses_compact(&self) -> bool {
+        self.compact_tasks < self.plain_tasks
     }
 
     /// The first task on a page, and how many there are.
     pub fn span(&self, page: PageId) -> (u32, usize) {
         match page {
-            PageId::Wide(n) => ((n * self.wide) as u32, self.wide),
-            PageId::Dense(n) => ((n * self.dense) as u32, self.dense),
+            PageId::Plain(n) => ((n * self.plain_tasks) as u32, self.plain_tasks),
+            PageId::Compact(n) => ((n * self.compact_tasks) as u32, self.compact_tasks),
         }
     }
 
@@ -55,15 +57,15 @@
     }
 
     /// The wide pages that have tasks of a page.
-    pub fn wides_under(&self, page: PageId) -> std::ops::RangeInclusive<usize> {
+    pub fn plain_pages_under(&self, page: PageId) -> std::ops::RangeInclusive<usize> {
         let (first, count) = self.span(page);
-        first as usize / self.wide..=(first as usize + count - 1) / self.wide
+        first as usize / self.plain_tasks..=(first as usize + count - 1) / self.plain_tasks
     }
 }
 
 /// Where one task stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Entry {
+pub enum TaskRecord {
     /// Not on any machine. `last` is the highest attempt ever recorded for it; attempts are
     /// never used twice, since a worker that reaped one would run it again.
     Waiting {
@@ -78,35 +80,35 @@
     Done,
 }
 
-impl Default for Entry {
+impl Default for TaskRecord {
     fn default() -> Self {
-        Entry::NEVER_STARTED
+        TaskRecord::NEVER_STARTED
     }
 }
 
-impl Entry {
+impl TaskRecord {
     /// What holds for a task that no page tells of.
-    pub const NEVER_STARTED: Entry = Entry::Waiting { last: 0 };
+    pub const NEVER_STARTED: TaskRecord = TaskRecord::Waiting { last: 0 };
 
     pub fn last_attempt(&self) -> u64 {
         match self {
-            Entry::Waiting { last } => *last,
-            Entry::Placed { attempt, .. } => *attempt,
-            Entry::Done => 0,
+            TaskRecord::Waiting { last } => *last,
+            TaskRecord::Placed { attempt, .. } => *attempt,
+            TaskRecord::Done => 0,
         }
     }
 }
 
-impl Serialize for Entry {
+impl Serialize for TaskRecord {
     fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         match self {
-            Entry::Waiting { last } => last.serialize(to),
-            Entry::Placed {
+            TaskRecord::Waiting { last } => last.serialize(to),
+            TaskRecord::Placed {
                 attempt,
                 machine,
                 session,
             } => (attempt, machine, session).serialize(to),
-            Entry::Done => true.serialize(to),
+            TaskRecord::Done => true.serialize(to),
         }
     }
 }
@@ -115,26 +117,26 @@
 struct EntryReader;
 
 impl<'de> Visitor<'de> for EntryReader {
-    type Value = Entry;
+    type Value = TaskRecord;
 
     fn expecting(&self, to: &mut Formatter) -> std::fmt::Result {
         to.write_str("an attempt, `[attempt, machine, session]` or `true`")
     }
 
-    fn visit_u64<E: Error>(self, last: u64) -> Result<Entry, E> {
-        Ok(Entry::Waiting { last })
+    fn visit_u64<E: Error>(self, last: u64) -> Result<TaskRecord, E> {
+        Ok(TaskRecord::Waiting { last })
     }
 
-    fn visit_bool<E: Error>(self, done: bool) -> Result<Entry, E> {
+    fn visit_bool<E: Error>(self, done: bool) -> Result<TaskRecord, E> {
         match done {
-            true => Ok(Entry::Done),
+            true => Ok(TaskRecord::Done),
             false => Err(E::custom("a task is `true` when done")),
         }
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut parts: A) -> Result<Entry, A::Error> {
+    fn visit_seq<A: SeqAccess<'de>>(self, mut parts: A) -> Result<TaskRecord, A::Error> {
         let short = |at| A::Error::invalid_length(at, &"three parts");
-        Ok(Entry::Placed {
+        Ok(TaskRecord::Placed {
             attempt: parts.next_element()?.ok_or_else(|| short(0))?,
             machine: parts.next_element()?.ok_or_else(|| short(1))?,
             session: parts.next_element()?.ok_or_else(|| short(2))?,
@@ -142,7 +144,7 @@
     }
 }
 
-impl<'de> Deserialize<'de> for Entry {
+impl<'de> Deserialize<'de> for TaskRecord {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         from.deserialize_any(EntryReader)
     }
@@ -151,16 +153,16 @@
 /// One page: entries beyond its end are waiting and were never started.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Page(pub Vec<Entry>);
+pub struct ProgressPage(pub Vec<TaskRecord>);
 
-impl Page {
-    pub fn get(&self, slot: usize) -> &Entry {
-        self.0.get(slot).unwrap_or(&Entry::NEVER_STARTED)
+impl ProgressPage {
+    pub fn get(&self, slot: usize) -> &TaskRecord {
+        self.0.get(slot).unwrap_or(&TaskRecord::NEVER_STARTED)
     }
 
-    pub fn set(&mut self, slot: usize, entry: Entry) {
+    pub fn set(&mut self, slot: usize, entry: TaskRecord) {
         if self.0.len() <= slot {
-            self.0.resize(slot + 1, Entry::default());
+            self.0.resize(slot + 1, TaskRecord::default());
         }
         self.0[slot] = entry;
     }
@@ -180,8 +182,8 @@
 /// Places of machines in a number: more than a page has tasks.
 const PLACES: i64 = 1000;
 
-impl Page {
-    pub fn to_dense(&self) -> impl Serialize + use<> {
+impl ProgressPage {
+    pub fn to_compact(&self) -> impl Serialize + use<> {
         let mut dense = Dense {
             m: Vec::new(),
             s: Vec::new(),
@@ -190,10 +192,10 @@
         let mut at: std::collections::HashMap<(&str, u64), usize> = Default::default();
         for entry in &self.0 {
             dense.t.push(match entry {
-                Entry::Done => -1,
-                Entry::Waiting { last: 0 } => 0,
-                Entry::Waiting { last } => -1 - *last as i64,
-                Entry::Placed {
+                TaskRecord::Done => -1,
+                TaskRecord::Waiting { last: 0 } => 0,
+                TaskRecord::Waiting { last } => -1 - *last as i64,
+                TaskRecord::Placed {
                     attempt,
                     machine,
                     session,
@@ -215,19 +217,19 @@
 
     /// Reads the dense form; a number that names no machine is an error and never taken for a task
     /// that waits.
-    pub fn from_dense(data: &str) -> Result<Self, serde_json::Error> {
+    pub fn from_compact(data: &str) -> Result<Self, serde_json::Error> {
         let dense: Dense = serde_json::from_str(data)?;
         let entry = |number: i64| {
             Ok(match number {
-                0 => Entry::default(),
-                -1 => Entry::Done,
-                last if last < 0 => Entry::Waiting {
+                0 => TaskRecord::default(),
+                -1 => TaskRecord::Done,
+                last if last < 0 => TaskRecord::Waiting {
                     last: (-1 - last) as u64,
                 },
                 placed => {
                     let place = (placed % PLACES) as usize;
                     let machine = dense.m.get(place);
-                    Entry::Placed {
+                    TaskRecord::Placed {
                         attempt: (placed / PLACES) as u64,
                         machine: machine
                             .ok_or_else(|| serde_json::Error::custom("no such machine"))?
@@ -244,8 +246,8 @@
     /// What the page takes as a value.
     pub fn bytes(&self, id: PageId) -> usize {
         let text = match id {
-            PageId::Wide(_) => serde_json::to_vec(self),
-            PageId::Dense(_) => serde_json::to_vec(&self.to_dense()),
+            PageId::Plain(_) => serde_json::to_vec(self),
+            PageId::Compact(_) => serde_json::to_vec(&self.to_compact()),
         };
         text.map_or(usize::MAX, |t| t.len())
     }
@@ -256,8 +258,8 @@
     // Its number or `[attempt,"machine",session]`, and of a dense page the machine's name.
     machine.len()
         + match id {
-            PageId::Wide(_) => 28,
-            PageId::Dense(_) => 30,
+            PageId::Plain(_) => 28,
+            PageId::Compact(_) => 30,
         }
 }
 
--- a/src/jobs/pages/tests.rs
+++ b/src/jobs/pages/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 /// A layout without dense pages.
-pub fn wide(len: usize) -> Layout {
-    Layout {
-        wide: len,
-        dense: len,
+pub fn wide(len: usize) -> PageLayout {
+    PageLayout {
+        plain_tasks: len,
+        compact_tasks: len,
         value_bytes: 8192,
     }
 }
@@ -12,33 +12,33 @@
 /// The dense form, too; and one that names no machine is no page.
 #[test]
 fn a_dense_page_reads_back_as_written() {
-    let placed = |attempt, machine: &str, session| Entry::Placed {
+    let placed = |attempt, machine: &str, session| TaskRecord::Placed {
         attempt,
         machine: machine.into(),
         session,
     };
-    let page = Page(vec![
-        Entry::default(),
+    let page = ProgressPage(vec![
+        TaskRecord::default(),
         placed(3, "vm-000231", 1),
-        Entry::Done,
-        Entry::Waiting { last: 7 },
+        TaskRecord::Done,
+        TaskRecord::Waiting { last: 7 },
         placed(1, "vm-000017", 4),
         placed(12, "vm-000231", 1),
     ]);
-    let text = serde_json::to_string(&page.to_dense()).unwrap();
+    let text = serde_json::to_string(&page.to_compact()).unwrap();
     insta::assert_snapshot!(text, @r#"{"m":["vm-000231","vm-000017"],"s":[1,4],"t":[0,3000,-1,-8,1001,12000]}"#);
-    assert_eq!(Page::from_dense(&text).unwrap(), page);
-    assert!(Page::from_dense(r#"{"m":["vm-1"],"t":[1001]}"#).is_err());
-    assert!(Page::from_dense("[1,true]").is_err());
+    assert_eq!(ProgressPage::from_compact(&text).unwrap(), page);
+    assert!(ProgressPage::from_compact(r#"{"m":["vm-1"],"t":[1001]}"#).is_err());
+    assert!(ProgressPage::from_compact("[1,true]").is_err());
 }
 
 #[test]
 fn a_page_reads_back_as_written() {
-    let mut page = Page::default();
-    page.set(1, Entry::Done);
+    let mut page = ProgressPage::default();
+    page.set(1, TaskRecord::Done);
     page.set(
         3,
-        Entry::Placed {
+        TaskRecord::Placed {
             attempt: 2,
             machine: "vm-000231".into(),
             session: 1,
@@ -46,5 +46,5 @@
     );
     let text = serde_json::to_string(&page).unwrap();
     insta::assert_snapshot!(text, @r#"[0,true,0,[2,"vm-000231",1]]"#);
-    assert_eq!(serde_json::from_str::<Page>(&text).unwrap(), page);
+    assert_eq!(serde_json::from_str::<ProgressPage>(&text).unwrap(), page);
 }
--- /dev/null
+++ b/src/jobs/pending_changes.rs
@@ -0,0 +1,194 @@
+//! Changes to tasks that this controller has decided on and that are in no record yet: starts, exits
+//! and withdrawn starts. Holds them, and how long and in which order they wait; writes nothing itself.
+
+use super::{TaskId, TaskRecord};
+use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+use std::time::{Duration, Instant};
+
+/// Pending changes of one job: by task index, the task's state after the change.
+pub type JobChanges = BTreeMap<u32, TaskRecord>;
+
+/// Weight of the latest write in the smoothed write backlog.
+const BACKLOG_SMOOTHING: f64 = 0.2;
+
+/// All pending changes of this controller.
+#[derive(Debug, Default)]
+pub struct PendingChanges {
+    by_job: BTreeMap<String, JobChanges>,
+    /// Pending starts, by machine.
+    starts_by_machine: HashMap<String, BTreeSet<TaskId>>,
+    changed_jobs: HashSet<String>,
+    changed_machines: HashSet<String>,
+    /// Since when each job has had changes to write.
+    waiting_since: HashMap<String, Instant>,
+    /// Rank of each job's starts in the order of placement: where not all can be written, the first
+    /// ones are.
+    start_ranks: HashMap<String, usize>,
+    /// Pages that one write left for the next because the write quota was used up, smoothed.
+    write_backlog: f64,
+    /// Jobs whose page the state service refused as malformed, and until when it is not sent again.
+    refused_until: HashMap<String, Instant>,
+}
+
+impl PendingChanges {
+    /// The pending change of a task.
+    pub fn get(&self, job: &str, task: u32) -> Option<&TaskRecord> {
+        self.by_job.get(job)?.get(&task)
+    }
+
+    /// The pending changes of a job; nothing rather than an empty map.
+    pub fn of_job(&self, job: &str) -> Option<&JobChanges> {
+        self.by_job.get(job)
+    }
+
+    /// All jobs with pending changes, by id.
+    pub fn iter(&self) -> impl Iterator<Item = (&String, &JobChanges)> {
+        self.by_job.iter()
+    }
+
+    /// Pending starts on a machine.
+    pub fn starts_on(&self, machine: &str) -> impl Iterator<Item = &TaskId> {
+        self.starts_by_machine.get(machine).into_iter().flatten()
+    }
+
+    /// Adds a change, in place of an earlier one of the same task. `recorded` is the task's state in the
+    /// records.
+    pub fn record(&mut self, id: &TaskId, recorded: &TaskRecord, change: TaskRecord) {
+        self.mark_changed(id, recorded);
+        if let TaskRecord::Placed { machine, .. } = &change {
+            let starts = self.starts_by_machine.entry(machine.clone()).or_default();
+            starts.insert(id.clone());
+            self.changed_machines.insert(machine.clone());
+        }
+        let since = self.waiting_since.entry(id.job.clone());
+        since.or_insert_with(Instant::now);
+        let changes = self.by_job.entry(id.job.clone()).or_default();
+        let replaced = changes.insert(id.index, change.clone());
+        self.remove_replaced_start(id, replaced, Some(&change));
+    }
+
+    /// Drops a task's pending change: it was written, or no longer applies. `recorded` is the task's state
+    /// in the records.
+    pub fn discard(&mut self, id: &TaskId, recorded: &TaskRecord) {
+        self.mark_changed(id, recorded);
+        let Some(changes) = self.by_job.get_mut(&id.job) else {
+            return;
+        };
+        let discarded = changes.remove(&id.index);
+        if changes.is_empty() {
+            self.by_job.remove(&id.job);
+            self.waiting_since.remove(&id.job);
+            self.start_ranks.remove(&id.job);
+        }
+        self.remove_replaced_start(id, discarded, None);
+    }
+
+    /// Drops all pending changes of a job that has ended.
+    pub fn discard_job(&mut self, job: &str) {
+        let changes = self.of_job(job).into_iter().flatten();
+        let tasks: Vec<u32> = changes.map(|(task, _)| *task).collect();
+        for task in tasks {
+            self.discard(&TaskId::new(job, task), &TaskRecord::default());
+        }
+    }
+
+    fn mark_changed(&mut self, id: &TaskId, recorded: &TaskRecord) {
+        self.changed_jobs.insert(id.job.clone());
+        if let TaskRecord::Placed { machine, .. } = recorded {
+            self.changed_machines.insert(machine.clone());
+        }
+    }
+
+    /// Takes a start off its machine once no change of the task starts it there any more.
+    fn remove_replaced_start(
+        &mut self,
+        id: &TaskId,
+        replaced: Option<TaskRecord>,
+        change: Option<&TaskRecord>,
+    ) {
+        let Some(TaskRecord::Placed { machine, .. }) = replaced else {
+            return;
+        };
+        if matches!(change, Some(TaskRecord::Placed { machine: other, .. }) if *other == machine) {
+            return;
+        }
+        if let Some(starts) = self.starts_by_machine.get_mut(&machine) {
+            starts.remove(id);
+            if starts.is_empty() {
+                self.starts_by_machine.remove(&machine);
+            }
+        }
+        self.changed_machines.insert(machine);
+    }
+
+    /// How long a job's changes have waited to be written.
+    pub fn time_waited(&self, job: &str, now: Instant) -> Duration {
+        let since = self.waiting_since.get(job);
+        since.map_or(Duration::ZERO, |since| {
+            now.saturating_duration_since(*since)
+        })
+    }
+
+    /// Counts a job's waiting time from now, because some of its changes were written.
+    pub fn restart_wait(&mut self, job: &str) {
+        if let Some(since) = self.waiting_since.get_mut(job) {
+            *since = Instant::now();
+        }
+    }
+
+    /// Ranks the jobs' starts in the order given; a job that has a rank keeps it, so that one whose
+    /// starts are still waiting is not overtaken for ever.
+    pub fn rank_starts<'a>(&mut self, jobs: impl Iterator<Item = &'a str>) {
+        for (rank, job) in jobs.enumerate() {
+            self.start_ranks.entry(job.to_owned()).or_insert(rank);
+        }
+    }
+
+    /// Drops the rank of a job whose starts were written: the next ones are ranked with the others.
+    pub fn clear_start_rank(&mut self, job: &str) {
+        self.start_ranks.remove(job);
+    }
+
+    /// The rank of a job's starts; lower ones are written first, jobs without a rank last.
+    pub fn start_rank(&self, job: &str) -> usize {
+        self.start_ranks.get(job).copied().unwrap_or(usize::MAX)
+    }
+
+    /// Takes one write's number of deferred pages into the smoothed backlog.
+    pub fn record_deferred_pages(&mut self, pages: usize) {
+        let earlier = self.write_backlog * (1.0 - BACKLOG_SMOOTHING);
+        self.write_backlog = earlier + pages as f64 * BACKLOG_SMOOTHING;
+    }
+
+    /// Pages that a write leaves for the next one, smoothed, to a tenth of a page.
+    pub fn write_backlog(&self) -> f64 {
+        (self.write_backlog * 10.0).round() / 10.0
+    }
+
+    /// Writes nothing of a job before `until`.
+    pub fn hold_back_until(&mut self, job: &str, until: Instant) {
+        self.refused_until.insert(job.to_owned(), until);
+    }
+
+    /// Whether a job's changes may be written now.
+    pub fn is_writable(&self, job: &str, now: Instant) -> bool {
+        self.refused_until
+            .get(job)
+            .is_none_or(|until| *until <= now)
+    }
+
+    /// Adds a machine to those whose tasks have changed.
+    pub fn mark_machine_changed(&mut self, machine: &str) {
+        self.changed_machines.insert(machine.to_owned());
+    }
+
+    /// Jobs that have changed since the last call.
+    pub fn take_changed_jobs(&mut self) -> HashSet<String> {
+        std::mem::take(&mut self.changed_jobs)
+    }
+
+    /// Machines whose tasks have changed since the last call.
+    pub fn take_changed_machines(&mut self) -> HashSet<String> {
+        std::mem::take(&mut self.changed_machines)
+    }
+}
--- a/src/jobs/writer.rs
+++ b/src/jobs/writer.rs
@@ -5,8 +5,8 @@
 
 use super::ends::{end_jobs, tidy};
 use super::pages::entry_bytes;
-use super::plans::Changes;
-use super::{Entry, Page, PageId};
+use super::pending_changes::JobChanges;
+use super::{PageId, ProgressPage, TaskRecord};
 use crate::fleet::MachineState;
 use crate::limits::{self, QuotaCharge};
 use crate::membership::assignment::Member;
@@ -49,7 +49,7 @@
     job: String,
     number: PageId,
     op: Operation,
-    page: Page,
+    page: ProgressPage,
     guards: Vec<Precondition>,
     starts: bool,
     /// Exits on it have waited twice as long as they should.
@@ -110,7 +110,7 @@
         if room == 0 {
             let mut core = node.core();
             core.metrics.deferred_pages += dirty.len() as u64;
-            core.plans.note_unwritten(dirty.len());
+            core.pending_changes.record_deferred_pages(dirty.len());
             return fine;
         }
         let (mut guards, mut count, mut bytes) = (BTreeMap::new(), 0, 0);
@@ -157,8 +157,8 @@
                     for machine in &d.machines {
                         core.workers.call(machine);
                     }
-                    core.plans.recorded(&d.job);
-                    core.plans.unrank(&d.job);
+                    core.pending_changes.restart_wait(&d.job);
+                    core.pending_changes.clear_start_rank(&d.job);
                 }
             }
             Err(TransactionError::Conflict(failed)) => {
@@ -176,7 +176,7 @@
             Err(TransactionError::Malformed) => {
                 withdraw(&mut core, &batch, None);
                 let until = Instant::now() + REFUSED_FOR;
-                core.plans.leave_alone(&batch[0].job, until);
+                core.pending_changes.hold_back_until(&batch[0].job, until);
             }
             Err(error) => {
                 tracing::debug!(%error, "a record was not written");
@@ -191,7 +191,7 @@
             }
         }
     }
-    node.core().plans.note_unwritten(0);
+    node.core().pending_changes.record_deferred_pages(0);
     fine
 }
 
@@ -216,11 +216,11 @@
     now: Instant,
 ) -> Vec<Dirty> {
     let mut dirty = Vec::new();
-    for (id, changes) in core.plans.all() {
+    for (id, changes) in core.pending_changes.iter() {
         let Some(job) = core.replica.jobs.get(id) else {
             continue;
         };
-        if !core.plans.may_write(id, now) {
+        if !core.pending_changes.is_writable(id, now) {
             continue;
         }
         let (least, most) = match core.replica.owner_of(&job.record) == Some(me) {
@@ -229,9 +229,9 @@
             false => OTHERS_WAIT,
         };
         let wait = if at_ease { least } else { most };
-        let waited = core.plans.waited(id, now);
+        let waited = core.pending_changes.time_waited(id, now);
         let writes_exits = waited >= wait;
-        let mut pages: BTreeMap<PageId, Vec<(u32, &Entry)>> = BTreeMap::new();
+        let mut pages: BTreeMap<PageId, Vec<(u32, &TaskRecord)>> = BTreeMap::new();
         for (task, entry) in changes {
             let page = pages.entry(core.replica.page_of(*task)).or_default();
             page.push((*task, entry));
@@ -259,7 +259,7 @@
     // owners had to place again, or to release after them, waited for minutes.
     // Among starts, in the order in which they were planned.
     let rank = |d: &Dirty| match d.starts {
-        true => core.plans.rank_of(&d.job),
+        true => core.pending_changes.start_rank(&d.job),
         false => 0,
     };
     dirty.sort_by_key(|d| (!d.overdue, !d.starts, rank(d)));
@@ -267,9 +267,9 @@
 }
 
 /// Whether all that is to be recorded of a job are completions, and more than a few are to come.
-fn is_far_from_end(job: &Job, changes: &Changes) -> bool {
+fn is_far_from_end(job: &Job, changes: &JobChanges) -> bool {
     let done = f64::from(job.done) + changes.len() as f64;
-    let all_done = changes.values().all(|e| *e == Entry::Done);
+    let all_done = changes.values().all(|e| *e == TaskRecord::Done);
     all_done && !job.record.spec.is_gang() && done < f64::from(job.record.spec.tasks) * FAR_FROM_END
 }
 
@@ -280,14 +280,14 @@
     id: &str,
     job: &Job,
     number: PageId,
-    changes: &[(u32, &Entry)],
+    changes: &[(u32, &TaskRecord)],
 ) -> Option<Dirty> {
     let layout = &core.replica.layout;
     let old = job.pages.get(&number);
     let mut page = match (old, number) {
         (Some(old), _) => old.record.clone(),
-        (None, PageId::Wide(_)) => Page::default(),
-        (None, PageId::Dense(_)) => brought_over(core, job, number),
+        (None, PageId::Plain(_)) => ProgressPage::default(),
+        (None, PageId::Compact(_)) => brought_over(core, job, number),
     };
     let mut bytes = page.bytes(number);
     let mut whole = true;
@@ -310,7 +310,7 @@
             continue;
         }
         let mut needed = Vec::new();
-        if let Entry::Placed { machine, .. } = entry {
+        if let TaskRecord::Placed { machine, .. } = entry {
             let ours = core.replica.fleet.machines.get(machine);
             if ours.is_none_or(|m| m.owner != *me || m.state != MachineState::Active) {
                 continue; // it left our hands since this was planned
@@ -319,7 +319,7 @@
         }
         // What was seen of a task holds as long as its machine is ours: a next owner may have
         // started what we saw absent. A machine in no record is gone for good.
-        if let Entry::Placed { machine, .. } = &before {
+        if let TaskRecord::Placed { machine, .. } = &before {
             let theirs = core.replica.fleet.machines.get(machine);
             if theirs.is_some_and(|m| m.owner != *me) {
                 continue; // an absence that we saw is void once another may send `run`
@@ -331,7 +331,7 @@
             whole = false;
             continue; // more than a transaction can guard: the rest goes with the next
         }
-        if let Entry::Placed { machine, .. } = entry {
+        if let TaskRecord::Placed { machine, .. } = entry {
             bytes += entry_bytes(number, machine);
             if bytes > layout.value_bytes {
                 whole = false;
@@ -339,7 +339,7 @@
             }
         }
         rentals.extend(needed);
-        if let Entry::Placed { machine, .. } = entry {
+        if let TaskRecord::Placed { machine, .. } = entry {
             machines.insert(machine.clone());
             started += 1;
         }
@@ -374,8 +374,8 @@
     guards.extend(rentals);
     let key = page_key(id, number);
     let op = match number {
-        PageId::Wide(_) => Operation::put(key, &page),
-        PageId::Dense(_) => Operation::put(key, &page.to_dense()),
+        PageId::Plain(_) => Operation::put(key, &page),
+        PageId::Compact(_) => Operation::put(key, &page.to_compact()),
     };
     Some(Dirty {
         job: id.to_owned(),
@@ -393,17 +393,17 @@
 }
 
 /// A dense page begins with what the wide ones say of its tasks.
-fn brought_over(core: &Core, job: &Job, page: PageId) -> Page {
+fn brought_over(core: &Core, job: &Job, page: PageId) -> ProgressPage {
     let (first, count) = core.replica.layout.span(page);
     let tasks = first..first.saturating_add(count as u32);
     let tasks = tasks.take_while(|task| *task < job.record.spec.tasks);
-    let mut entries: Vec<Entry> = tasks
-        .map(|task| job.entry(&core.replica.layout, task).clone())
+    let mut entries: Vec<TaskRecord> = tasks
+        .map(|task| job.task_record(&core.replica.layout, task).clone())
         .collect();
-    while entries.last() == Some(&Entry::default()) {
+    while entries.last() == Some(&TaskRecord::default()) {
         entries.pop();
     }
-    Page(entries)
+    ProgressPage(entries)
 }
 
 /// What a page follows from beside its own revision. One that is brought over: the wide pages that it
@@ -412,15 +412,15 @@
 fn under(core: &Core, id: &str, job: &Job, page: PageId) -> Vec<Precondition> {
     let replica = &core.replica;
     match page {
-        PageId::Dense(_) if !job.pages.contains_key(&page) => {
-            let wides = replica.layout.wides_under(page).map(PageId::Wide);
+        PageId::Compact(_) if !job.pages.contains_key(&page) => {
+            let wides = replica.layout.plain_pages_under(page).map(PageId::Plain);
             let guard = |wide| Precondition {
                 key: page_key(id, wide),
                 revision: job.page_mark(wide),
             };
             wides.map(guard).collect()
         }
-        PageId::Wide(_) if replica.layout.uses_dense() => {
+        PageId::Plain(_) if replica.layout.uses_compact() => {
             let revision = replica.forms.as_ref().map_or(0, |f| f.revision);
             let key = FORMS_KEY.into();
             vec![Precondition { key, revision }]
--- a/src/jobs/writer/tests.rs
+++ b/src/jobs/writer/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::jobs::ends::tidying;
-use crate::jobs::{Final, Layout, TaskId};
+use crate::jobs::{PageLayout, TaskId, TerminalState};
 use rowanmill_state::KeyValue;
 use serde_json::{Value, json};
 use std::time::Instant;
@@ -46,7 +46,7 @@
 fn what_was_seen_under_an_earlier_ownership_is_not_recorded() {
     let (me, mut core) = core();
     core.note_ownership(&me, Instant::now());
-    core.plan(&TaskId::new("job-1", 0), Entry::Waiting { last: 1 });
+    core.record_change(&TaskId::new("job-1", 0), TaskRecord::Waiting { last: 1 });
     let ours = show(&core);
     put(&mut core, "r/m/r-1", rental("vm-1", "me", 2), 12);
     core.note_ownership(&me, Instant::now());
@@ -69,19 +69,19 @@
     core.note_ownership(&me, Instant::now());
     put(&mut core, "r/m/r-2", rental("vm-2", "me", 1), 9);
     core.note_ownership(&me, Instant::now());
-    core.plan(&TaskId::new("job-1", 0), Entry::Waiting { last: 1 });
-    let on_second = Entry::Placed {
+    core.record_change(&TaskId::new("job-1", 0), TaskRecord::Waiting { last: 1 });
+    let on_second = TaskRecord::Placed {
         attempt: 1,
         machine: "vm-2".into(),
         session: 1,
     };
-    core.plan(&TaskId::new("job-1", 1), on_second);
+    core.record_change(&TaskId::new("job-1", 1), on_second);
     let before = show(&core);
     put(&mut core, "r/m/r-1", rental("vm-1", "other", 2), 12);
     put(&mut core, "r/m/r-2", rental("vm-2", "other", 2), 13);
     let during = show(&core);
     core.note_ownership(&me, Instant::now());
-    let entry = core.entry("job-1", 1);
+    let entry = core.task_record("job-1", 1);
     insta::assert_snapshot!(
         format!("ours\n{before}lost within the turn\n{during}then the second is {entry:?}"),
         @r#"
@@ -104,15 +104,15 @@
     gang["spec"]["sacks"] = json!(20);
     put(&mut core, "r/j/job-2", gang, 9);
     core.note_ownership(&me, Instant::now());
-    let start = Entry::Placed {
+    let start = TaskRecord::Placed {
         attempt: 1,
         machine: "vm-1".into(),
         session: 1,
     };
     for task in 0..20 {
-        core.plan(&TaskId::new("job-2", task), start.clone());
+        core.record_change(&TaskId::new("job-2", task), start.clone());
     }
-    core.plan(&TaskId::new("job-1", 1), start);
+    core.record_change(&TaskId::new("job-1", 1), start);
     let dirty = make_up(&core, &me, 96, true, Instant::now());
     let mut units = Vec::new();
     let mut rest = &dirty[..];
@@ -158,13 +158,13 @@
         });
         trace.push_str(&format!("{what}: {}\n", waits.join(", ")));
     };
-    core.plan(&TaskId::new("job-2", 0), Entry::Done);
+    core.record_change(&TaskId::new("job-2", 0), TaskRecord::Done);
     say(&core, "one of five done");
-    core.plan(&TaskId::new("job-2", 1), Entry::Waiting { last: 1 });
+    core.record_change(&TaskId::new("job-2", 1), TaskRecord::Waiting { last: 1 });
     say(&core, "one to be placed again");
-    core.unplan(&TaskId::new("job-2", 1));
+    core.discard_change(&TaskId::new("job-2", 1));
     for task in 1..4 {
-        core.plan(&TaskId::new("job-2", task), Entry::Done);
+        core.record_change(&TaskId::new("job-2", task), TaskRecord::Done);
     }
     say(&core, "four of five done");
     insta::assert_snapshot!(trace, @r#"
@@ -179,9 +179,9 @@
 /// the guards allow, and the rest is planned on.
 #[test]
 fn pages_fit_the_lower_limits_by_construction() {
-    let layout = Layout {
-        wide: 170,
-        dense: 128,
+    let layout = PageLayout {
+        plain_tasks: 170,
+        compact_tasks: 128,
         value_bytes: 2048,
     };
     let mut core = Core::new(layout, Instant::now());
@@ -214,12 +214,12 @@
     for (id, tasks) in [("job-1", 16), ("job-2", 300)] {
         for task in 0..tasks {
             let machine = format!("vm-with-a-longer-name-{id}-{task:06}");
-            let entry = Entry::Placed {
+            let entry = TaskRecord::Placed {
                 attempt: 4,
                 machine,
                 session: 1,
             };
-            core.plan(&TaskId::new(id, task), entry);
+            core.record_change(&TaskId::new(id, task), entry);
         }
     }
     let dirty = make_up(&core, &me, 32, true, Instant::now());
@@ -268,7 +268,7 @@
     put(&mut core, "r/j/job-2", waits, 9);
     put(&mut core, "r/j/job-1", json!({"over": "done"}), 12);
     let replica = &core.replica;
-    assert_eq!(replica.ended("job-1"), Some(Final::Done));
+    assert_eq!(replica.ended("job-1"), Some(TerminalState::Done));
     assert!(replica.on.is_empty() && replica.knows("job-1"));
     assert_eq!(replica.pipelines.ready().count(), 1);
     let mut trace = String::new();
@@ -304,21 +304,24 @@
 fn a_start_planned_on_a_machine_that_goes_back_is_planned_anew() {
     let (me, mut core) = core();
     core.note_ownership(&me, Instant::now());
-    let start = Entry::Placed {
+    let start = TaskRecord::Placed {
         attempt: 1,
         machine: "vm-1".into(),
         session: 1,
     };
-    core.plan(&TaskId::new("job-1", 1), start);
+    core.record_change(&TaskId::new("job-1", 1), start);
     withdraw_unstartable(&mut core, &me);
-    assert_eq!(core.plans.on("vm-1").count(), 1);
+    assert_eq!(core.pending_changes.starts_on("vm-1").count(), 1);
     let mut returning = rental("vm-1", "me", 1);
     returning["machines"][0][3] = json!(1);
     put(&mut core, "r/m/r-1", returning, 12);
     core.note_ownership(&me, Instant::now());
     withdraw_unstartable(&mut core, &me);
-    assert_eq!(core.plans.on("vm-1").count(), 0);
-    assert_eq!(*core.entry("job-1", 1), Entry::Waiting { last: 0 });
+    assert_eq!(core.pending_changes.starts_on("vm-1").count(), 0);
+    assert_eq!(
+        *core.task_record("job-1", 1),
+        TaskRecord::Waiting { last: 0 }
+    );
 }
 
 /// Aim `deadline dawn-dispatch-push`, .33 on `troubles` after the limits fell: one node's starts took
@@ -331,13 +334,13 @@
     put(&mut core, "r/j/job-2", other, 9);
     put(&mut core, "r/p/job-2/0", json!([[1, "vm-1", 1]]), 10);
     core.note_ownership(&me, Instant::now());
-    let start = Entry::Placed {
+    let start = TaskRecord::Placed {
         attempt: 1,
         machine: "vm-1".into(),
         session: 1,
     };
-    core.plan(&TaskId::new("job-1", 1), start);
-    core.plan(&TaskId::new("job-2", 0), Entry::Waiting { last: 1 });
+    core.record_change(&TaskId::new("job-1", 1), start);
+    core.record_change(&TaskId::new("job-2", 0), TaskRecord::Waiting { last: 1 });
     let order = |s| {
         let dirty = make_up(
             &core,
@@ -368,12 +371,12 @@
     put(&mut core, "r/m/r-2", rental("vm-2", "me", 1), 10);
     core.note_ownership(&me, Instant::now());
     for (task, machine) in [(0, "vm-1"), (1, "vm-2")] {
-        let entry = Entry::Placed {
+        let entry = TaskRecord::Placed {
             attempt: 1,
             machine: machine.into(),
             session: 1,
         };
-        core.plan(&TaskId::new("job-2", task), entry);
+        core.record_change(&TaskId::new("job-2", task), entry);
     }
     withdraw_broken_gangs(&mut core);
     let whole = show(&core);
@@ -442,7 +445,7 @@
 fn an_exit_does_not_undo_a_later_start() {
     let (me, mut core) = core();
     core.note_ownership(&me, Instant::now());
-    core.plan(&TaskId::new("job-1", 0), Entry::Waiting { last: 1 });
+    core.record_change(&TaskId::new("job-1", 0), TaskRecord::Waiting { last: 1 });
     put(&mut core, "r/m/r-2", rental("vm-2", "other", 1), 12);
     let page = json!([[2, "vm-2", 1]]);
     put(&mut core, "r/p/job-1/0", page, 13);
@@ -483,12 +486,12 @@
     core.note_ownership(&me, Instant::now());
     for task in 0..100_000 {
         let machine = format!("vm-with-a-longer-name-{:06}", task % 1000);
-        let entry = Entry::Placed {
+        let entry = TaskRecord::Placed {
             attempt: 3,
             machine,
             session: 2,
         };
-        core.plan(&TaskId::new("job-1", task), entry);
+        core.record_change(&TaskId::new("job-1", task), entry);
     }
     let dirty = make_up(&core, &me, 96, true, Instant::now());
     let largest = dirty.iter().map(|d| match &d.op {
--- a/src/jobs/writer/withdrawal.rs
+++ b/src/jobs/writer/withdrawal.rs
@@ -2,7 +2,7 @@
 
 use super::Dirty;
 use crate::fleet::MachineState;
-use crate::jobs::{Entry, TaskId};
+use crate::jobs::{TaskId, TaskRecord};
 use crate::membership::assignment::Member;
 use crate::node::Core;
 
@@ -16,36 +16,38 @@
         machine.is_some_and(|m| m.owner == *me && m.state == MachineState::Active)
     };
     let changes = core
-        .plans
-        .all()
+        .pending_changes
+        .iter()
         .flat_map(|(id, changes)| changes.iter().map(move |(task, entry)| (id, *task, entry)));
     let lost: Vec<_> = changes
-        .filter(|(_, _, entry)| matches!(entry, Entry::Placed { machine, .. } if !takes(machine)))
+        .filter(
+            |(_, _, entry)| matches!(entry, TaskRecord::Placed { machine, .. } if !takes(machine)),
+        )
         .map(|(id, task, _)| TaskId::new(id, task))
         .collect();
     for id in lost {
-        core.unplan(&id);
+        core.discard_change(&id);
     }
 }
 
 /// A gang whose planned start lost a machine before it was written is planned anew as a whole: the
 /// rest would gather, wait for the missing task and fail.
 pub(super) fn withdraw_broken_gangs(core: &mut Core) {
-    let is_placed = |e: &Entry| matches!(e, Entry::Placed { .. });
+    let is_placed = |e: &TaskRecord| matches!(e, TaskRecord::Placed { .. });
     let mut broken = Vec::new();
-    for (id, changes) in core.plans.all() {
+    for (id, changes) in core.pending_changes.iter() {
         let job = core.replica.jobs.get(id).map(|j| &j.record.spec);
         let Some(spec) = job.filter(|s| s.is_gang()) else {
             continue;
         };
         let starts = changes.iter().filter(|(_, e)| is_placed(e));
         let starts: Vec<u32> = starts.map(|(task, _)| *task).collect();
-        if !starts.is_empty() && !(0..spec.tasks).all(|t| is_placed(core.entry(id, t))) {
+        if !starts.is_empty() && !(0..spec.tasks).all(|t| is_placed(core.task_record(id, t))) {
             broken.extend(starts.into_iter().map(|task| TaskId::new(id, task)));
         }
     }
     for id in broken {
-        core.unplan(&id);
+        core.discard_change(&id);
     }
 }
 
@@ -58,28 +60,29 @@
         if !concerned {
             continue;
         }
-        let planned = core.plans.of(&d.job).into_iter().flatten();
+        let planned = core.pending_changes.of_job(&d.job).into_iter().flatten();
         let starts: Vec<u32> = planned
             .filter(|(task, entry)| {
-                core.replica.page_of(**task) == d.number && matches!(entry, Entry::Placed { .. })
+                core.replica.page_of(**task) == d.number
+                    && matches!(entry, TaskRecord::Placed { .. })
             })
             .map(|(task, _)| *task)
             .collect();
         for task in starts {
-            core.unplan(&TaskId::new(&d.job, task));
+            core.discard_change(&TaskId::new(&d.job, task));
         }
     }
 }
 
 /// Whether a planned change still follows from what the records hold.
-pub(super) fn applies(held: &Entry, planned: &Entry) -> bool {
+pub(super) fn applies(held: &TaskRecord, planned: &TaskRecord) -> bool {
     match (held, planned) {
         (held, planned) if held == planned => false,
-        (Entry::Done, _) => false,
-        (_, Entry::Done) => true,
-        (Entry::Placed { attempt, .. }, Entry::Waiting { last }) => attempt == last,
-        (Entry::Waiting { .. }, Entry::Waiting { .. }) => false,
-        (held, Entry::Placed { attempt, .. }) => held.last_attempt() < *attempt,
+        (TaskRecord::Done, _) => false,
+        (_, TaskRecord::Done) => true,
+        (TaskRecord::Placed { attempt, .. }, TaskRecord::Waiting { last }) => attempt == last,
+        (TaskRecord::Waiting { .. }, TaskRecord::Waiting { .. }) => false,
+        (held, TaskRecord::Placed { attempt, .. }) => held.last_attempt() < *attempt,
     }
 }
 
@@ -90,19 +93,19 @@
         let entry = replica
             .jobs
             .contains_key(&id.job)
-            .then(|| replica.entry(&id.job, id.index));
-        matches!(entry, Some(Entry::Placed { attempt: held, .. }) if held == attempt)
+            .then(|| replica.task_record(&id.job, id.index));
+        matches!(entry, Some(TaskRecord::Placed { attempt: held, .. }) if held == attempt)
     });
     let mut over = Vec::new();
-    for (id, changes) in core.plans.all() {
+    for (id, changes) in core.pending_changes.iter() {
         let known = core.replica.jobs.contains_key(id);
         for (task, entry) in changes {
-            if !known || !applies(core.replica.entry(id, *task), entry) {
+            if !known || !applies(core.replica.task_record(id, *task), entry) {
                 over.push(TaskId::new(id, *task));
             }
         }
     }
     for id in over {
-        core.unplan(&id);
+        core.discard_change(&id);
     }
 }
--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::jobs::pages::tests::wide;
-use crate::jobs::{Entry, TaskId};
+use crate::jobs::{TaskId, TaskRecord};
 use rowanmill_limits::ResourceAmount;
 use serde_json::{Value, json};
 use std::time::Instant;
@@ -38,16 +38,19 @@
 }
 
 fn plan_start(core: &mut Core, id: &str, task: u32) {
-    let entry = Entry::Placed {
+    let entry = TaskRecord::Placed {
         attempt: 1,
         machine: "vm-1".into(),
         session: 1,
     };
-    core.plan(&TaskId::new(id, task), entry);
+    core.record_change(&TaskId::new(id, task), entry);
 }
 
 fn planned(core: &Core) -> usize {
-    core.plans.all().map(|(_, changes)| changes.len()).sum()
+    core.pending_changes
+        .iter()
+        .map(|(_, changes)| changes.len())
+        .sum()
 }
 
 /// The record may have changed since starts were planned: those that it no longer covers are withdrawn, gangs
@@ -59,7 +62,8 @@
     job(&mut core, "job-2", "group", 3);
     (0..4).for_each(|task| plan_start(&mut core, "job-1", task));
     (0..3).for_each(|task| plan_start(&mut core, "job-2", task));
-    core.plans.rank(["job-1", "job-2"].into_iter());
+    core.pending_changes
+        .rank_starts(["job-1", "job-2"].into_iter());
     withdraw_uncovered_starts(&mut core);
     assert_eq!(planned(&core), 4, "the gang does not fit beside the array");
     let charge = core.limits.charge_for(&core, "job-1", 4).unwrap();
@@ -143,13 +147,13 @@
         core.limits.divided_team(core, "t").unwrap().headroom().cpus
     };
     assert_eq!(headroom_cpus(&mut core), 0.0);
-    core.plan(&TaskId::new("job-1", 0), Entry::Waiting { last: 1 });
+    core.record_change(&TaskId::new("job-1", 0), TaskRecord::Waiting { last: 1 });
     assert_eq!(
         headroom_cpus(&mut core),
         0.0,
         "an absence that is not recorded may become void"
     );
-    core.plan(&TaskId::new("job-1", 1), Entry::Done);
+    core.record_change(&TaskId::new("job-1", 1), TaskRecord::Done);
     assert_eq!(headroom_cpus(&mut core), 1.0);
 }
 
--- a/src/limits/usage.rs
+++ b/src/limits/usage.rs
@@ -1,7 +1,7 @@
 //! What the jobs of divided teams use and wait for, counted from the replica and from what this controller
 //! plans.
 
-use crate::jobs::{Entry, JobSpec};
+use crate::jobs::{JobSpec, TaskRecord};
 use crate::node::{Core, age_s, wall_ms};
 use crate::state::replica::Job;
 use rowanmill_limits::{MemberDemand, ResourceAmount, TeamLimit, WaitingUnit};
@@ -140,13 +140,18 @@
     fn add_planned(&mut self, core: &Core, counted: &CountedJob) {
         let mut held = counted.job.placed;
         let mut planned = 0;
-        for (task, entry) in core.plans.of(counted.id).into_iter().flatten() {
-            let recorded = core.replica.entry(counted.id, *task);
-            let is_placed = matches!(recorded, Entry::Placed { .. });
+        for (task, entry) in core
+            .pending_changes
+            .of_job(counted.id)
+            .into_iter()
+            .flatten()
+        {
+            let recorded = core.replica.task_record(counted.id, *task);
+            let is_placed = matches!(recorded, TaskRecord::Placed { .. });
             match entry {
-                Entry::Placed { .. } => planned += u32::from(!is_placed),
-                Entry::Done => held -= u32::from(is_placed),
-                Entry::Waiting { .. } => {}
+                TaskRecord::Placed { .. } => planned += u32::from(!is_placed),
+                TaskRecord::Done => held -= u32::from(is_placed),
+                TaskRecord::Waiting { .. } => {}
             }
         }
         self.held = self.held.saturating_add(counted.amount(held));
--- a/src/limits/withdrawal.rs
+++ b/src/limits/withdrawal.rs
@@ -1,7 +1,7 @@
 //! Withdraws planned starts that this controller's allocations do not cover.
 
 use super::{DividedTeam, refresh_usage};
-use crate::jobs::{Entry, TaskId};
+use crate::jobs::{TaskId, TaskRecord};
 use crate::node::Core;
 use std::collections::HashMap;
 
@@ -20,7 +20,7 @@
         return;
     }
     for task in uncovered {
-        core.unplan(&task);
+        core.discard_change(&task);
     }
     refresh_usage(core);
 }
@@ -60,9 +60,9 @@
         job.is_some_and(|job| job.record.spec.team == team)
     };
     let mut starts: HashMap<&String, Vec<u32>> = HashMap::new();
-    for (job, changes) in core.plans.all().filter(|(job, _)| of_team(job)) {
+    for (job, changes) in core.pending_changes.iter().filter(|(job, _)| of_team(job)) {
         for (task, entry) in changes {
-            if matches!(entry, Entry::Placed { .. }) {
+            if matches!(entry, TaskRecord::Placed { .. }) {
                 starts.entry(job).or_default().push(*task);
             }
         }
@@ -71,6 +71,6 @@
         .into_iter()
         .map(|(job, tasks)| PlannedStarts { job, tasks })
         .collect();
-    starts.sort_by_key(|starts| core.plans.rank_of(starts.job));
+    starts.sort_by_key(|starts| core.pending_changes.start_rank(starts.job));
     starts
 }
--- a/src/membership/schema_versions.rs
+++ b/src/membership/schema_versions.rs
@@ -3,7 +3,7 @@
 //! its presence what it can do, and new forms begin when every configured node has been seen to; from
 //! then on they stay, by a record that nothing removes.
 
-use crate::jobs::Layout;
+use crate::jobs::PageLayout;
 use crate::node::Node;
 use crate::state::Replica;
 use crate::state::{FORMS_KEY, Operation, Precondition, presence_key};
@@ -22,7 +22,7 @@
     /// How jobs are divided into pages, from the beginning on: it must not change with the settings
     /// while there are pages.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub layout: Option<Layout>,
+    pub layout: Option<PageLayout>,
 }
 
 impl SchemaVersions {
@@ -34,7 +34,7 @@
 /// The record as it should be, if that is not what is there. A node that is absent counts as last
 /// seen: one of this version is not put back to the one before once the new forms have begun, and
 /// before that its presence tells.
-pub fn wanted(members: &[&str], layout: &Layout, replica: &Replica) -> Option<SchemaVersions> {
+pub fn wanted(members: &[&str], layout: &PageLayout, replica: &Replica) -> Option<SchemaVersions> {
     let before = replica.forms.as_ref().map(|f| &f.record);
     if before.is_some_and(SchemaVersions::begun) {
         return None;
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -4,7 +4,7 @@
 pub mod memory;
 pub mod processor_time;
 
-use crate::jobs::Entry;
+use crate::jobs::TaskRecord;
 use crate::limits;
 use crate::node::{Core, Node};
 use crate::state::replica::Job;
@@ -204,10 +204,10 @@
 }
 
 fn log_unfinished_job(core: &Core, id: &str, job: &Job) {
-    let planned = core.plans.of(id);
+    let planned = core.pending_changes.of_job(id);
     let first = planned.and_then(|changes| changes.iter().next());
-    let placed = (0..job.record.spec.tasks).find_map(|task| match core.entry(id, task) {
-        Entry::Placed { machine, .. } => Some((task, machine)),
+    let placed = (0..job.record.spec.tasks).find_map(|task| match core.task_record(id, task) {
+        TaskRecord::Placed { machine, .. } => Some((task, machine)),
         _ => None,
     });
     let machine = placed.as_ref().map(|(_, name)| name.as_str());
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,9 +1,9 @@
 //! One controller node: what its slices share, behind one short lock, and how they are started.
 
 use crate::cloud::{CloudClient, MachineType};
-use crate::jobs::plans::Plans;
+use crate::jobs::pending_changes::PendingChanges;
 use crate::jobs::runtime_estimate::{Failures, RuntimeEstimate};
-use crate::jobs::{Entry, JobSpec, Layout, TaskId};
+use crate::jobs::{JobSpec, PageLayout, TaskId, TaskRecord};
 use crate::limits::TeamQuotas;
 use crate::membership::Standing;
 use crate::membership::assignment::Member;
@@ -34,7 +34,7 @@
     pub contact_since: Option<Instant>,
     pub loaded: bool,
     pub standing: Standing,
-    pub plans: Plans,
+    pub pending_changes: PendingChanges,
     pub limits: TeamQuotas,
     pub workers: Workers,
     pub runtime_estimates: HashMap<String, RuntimeEstimate>,
@@ -218,14 +218,14 @@
 }
 
 impl Core {
-    pub fn new(layout: Layout, now: Instant) -> Self {
+    pub fn new(layout: PageLayout, now: Instant) -> Self {
         Self {
             replica: Replica::new(layout),
             proof: None,
             contact_since: None,
             loaded: false,
             standing: Standing::default(),
-            plans: Plans::default(),
+            pending_changes: PendingChanges::default(),
             limits: TeamQuotas::default(),
             workers: Workers::default(),
             runtime_estimates: HashMap::new(),
@@ -238,21 +238,21 @@
     }
 
     /// Where a task stands, with what is about to be recorded.
-    pub fn entry(&self, job: &str, task: u32) -> &Entry {
-        match self.plans.get(job, task) {
+    pub fn task_record(&self, job: &str, task: u32) -> &TaskRecord {
+        match self.pending_changes.get(job, task) {
             Some(planned) => planned,
-            None => self.replica.entry(job, task),
+            None => self.replica.task_record(job, task),
         }
     }
 
-    pub fn plan(&mut self, id: &TaskId, entry: Entry) {
-        let held = self.replica.entry(&id.job, id.index);
-        self.plans.insert(id, held, entry);
+    pub fn record_change(&mut self, id: &TaskId, entry: TaskRecord) {
+        let held = self.replica.task_record(&id.job, id.index);
+        self.pending_changes.record(id, held, entry);
     }
 
-    pub fn unplan(&mut self, id: &TaskId) {
-        let held = self.replica.entry(&id.job, id.index);
-        self.plans.remove(id, held);
+    pub fn discard_change(&mut self, id: &TaskId) {
+        let held = self.replica.task_record(&id.job, id.index);
+        self.pending_changes.discard(id, held);
     }
 
     pub fn kind(&self, name: &str) -> Option<&MachineType> {
@@ -322,7 +322,7 @@
     /// A new token of an owned machine means that it was another's in between, who acted on it:
     /// what was seen before is void, and what is true of it will be reported again.
     pub fn note_owner(&mut self, me: &Member, name: &str, now: Instant) {
-        self.plans.touch_machine(name);
+        self.pending_changes.mark_machine_changed(name);
         let machine = self.replica.fleet.machines.get(name);
         let token = machine.filter(|m| m.owner == *me).map(|m| m.fencing_token);
         let known = self.workers.owned.get(name).map(|(_, known)| *known);
@@ -348,9 +348,9 @@
         let on = self.replica.on.get(name).cloned().unwrap_or_default();
         // Starts planned there and not written yet, too: nobody else would ever take them back, and
         // their tasks would count as placed for ever.
-        let planned: Vec<TaskId> = self.plans.on(name).cloned().collect();
+        let planned: Vec<TaskId> = self.pending_changes.starts_on(name).cloned().collect();
         for id in on.into_iter().chain(planned) {
-            self.unplan(&id);
+            self.discard_change(&id);
         }
     }
 }
--- a/src/pipelines/mod.rs
+++ b/src/pipelines/mod.rs
@@ -6,7 +6,7 @@
 pub mod paths;
 pub mod service;
 
-use crate::jobs::{Final, JobRecord};
+use crate::jobs::{JobRecord, TerminalState};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
 /// A job that waits for others.
@@ -127,10 +127,10 @@
     }
 
     /// A job ended, or was cancelled: those that need it learn of it.
-    pub fn over(&mut self, id: &str, last: Final) {
+    pub fn over(&mut self, id: &str, last: TerminalState) {
         match last {
-            Final::Cancelled => self.doom_after(id),
-            Final::Done => {
+            TerminalState::Cancelled => self.doom_after(id),
+            TerminalState::Done => {
                 for waiting in self.dependents.get(id).into_iter().flatten() {
                     let Some(held) = self.held.get_mut(waiting) else {
                         continue;
--- a/src/pipelines/service.rs
+++ b/src/pipelines/service.rs
@@ -1,7 +1,7 @@
 //! Releases jobs once all that they need is durably done, and ends those that were cancelled with
 //! what they need.
 
-use crate::jobs::{Final, Stored};
+use crate::jobs::{StoredJob, TerminalState};
 use crate::membership;
 use crate::node::{Core, Node, wall_ms};
 use crate::state::{Operation, Precondition, final_key, job_key};
@@ -17,8 +17,8 @@
 }
 
 /// The record of one that was cancelled while it waited: nothing of it ran.
-pub const CANCELLED: Stored = Stored::Finished {
-    outcome: Final::Cancelled,
+pub const CANCELLED: StoredJob = StoredJob::Finished {
+    outcome: TerminalState::Cancelled,
 };
 
 /// Those that this node sees to: its own, and after it ended a job any that are ready, so that the
@@ -49,7 +49,7 @@
         record.placer = membership::choose_placer(node, core, &record);
         steps.push(Step {
             guard: guard(&id, revision),
-            op: Operation::put(job_key(&id), &Stored::Open(record)),
+            op: Operation::put(job_key(&id), &StoredJob::Open(record)),
         });
     }
     for (id, revision) in doomed {
@@ -102,7 +102,7 @@
         let Ok(Some(value)) = node.state.get(&final_key(&id)).await else {
             return false;
         };
-        let Ok(last) = serde_json::from_value::<Final>(value) else {
+        let Ok(last) = serde_json::from_value::<TerminalState>(value) else {
             return false;
         };
         node.core().replica.remember_ended(&id, last);
--- a/src/pipelines/tests.rs
+++ b/src/pipelines/tests.rs
@@ -134,7 +134,7 @@
     held(&mut replica, "job-3", &["job-2"], None, 13);
     assert_eq!(replica.unknown_before("job-3"), ["job-1"]);
     assert_eq!(replica.pipelines.ready().count(), 0);
-    replica.remember_ended("job-1", crate::jobs::Final::Done);
+    replica.remember_ended("job-1", crate::jobs::TerminalState::Done);
     assert!(replica.unknown_before("job-3").is_empty());
     insta::assert_snapshot!(show(&replica), @r#"open [] waiting [job-2 job-3] ready [job-2] cancelled []"#);
 }
--- a/src/placement/service.rs
+++ b/src/placement/service.rs
@@ -1,7 +1,7 @@
 //! The placing loop: plans starts, and has them recorded before anything acts on them.
 
 use super::{packing, preemption, snapshot, snapshot_cache};
-use crate::jobs::{Entry, JobSpec, TaskId, Urgency, writer};
+use crate::jobs::{JobSpec, TaskId, TaskRecord, Urgency, writer};
 use crate::limits;
 use crate::membership;
 use crate::metrics::{self, CpuAccount, Metrics};
@@ -67,7 +67,7 @@
     metrics.longest_cycle = metrics.longest_cycle.max(worked);
 }
 
-/// Plans what is to be recorded next: starts, stops, and what became of tasks on machines that are gone.
+/// PendingChanges what is to be recorded next: starts, stops, and what became of tasks on machines that are gone.
 /// False as long as the kinds of machine are not known.
 fn plan_changes(node: &Node, now: Instant) -> bool {
     let now_ms = wall_ms();
@@ -108,7 +108,7 @@
     Some(snapshot::build(node, core, now, now_ms))
 }
 
-/// Plans starts of what can start now, and makes room for what cannot.
+/// PendingChanges starts of what can start now, and makes room for what cannot.
 fn plan_starts(node: &Node, core: &mut Core, views: &mut snapshot::ClusterSnapshot, now: Instant) {
     let placing = {
         let _charge = node.processor_time.charge(CpuAccount::Placement);
@@ -205,15 +205,15 @@
 }
 
 fn stop(core: &mut Core, id: TaskId, attempt: u64, grace: f64) {
-    if let Entry::Placed { machine, .. } = core.entry(&id.job, id.index) {
+    if let TaskRecord::Placed { machine, .. } = core.task_record(&id.job, id.index) {
         let machine = machine.clone();
-        core.plans.touch_machine(&machine);
+        core.pending_changes.mark_machine_changed(&machine);
     }
-    let reserved = core.replica.entry(&id.job, id.index);
-    if !matches!(reserved, Entry::Placed { attempt: reserved, .. } if *reserved == attempt) {
+    let reserved = core.replica.task_record(&id.job, id.index);
+    if !matches!(reserved, TaskRecord::Placed { attempt: reserved, .. } if *reserved == attempt) {
         // Planned and in no record, nor on its way into one while a turn is being planned: it has
         // not begun and will not, so its room is free at once.
-        core.unplan(&id);
+        core.discard_change(&id);
         return;
     }
     core.workers.stops.entry((id, attempt)).or_insert(grace);
@@ -236,7 +236,7 @@
             continue;
         };
         for task in 0..job.record.spec.tasks {
-            if let Entry::Placed { attempt, .. } = core.entry(id, task) {
+            if let TaskRecord::Placed { attempt, .. } = core.task_record(id, task) {
                 stops.push((TaskId::new(id, task), *attempt));
             }
         }
@@ -274,7 +274,7 @@
             let grace = if saves { left.max(spec.save_s) } else { 0.0 };
             for task in mates(spec, id.index) {
                 let mate = TaskId::new(&id.job, task);
-                if let Entry::Placed { attempt, .. } = core.entry(&mate.job, task) {
+                if let TaskRecord::Placed { attempt, .. } = core.task_record(&mate.job, task) {
                     stops.push(((mate, *attempt), grace));
                 }
             }
@@ -306,13 +306,13 @@
         .filter(|task| core.owns_job(&node.me, &task.job))
         .collect();
     for id in gone {
-        if let Entry::Placed {
+        if let TaskRecord::Placed {
             attempt, machine, ..
-        } = core.entry(&id.job, id.index)
+        } = core.task_record(&id.job, id.index)
             && !core.replica.fleet.machines.contains_key(machine)
         {
             let last = *attempt;
-            core.plan(&id, Entry::Waiting { last });
+            core.record_change(&id, TaskRecord::Waiting { last });
         }
     }
 }
@@ -329,13 +329,13 @@
         }
         if job.gang && !gang_attempts.contains_key(&start.job) {
             let last = job.waiting.iter();
-            let last = last.map(|t| core.entry(&job.id, *t).last_attempt());
+            let last = last.map(|t| core.task_record(&job.id, *t).last_attempt());
             let last = last.max().unwrap_or(0).max(attempts_above(core, &job.id));
             gang_attempts.insert(start.job, last + 1);
         }
     }
-    core.plans
-        .rank(starts.iter().map(|s| views.jobs[s.job].id.as_str()));
+    core.pending_changes
+        .rank_starts(starts.iter().map(|s| views.jobs[s.job].id.as_str()));
     for start in starts {
         let job = &views.jobs[start.job];
         if refused.contains(&start.job) {
@@ -346,7 +346,7 @@
         let attempt = match gang_attempts.get(&start.job) {
             Some(attempt) => *attempt,
             None => {
-                let last = core.entry(&id.job, id.index).last_attempt();
+                let last = core.task_record(&id.job, id.index).last_attempt();
                 last.max(attempts_above(core, &id.job)) + 1
             }
         };
@@ -361,9 +361,9 @@
         let cache_gb = core.kinds.iter().find(|k| k.name == live.report.kind);
         let cache_gb = cache_gb.map_or(0.0, |k| k.cache_gb);
         live.use_image(&image, image_gb, cache_gb);
-        core.plan(
+        core.record_change(
             &id,
-            Entry::Placed {
+            TaskRecord::Placed {
                 attempt,
                 machine: machine.name.to_string(),
                 session,
--- a/src/placement/service/tests.rs
+++ b/src/placement/service/tests.rs
@@ -13,12 +13,12 @@
     core.replica.put("r/j/job-1", &job.to_string(), 5);
     core.replica
         .put("r/p/job-1/0", &json!([[1, "vm-1", 1]]).to_string(), 6);
-    let planned = Entry::Placed {
+    let planned = TaskRecord::Placed {
         attempt: 1,
         machine: "vm-1".into(),
         session: 1,
     };
-    core.plan(&TaskId::new("job-1", 1), planned);
+    core.record_change(&TaskId::new("job-1", 1), planned);
     for task in [0, 1] {
         stop(&mut core, TaskId::new("job-1", task), 1, 0.0);
     }
@@ -27,7 +27,7 @@
         .map(|(id, attempt)| ((&id.job, id.index), attempt))
         .collect();
     insta::assert_snapshot!(
-        format!("{:?}\n{:?}\nto be stopped {stops:?}", core.entry("job-1", 0), core.entry("job-1", 1)),
+        format!("{:?}\n{:?}\nto be stopped {stops:?}", core.task_record("job-1", 0), core.task_record("job-1", 1)),
         @r#"
         Placed { attempt: 1, machine: "vm-1", session: 1 }
         Waiting { last: 0 }
--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -5,7 +5,7 @@
 use super::snapshot_cache::{BOOT, Progress, spec_of, tasks_on};
 use super::{JobSnapshot, MachineSnapshot, Milestone, Resources, capacity_of};
 use crate::cells::protection::{exclusion_of, protected_pools};
-use crate::jobs::{Entry, JobRecord, JobSpec, Shape, Urgency};
+use crate::jobs::{JobRecord, JobSpec, Shape, TaskRecord, Urgency};
 use crate::membership::assignment::spot_of;
 use crate::node::{Core, Node, age_s};
 use crate::policy::JobFacts;
@@ -153,10 +153,13 @@
         }
     }
     // An absence that is not recorded may become void, see `limits::usage`.
-    for (job, changes) in core.plans.all() {
+    for (job, changes) in core.pending_changes.iter() {
         for (task, entry) in changes {
-            let is_placed = matches!(core.replica.entry(job, *task), Entry::Placed { .. });
-            if is_placed && matches!(entry, Entry::Waiting { .. }) {
+            let is_placed = matches!(
+                core.replica.task_record(job, *task),
+                TaskRecord::Placed { .. }
+            );
+            if is_placed && matches!(entry, TaskRecord::Waiting { .. }) {
                 add(job);
             }
         }
@@ -339,7 +342,7 @@
             continue;
         };
         let spec = &job.record.spec;
-        let Entry::Placed { attempt, .. } = *core.entry(&id.job, id.index) else {
+        let TaskRecord::Placed { attempt, .. } = *core.task_record(&id.job, id.index) else {
             continue;
         };
         let ran = live.running_since.get(&id).map_or(0.0, |(_, since)| {
--- a/src/placement/snapshot_cache.rs
+++ b/src/placement/snapshot_cache.rs
@@ -8,7 +8,7 @@
 };
 use crate::cloud::MachineType;
 use crate::fleet::MachineState;
-use crate::jobs::{Entry, JobRecord, JobSpec, TaskId, TaskRef};
+use crate::jobs::{JobRecord, JobSpec, TaskId, TaskRecord, TaskRef};
 use crate::membership::assignment::Member;
 use crate::node::{Core, Node, age_s};
 use crate::pipelines::paths::{Pull, pulls};
@@ -230,9 +230,9 @@
 pub fn refresh(core: &mut Core, me: &Member, now: Instant, now_ms: u64) -> u64 {
     let mut cache = std::mem::replace(&mut core.views, SnapshotCache::new(now));
     let mut machines = core.replica.take_changed_on();
-    machines.extend(core.plans.take_changed_machines());
+    machines.extend(core.pending_changes.take_changed_machines());
     let mut jobs = core.replica.take_changed_jobs();
-    jobs.extend(core.plans.take_changed_jobs());
+    jobs.extend(core.pending_changes.take_changed_jobs());
     let revision = core.replica.assignment.as_ref().map_or(0, |s| s.revision);
     if revision != cache.shares_mark || cache.kinds_known != core.kinds.len() {
         cache.shares_mark = revision;
@@ -276,14 +276,14 @@
         true => spec.tasks as usize,
         false => MOST_WAITING,
     };
-    let planned = core.plans.of(&spec.id);
+    let planned = core.pending_changes.of_job(&spec.id);
     for task in 0..spec.tasks {
         let planned = planned.and_then(|changes| changes.get(&task));
-        match planned.unwrap_or_else(|| job.entry(&core.replica.layout, task)) {
-            Entry::Waiting { .. } if waiting.len() < most_waiting => waiting.push(task),
-            Entry::Waiting { .. } => {}
-            Entry::Done => out.done += 1,
-            Entry::Placed { machine, .. } => {
+        match planned.unwrap_or_else(|| job.task_record(&core.replica.layout, task)) {
+            TaskRecord::Waiting { .. } if waiting.len() < most_waiting => waiting.push(task),
+            TaskRecord::Waiting { .. } => {}
+            TaskRecord::Done => out.done += 1,
+            TaskRecord::Placed { machine, .. } => {
                 out.placed += 1;
                 if let Some(machine) = core.replica.fleet.machines.get(machine) {
                     *out.zones
@@ -316,10 +316,10 @@
 
 /// Tasks on a machine: recorded, about to be recorded, or reported.
 pub fn tasks_on<'a>(core: &'a Core, name: &str) -> Vec<Cow<'a, TaskId>> {
-    let is_here = |id: &&TaskId| matches!(core.entry(&id.job, id.index), Entry::Placed { machine, .. } if machine == name);
+    let is_here = |id: &&TaskId| matches!(core.task_record(&id.job, id.index), TaskRecord::Placed { machine, .. } if machine == name);
     let recorded = core.replica.on.get(name).into_iter().flatten();
     let mut on: Vec<Cow<TaskId>> = recorded.filter(is_here).map(Cow::Borrowed).collect();
-    on.extend(core.plans.on(name).map(Cow::Borrowed));
+    on.extend(core.pending_changes.starts_on(name).map(Cow::Borrowed));
     on.sort_unstable();
     on.dedup();
     let Some(live) = core.workers.live.get(name) else {
@@ -424,7 +424,7 @@
     kind: &MachineType,
     now: Instant,
 ) -> f64 {
-    if let Entry::Placed { attempt, .. } = core.entry(&id.job, id.index)
+    if let TaskRecord::Placed { attempt, .. } = core.task_record(&id.job, id.index)
         && let Some(grace) = core.workers.stops.get(&(id.clone(), *attempt))
     {
         return STOP_TAKES_S + grace;
--- a/src/renting/decide.rs
+++ b/src/renting/decide.rs
@@ -81,7 +81,7 @@
     let mut record = ForecastSummaryRecord {
         at_ms: now_ms,
         puts_per_s: 0.0,
-        unwritten: core.plans.unwritten(),
+        unwritten: core.pending_changes.write_backlog(),
         fallen: false,
         kinds: outlooks(node, core, views, &mapping),
         blocked: core.limits.published_gangs(),
--- a/src/renting/release.rs
+++ b/src/renting/release.rs
@@ -276,7 +276,8 @@
         let Some(record) = core.replica.fleet.machines.get(name) else {
             continue;
         };
-        let empty = !core.replica.on.contains_key(name) && core.plans.on(name).next().is_none();
+        let empty = !core.replica.on.contains_key(name)
+            && core.pending_changes.starts_on(name).next().is_none();
         if record.state == MachineState::Releasing {
             close.push((name.clone(), "decided before"));
             continue;
@@ -342,7 +343,7 @@
     close.truncate(MAX_RELEASE_BATCH);
     for (name, why) in &close {
         if core.rent.closing.insert(name.clone(), why).is_none() {
-            core.plans.touch_machine(name);
+            core.pending_changes.mark_machine_changed(name);
             tracing::info!(machine = name, why, "releasing");
         }
     }
@@ -374,7 +375,7 @@
                     // It stopped by itself: nothing on it can come back, and releasing it
                     // proves that.
                     live.taken_at = Some(Instant::now() - Duration::from_secs(1));
-                    core.plans.touch_machine(&listed.name);
+                    core.pending_changes.mark_machine_changed(&listed.name);
                 }
                 continue;
             }
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -2,7 +2,7 @@
 //! sizes of pages.
 
 use super::{NextLimits, Settings, StateParams};
-use crate::jobs::pages::Layout;
+use crate::jobs::pages::PageLayout;
 use rowanmill_state::ServiceQuota;
 use std::time::Duration;
 
@@ -25,10 +25,10 @@
 /// Fewest and most tasks of a page.
 const PAGE_TASKS_MIN: usize = 8;
 const PAGE_TASKS_MAX: usize = 512;
-/// Bytes of a placed task in a wide page, `[attempt,"machine",session]`: enough for long names.
-const WIDE_TASK_BYTES: usize = 48;
-/// Bytes of a task in a dense page, where the names of machines are the most.
-const DENSE_TASK_BYTES: usize = 16;
+/// Bytes of a placed task in a plain_tasks page, `[attempt,"machine",session]`: enough for long names.
+const PLAIN_TASK_BYTES: usize = 48;
+/// Bytes of a task in a compact page, where the names of machines are the most.
+const COMPACT_TASK_BYTES: usize = 16;
 
 impl StateParams {
     /// The most changes of a transaction that hold now and later.
@@ -124,17 +124,22 @@
     }
 
     /// How jobs are divided into progress pages. All controllers of a site, and all versions, must agree.
-    pub fn page_layout(&self) -> Layout {
+    pub fn page_layout(&self) -> PageLayout {
         let value_bytes = self.max_value_bytes();
         let current_bytes = self.params.state.current_value_bytes();
         // The version before went by the limit of now alone, and pages of both must agree.
-        let wide = (current_bytes / WIDE_TASK_BYTES).clamp(PAGE_TASKS_MIN, PAGE_TASKS_MAX);
-        // What does not fit into a dense page waits.
-        let dense = (value_bytes / DENSE_TASK_BYTES).clamp(PAGE_TASKS_MIN, PAGE_TASKS_MAX);
+        let plain_tasks = (current_bytes / PLAIN_TASK_BYTES).clamp(PAGE_TASKS_MIN, PAGE_TASKS_MAX);
+        // What does not fit into a compact page waits.
+        let compact_tasks =
+            (value_bytes / COMPACT_TASK_BYTES).clamp(PAGE_TASKS_MIN, PAGE_TASKS_MAX);
         let shrinks = value_bytes < current_bytes;
-        Layout {
-            wide,
-            dense: if shrinks { dense.min(wide) } else { wide },
+        PageLayout {
+            plain_tasks,
+            compact_tasks: if shrinks {
+                compact_tasks.min(plain_tasks)
+            } else {
+                plain_tasks
+            },
             value_bytes,
         }
     }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -37,7 +37,7 @@
         trace.push_str(&format!(
             "{machines} machines: {records} records, {} tasks a page, taken over within {:.1} s \
              of {lease_s}, answers workers for {:.1} s without state\n",
-            s.page_layout().wide,
+            s.page_layout().plain_tasks,
             takeover.as_secs_f64(),
             s.disconnected_lease_limit().as_secs_f64()
         ));
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -21,8 +21,8 @@
 }
 pub fn page_key(id: &str, page: PageId) -> String {
     match page {
-        PageId::Wide(n) => format!("r/p/{id}/{n}"),
-        PageId::Dense(n) => format!("r/q/{id}/{n}"),
+        PageId::Plain(n) => format!("r/p/{id}/{n}"),
+        PageId::Compact(n) => format!("r/q/{id}/{n}"),
     }
 }
 pub fn rental_key(name: &str) -> String {
--- a/src/state/replica.rs
+++ b/src/state/replica.rs
@@ -4,7 +4,9 @@
 use crate::fleet::Fleet;
 mod records;
 
-use crate::jobs::{Entry, Final, JobRecord, Layout, Page, PageId, Stored, TaskId};
+use crate::jobs::{
+    JobRecord, PageId, PageLayout, ProgressPage, StoredJob, TaskId, TaskRecord, TerminalState,
+};
 use crate::limits::{StoredAllocations, parse_allocations};
 use crate::membership::assignment::{Assignment, Member};
 use crate::membership::schema_versions::SchemaVersions;
@@ -23,7 +25,7 @@
 pub struct Replica {
     /// All changes up to here are in.
     pub revision: u64,
-    pub layout: Layout,
+    pub layout: PageLayout,
     /// Jobs that may start; those that wait for others are apart.
     pub jobs: BTreeMap<String, Job>,
     pub pipelines: Pipelines,
@@ -41,7 +43,7 @@
     /// What each controller published last.
     pub outlooks: BTreeMap<String, Versioned<ForecastSummaryRecord>>,
     /// Pages whose job is not there (any more).
-    pub orphans: BTreeMap<(String, PageId), Versioned<Page>>,
+    pub orphans: BTreeMap<(String, PageId), Versioned<ProgressPage>>,
     /// Which tasks the records place on each machine.
     pub on: HashMap<String, BTreeSet<TaskId>>,
     /// Jobs that ended of late: their tasks may still hold room on machines.
@@ -50,7 +52,7 @@
     /// Jobs and machines whose records changed since they were last asked for.
     changed_jobs: HashSet<String>,
     changed_on: HashSet<String>,
-    ended: HashMap<String, Final>,
+    ended: HashMap<String, TerminalState>,
     /// Jobs that ended and whose key still stands, with its revision.
     pub closed: BTreeMap<String, u64>,
     ended_order: VecDeque<String>,
@@ -60,7 +62,7 @@
 }
 
 impl Replica {
-    pub fn new(layout: Layout) -> Self {
+    pub fn new(layout: PageLayout) -> Self {
         Self {
             layout,
             ..Self::default()
@@ -109,11 +111,11 @@
         self.dropped.retain(|_, revision| *revision > told);
     }
 
-    pub fn ended(&self, id: &str) -> Option<Final> {
+    pub fn ended(&self, id: &str) -> Option<TerminalState> {
         self.ended.get(id).copied()
     }
 
-    pub fn remember_ended(&mut self, id: &str, last: Final) {
+    pub fn remember_ended(&mut self, id: &str, last: TerminalState) {
         self.pipelines.over(id, last);
         if self.ended.insert(id.to_owned(), last).is_none() {
             self.ended_order.push_back(id.to_owned());
@@ -137,11 +139,11 @@
         let (slice, name) = rest.split_once('/').unwrap_or((rest, ""));
         match slice {
             "j" => match read(key, data) {
-                Some(Stored::Open(record)) => self.put_job(name, record, revision),
-                Some(Stored::Blocked { record, awaits }) => {
+                Some(StoredJob::Open(record)) => self.put_job(name, record, revision),
+                Some(StoredJob::Blocked { record, awaits }) => {
                     self.put_blocked(name, record, awaits, revision)
                 }
-                Some(Stored::Finished { outcome }) => {
+                Some(StoredJob::Finished { outcome }) => {
                     self.finish(name, outcome);
                     self.closed.insert(name.to_owned(), revision);
                 }
@@ -154,8 +156,8 @@
                     return;
                 };
                 let record = match page {
-                    PageId::Wide(_) => serde_json::from_str(data),
-                    PageId::Dense(_) => Page::from_dense(data),
+                    PageId::Plain(_) => serde_json::from_str(data),
+                    PageId::Compact(_) => ProgressPage::from_compact(data),
                 };
                 match record {
                     Ok(record) => self.put_page(id, page, record, revision),
@@ -166,8 +168,8 @@
                 self.forms = read(key, data).map(|record| Versioned { record, revision });
                 // What the pages were begun with holds, whatever the settings have come to say.
                 if let Some(layout) = self.forms.as_ref().and_then(|f| f.record.layout) {
-                    self.layout.wide = layout.wide;
-                    self.layout.dense = layout.dense;
+                    self.layout.plain_tasks = layout.plain_tasks;
+                    self.layout.compact_tasks = layout.compact_tasks;
                 }
             }
             "m" => {
@@ -243,7 +245,7 @@
         self.unreadable.remove(id);
         self.changed_jobs.insert(id.to_owned());
         if record.cancelled && !record.withdrawn {
-            self.pipelines.over(id, Final::Cancelled);
+            self.pipelines.over(id, TerminalState::Cancelled);
         }
         if let Some(job) = self.jobs.get_mut(id) {
             if job.revision < revision {
@@ -259,7 +261,8 @@
             done: 0,
             placed: 0,
         };
-        let range = (id.to_owned(), PageId::Wide(0))..=(id.to_owned(), PageId::Dense(usize::MAX));
+        let range =
+            (id.to_owned(), PageId::Plain(0))..=(id.to_owned(), PageId::Compact(usize::MAX));
         let found: Vec<PageId> = self.orphans.range(range).map(|((_, n), _)| *n).collect();
         for page in found {
             if let Some(kept) = self.orphans.remove(&(id.to_owned(), page)) {
@@ -268,16 +271,16 @@
         }
         if !job.pages.is_empty() {
             for task in 0..job.record.spec.tasks {
-                let entry = job.entry(&self.layout, task).clone();
-                job.count(&Entry::default(), &entry);
-                self.index(id, task, &Entry::default(), &entry);
+                let entry = job.task_record(&self.layout, task).clone();
+                job.count(&TaskRecord::default(), &entry);
+                self.index(id, task, &TaskRecord::default(), &entry);
             }
         }
         self.jobs.insert(id.to_owned(), job);
     }
 
     /// A job ended: nothing of it is on any machine or will be. Its pages are left to be dropped.
-    fn finish(&mut self, id: &str, last: Final) {
+    fn finish(&mut self, id: &str, last: TerminalState) {
         self.leave(id);
         self.remember_ended(id, last);
     }
@@ -288,10 +291,10 @@
         self.pipelines.remove(id);
         if let Some(job) = self.jobs.get(id) {
             let tasks = 0..job.record.spec.tasks;
-            let entries = tasks.map(|task| job.entry(&self.layout, task).clone());
-            let entries: Vec<Entry> = entries.collect();
+            let entries = tasks.map(|task| job.task_record(&self.layout, task).clone());
+            let entries: Vec<TaskRecord> = entries.collect();
             for (task, entry) in entries.iter().enumerate() {
-                self.index(id, task as u32, entry, &Entry::Done);
+                self.index(id, task as u32, entry, &TaskRecord::Done);
             }
         }
         if let Some(job) = self.jobs.remove(id) {
@@ -311,8 +314,8 @@
         self.unreadable.remove(id);
         let (jobs, ended) = (&self.jobs, &self.ended);
         let need = |other: &str| match (jobs.get(other), ended.get(other)) {
-            (_, Some(Final::Done)) => Need::Done,
-            (_, Some(Final::Cancelled)) => Need::Cancelled,
+            (_, Some(TerminalState::Done)) => Need::Done,
+            (_, Some(TerminalState::Cancelled)) => Need::Cancelled,
             (Some(job), None) if job.record.cancelled => Need::Cancelled,
             _ => Need::Open,
         };
@@ -341,14 +344,14 @@
         self.pipelines.unknown_before(id, known)
     }
 
-    fn page(&self, id: &str, page: PageId) -> Option<&Versioned<Page>> {
+    fn page(&self, id: &str, page: PageId) -> Option<&Versioned<ProgressPage>> {
         match self.jobs.get(id) {
             Some(job) => job.pages.get(&page),
             None => self.orphans.get(&(id.to_owned(), page)),
         }
     }
 
-    pub fn put_page(&mut self, id: &str, page: PageId, record: Page, revision: u64) {
+    pub fn put_page(&mut self, id: &str, page: PageId, record: ProgressPage, revision: u64) {
         let old = self.page(id, page);
         if old.is_some_and(|old| old.revision >= revision) {
             return;
@@ -370,25 +373,27 @@
 
     /// How many of a page's tasks may differ once another record takes its place. A new dense page
     /// overrules all that a wide one says of its tasks.
-    fn slots(&self, old: Option<&Page>, page: PageId, new: usize) -> usize {
+    fn slots(&self, old: Option<&ProgressPage>, page: PageId, new: usize) -> usize {
         match (old, page) {
-            (None, PageId::Dense(_)) => self.layout.span(page).1,
+            (None, PageId::Compact(_)) => self.layout.span(page).1,
             (old, _) => old.map_or(0, |o| o.0.len()).max(new),
         }
     }
 
-    fn entries(&self, id: &str, page: PageId, slots: usize) -> Vec<Entry> {
+    fn entries(&self, id: &str, page: PageId, slots: usize) -> Vec<TaskRecord> {
         let first = self.layout.span(page).0;
         let tasks = first..first + slots as u32;
-        tasks.map(|task| self.entry(id, task).clone()).collect()
+        tasks
+            .map(|task| self.task_record(id, task).clone())
+            .collect()
     }
 
     /// Notes what differs from before on a page: which tasks are on which machine, and the counts.
-    fn differ(&mut self, id: &str, page: PageId, before: Vec<Entry>) {
+    fn differ(&mut self, id: &str, page: PageId, before: Vec<TaskRecord>) {
         let first = self.layout.span(page).0;
         for (slot, old) in before.into_iter().enumerate() {
             let task = first + slot as u32;
-            let new = self.entry(id, task);
+            let new = self.task_record(id, task);
             if old == *new {
                 continue;
             }
@@ -401,9 +406,9 @@
     }
 
     /// Which tasks are on which machine, of jobs that have not ended.
-    fn index(&mut self, id: &str, task: u32, old: &Entry, new: &Entry) {
+    fn index(&mut self, id: &str, task: u32, old: &TaskRecord, new: &TaskRecord) {
         let id = TaskId::new(id, task);
-        if let Entry::Placed { machine, .. } = old {
+        if let TaskRecord::Placed { machine, .. } = old {
             if let Some(on) = self.on.get_mut(machine) {
                 on.remove(&id);
                 if on.is_empty() {
@@ -412,7 +417,7 @@
             }
             self.changed_on.insert(machine.clone());
         }
-        if let Entry::Placed { machine, .. } = new {
+        if let TaskRecord::Placed { machine, .. } = new {
             self.on.entry(machine.clone()).or_default().insert(id);
             self.changed_on.insert(machine.clone());
         }
@@ -451,9 +456,9 @@
                     .get(name)
                     .is_some_and(|h| h.revision < revision);
                 let last = match self.jobs.get(name) {
-                    Some(job) if job.record.cancelled => Some(Final::Cancelled),
-                    Some(_) => Some(Final::Done),
-                    None => waits.then_some(Final::Cancelled),
+                    Some(job) if job.record.cancelled => Some(TerminalState::Cancelled),
+                    Some(_) => Some(TerminalState::Done),
+                    None => waits.then_some(TerminalState::Cancelled),
                 };
                 if let Some(last) = last {
                     self.finish(name, last);
@@ -518,12 +523,12 @@
     }
 
     /// Where the records say that a task stands; tasks of jobs that ended have pages for a while.
-    pub fn entry(&self, job: &str, task: u32) -> &Entry {
+    pub fn task_record(&self, job: &str, task: u32) -> &TaskRecord {
         if let Some(job) = self.jobs.get(job) {
-            return job.entry(&self.layout, task);
+            return job.task_record(&self.layout, task);
         }
         if self.orphans.is_empty() {
-            return &Entry::NEVER_STARTED;
+            return &TaskRecord::NEVER_STARTED;
         }
         let page = |page: PageId| self.orphans.get(&(job.to_owned(), page));
         entry_in(page, &self.layout, task)
@@ -536,9 +541,9 @@
 
     /// The page on which a task's next entry is written.
     pub fn page_of(&self, task: u32) -> PageId {
-        match self.has_begun() && self.layout.uses_dense() {
-            true => self.layout.dense_of(task),
-            false => self.layout.wide_of(task),
+        match self.has_begun() && self.layout.uses_compact() {
+            true => self.layout.compact_page_of(task),
+            false => self.layout.plain_page_of(task),
         }
     }
 }
@@ -548,8 +553,8 @@
     let (id, number) = name.split_once('/')?;
     let number = number.parse().ok()?;
     let page = match slice {
-        "q" => PageId::Dense(number),
-        _ => PageId::Wide(number),
+        "q" => PageId::Compact(number),
+        _ => PageId::Plain(number),
     };
     Some((id, page))
 }
--- a/src/state/replica/records.rs
+++ b/src/state/replica/records.rs
@@ -1,6 +1,6 @@
 //! Records as the replica keeps them.
 
-use crate::jobs::{Entry, JobRecord, Layout, Page, PageId, Stage};
+use crate::jobs::{JobRecord, PageId, PageLayout, ProgressPage, Stage, TaskRecord};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -30,23 +30,25 @@
 pub struct Job {
     pub record: JobRecord,
     pub revision: u64,
-    pub pages: BTreeMap<PageId, Versioned<Page>>,
+    pub pages: BTreeMap<PageId, Versioned<ProgressPage>>,
     pub done: u32,
     pub placed: u32,
 }
 
 /// Where a task stands by a job's pages: by its dense page, if there is one, and else by its wide one.
 pub(super) fn entry_in<'a>(
-    page: impl Fn(PageId) -> Option<&'a Versioned<Page>>,
-    layout: &Layout,
+    page: impl Fn(PageId) -> Option<&'a Versioned<ProgressPage>>,
+    layout: &PageLayout,
     task: u32,
-) -> &'a Entry {
+) -> &'a TaskRecord {
     let on = |id: PageId| Some(page(id)?.record.get(layout.slot(id, task)));
-    let dense = layout.uses_dense().then(|| on(layout.dense_of(task)));
+    let dense = layout
+        .uses_compact()
+        .then(|| on(layout.compact_page_of(task)));
     dense
         .flatten()
-        .or_else(|| on(layout.wide_of(task)))
-        .unwrap_or(&Entry::NEVER_STARTED)
+        .or_else(|| on(layout.plain_page_of(task)))
+        .unwrap_or(&TaskRecord::NEVER_STARTED)
 }
 
 impl Job {
@@ -61,14 +63,14 @@
     }
 
     /// A task's entry came in place of another.
-    pub(super) fn count(&mut self, before: &Entry, after: &Entry) {
-        let done = |e: &Entry| u32::from(*e == Entry::Done);
-        let placed = |e: &Entry| u32::from(matches!(e, Entry::Placed { .. }));
+    pub(super) fn count(&mut self, before: &TaskRecord, after: &TaskRecord) {
+        let done = |e: &TaskRecord| u32::from(*e == TaskRecord::Done);
+        let placed = |e: &TaskRecord| u32::from(matches!(e, TaskRecord::Placed { .. }));
         self.done = self.done + done(after) - done(before);
         self.placed = self.placed + placed(after) - placed(before);
     }
 
-    pub fn entry(&self, layout: &Layout, task: u32) -> &Entry {
+    pub fn task_record(&self, layout: &PageLayout, task: u32) -> &TaskRecord {
         entry_in(|page| self.pages.get(&page), layout, task)
     }
 
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -3,7 +3,7 @@
 //! shapes, which are held here as they were.
 
 use super::{Operation, Replica};
-use crate::jobs::{Entry, JobRecord, Layout, Page, PageId, Stored};
+use crate::jobs::{JobRecord, PageId, PageLayout, ProgressPage, StoredJob, TaskRecord};
 use crate::membership::schema_versions::{CAN, SchemaVersions};
 use crate::state::replica::{LeaderRecord, PresenceRecord};
 use serde_json::Value;
@@ -58,7 +58,7 @@
 
     #[derive(Debug, Deserialize)]
     #[serde(untagged)]
-    pub enum Entry {
+    pub enum TaskRecord {
         Waiting(u64),
         Done(bool),
         Placed(u64, String, u64),
@@ -155,7 +155,7 @@
 }
 
 /// A replica of a node with these limits, which has read what production left.
-fn replica(layout: Layout) -> Replica {
+fn replica(layout: PageLayout) -> Replica {
     let mut replica = Replica::new(layout);
     for (key, (revision, data)) in kept() {
         match key.strip_prefix("e/") {
@@ -166,9 +166,9 @@
     replica
 }
 
-const LAYOUT: Layout = Layout {
-    wide: 170,
-    dense: 64,
+const LAYOUT: PageLayout = PageLayout {
+    plain_tasks: 170,
+    compact_tasks: 64,
     value_bytes: 1024,
 };
 
@@ -234,12 +234,12 @@
     };
     replica.put("r/forms", &serde_json::to_string(&forms).unwrap(), 50);
     assert_eq!(count(&replica), before);
-    assert_eq!(replica.page_of(30), PageId::Dense(0));
-    let entries = (0..64).map(|t| replica.entry("job-000304", t).clone());
-    let mut page = Page(entries.collect());
-    page.set(63, Entry::Done);
-    page.set(0, Entry::Done);
-    let text = serde_json::to_string(&page.to_dense()).unwrap();
+    assert_eq!(replica.page_of(30), PageId::Compact(0));
+    let entries = (0..64).map(|t| replica.task_record("job-000304", t).clone());
+    let mut page = ProgressPage(entries.collect());
+    page.set(63, TaskRecord::Done);
+    page.set(0, TaskRecord::Done);
+    let text = serde_json::to_string(&page.to_compact()).unwrap();
     replica.put("r/q/job-000304/0", &text, 51);
     assert_eq!(count(&replica), (before.0 + 1, before.1));
     // The wide page changes late: only what no dense page covers counts.
@@ -247,16 +247,16 @@
     late[69] = Value::from(true);
     replica.put("r/p/job-000304/0", &Value::from(late).to_string(), 52);
     assert_eq!(count(&replica), (before.0 + 2, before.1));
-    assert_eq!(*replica.entry("job-000304", 5), Entry::Done);
+    assert_eq!(*replica.task_record("job-000304", 5), TaskRecord::Done);
     assert_eq!(
-        *replica.entry("job-000304", 65),
-        Entry::Waiting { last: 7 },
+        *replica.task_record("job-000304", 65),
+        TaskRecord::Waiting { last: 7 },
         "no dense page covers it"
     );
     // The job ends, and its pages are dropped, the wide one first.
     replica.remove("r/j/job-000304", 53);
     let first = replica.orphans.keys().next().cloned();
-    assert_eq!(first, Some(("job-000304".into(), PageId::Wide(0))));
+    assert_eq!(first, Some(("job-000304".into(), PageId::Plain(0))));
     replica.remove("r/p/job-000304/0", 54);
     replica.remove("r/q/job-000304/0", 54);
     let on = replica.on.values().flatten();
@@ -282,12 +282,12 @@
         trace.push_str(&format!("{what}: {shape:?}\n"));
     };
     let job: JobRecord = replica.jobs["job-000301"].record.clone();
-    let open = written(&Stored::Open(job.clone()));
+    let open = written(&StoredJob::Open(job.clone()));
     say(
         "a job",
         &serde_json::from_str::<shapes::JobRecord>(&open).unwrap(),
     );
-    let cancelled = written(&Stored::Open(job.clone().into_cancelled()));
+    let cancelled = written(&StoredJob::Open(job.clone().into_cancelled()));
     let shape: shapes::JobRecord = serde_json::from_str(&cancelled).unwrap();
     assert!(shape.cancelled);
     // Production's cancellation of a job that this version took, and so the other way round.
@@ -295,20 +295,20 @@
         cancelled: true,
         ..serde_json::from_str(&open).unwrap()
     });
-    let back: Stored = serde_json::from_str(&by_production).unwrap();
+    let back: StoredJob = serde_json::from_str(&by_production).unwrap();
     let expected = JobRecord {
         cancelled: true,
         ..job.clone()
     };
-    assert_eq!(back, Stored::Open(expected));
+    assert_eq!(back, StoredJob::Open(expected));
     // A job that waits is nothing that production could run.
-    let held = Stored::Blocked {
+    let held = StoredJob::Blocked {
         record: job,
         awaits: vec!["job-000302".into()],
     };
     assert!(serde_json::from_str::<shapes::JobRecord>(&written(&held)).is_err());
-    let page = &replica.jobs["job-000304"].pages[&PageId::Wide(0)].record;
-    let entries: Vec<shapes::Entry> = serde_json::from_str(&written(page)).unwrap();
+    let page = &replica.jobs["job-000304"].pages[&PageId::Plain(0)].record;
+    let entries: Vec<shapes::TaskRecord> = serde_json::from_str(&written(page)).unwrap();
     say("a page ends with", &&entries[entries.len() - 2..]);
     let presence = PresenceRecord {
         incarnation: 7,
--- a/src/testing/compatibility/cluster_records.rs
+++ b/src/testing/compatibility/cluster_records.rs
@@ -2,7 +2,7 @@
 
 use super::trace::Trace;
 use crate::fleet::{MachinePool, MachineState, Rental, RentedMachine};
-use crate::jobs::Layout;
+use crate::jobs::PageLayout;
 use crate::membership::assignment::{Assignment, Member};
 use crate::membership::schema_versions::{CAN, CAN_DIVIDE_LIMITS, SchemaVersions};
 use crate::renting::{ForecastSummaryRecord, Held, Outlook};
@@ -122,9 +122,9 @@
     trace.add("not all seen", key(), &waiting);
     // What a page may take is this process's own and not written.
     let begun = SchemaVersions {
-        layout: Some(Layout {
-            wide: 170,
-            dense: 64,
+        layout: Some(PageLayout {
+            plain_tasks: 170,
+            compact_tasks: 64,
             value_bytes: 0,
         }),
         ..waiting
--- a/src/testing/compatibility/job_records.rs
+++ b/src/testing/compatibility/job_records.rs
@@ -2,7 +2,8 @@
 
 use super::trace::{Trace, written};
 use crate::jobs::{
-    Entry, Final, GivenUp, JobRecord, JobSpec, Page, PageId, Shape, Stored, Urgency,
+    JobRecord, JobSpec, PageId, ProgressPage, Relinquished, Shape, StoredJob, TaskRecord,
+    TerminalState, Urgency,
 };
 use crate::state::{final_key, given_up_key, job_key, page_key};
 use rowanmill_cells::OwnershipVersion;
@@ -78,7 +79,7 @@
 fn open_job_record_keeps_its_json() {
     let plain = accepted(plain_spec());
     let mut trace = Trace::default();
-    trace.add("no optional field", key(), &Stored::Open(plain.clone()));
+    trace.add("no optional field", key(), &StoredJob::Open(plain.clone()));
     let all = JobRecord {
         cancelled: true,
         placer: Some("millstone-1".into()),
@@ -88,28 +89,28 @@
         withdrawn: true,
         ..accepted(full_spec())
     };
-    trace.add("all optional fields", key(), &Stored::Open(all));
+    trace.add("all optional fields", key(), &StoredJob::Open(all));
     let placer = JobRecord {
         placer: Some("millstone-0".into()),
         ..plain.clone()
     };
-    trace.add("placer", key(), &Stored::Open(placer));
+    trace.add("placer", key(), &StoredJob::Open(placer));
     let released = JobRecord {
         released_ms: Some(1_796_178_940_000),
         ..plain.clone()
     };
-    trace.add("released", key(), &Stored::Open(released));
+    trace.add("released", key(), &StoredJob::Open(released));
     let stamped = JobRecord {
         ledger: Some(VERSION),
         ..plain.clone()
     };
-    trace.add("stamp of the ledger", key(), &Stored::Open(stamped));
+    trace.add("stamp of the ledger", key(), &StoredJob::Open(stamped));
     let foreign = JobRecord {
         ledger: Some(VERSION),
         foreign: true,
         ..plain
     };
-    trace.add("foreign", key(), &Stored::Open(foreign));
+    trace.add("foreign", key(), &StoredJob::Open(foreign));
     insta::assert_snapshot!("open_job_record", trace.0);
 }
 
@@ -118,9 +119,9 @@
     let full = accepted(full_spec());
     let mut trace = Trace::default();
     let cancelled = full.clone().into_cancelled();
-    trace.add("cancelled", key(), &Stored::Open(cancelled));
+    trace.add("cancelled", key(), &StoredJob::Open(cancelled));
     let withdrawn = full.into_withdrawn(VERSION);
-    trace.add("withdrawn", key(), &Stored::Open(withdrawn));
+    trace.add("withdrawn", key(), &StoredJob::Open(withdrawn));
     insta::assert_snapshot!("cancelled_and_withdrawn_job_record", trace.0);
 }
 
@@ -139,7 +140,11 @@
             urgency,
             ..plain_spec()
         };
-        trace.add("a shape, an urgency", key(), &Stored::Open(accepted(spec)));
+        trace.add(
+            "a shape, an urgency",
+            key(),
+            &StoredJob::Open(accepted(spec)),
+        );
     }
     insta::assert_snapshot!("job_record_of_each_shape_and_urgency", trace.0);
 }
@@ -147,7 +152,7 @@
 #[test]
 fn blocked_job_record_keeps_its_json() {
     let mut trace = Trace::default();
-    let blocked = |spec, awaits: &[&str]| Stored::Blocked {
+    let blocked = |spec, awaits: &[&str]| StoredJob::Blocked {
         record: accepted(spec),
         awaits: awaits.iter().map(|id| (*id).to_owned()).collect(),
     };
@@ -161,8 +166,11 @@
 #[test]
 fn finished_job_record_keeps_its_json() {
     let mut trace = Trace::default();
-    for (form, outcome) in [("done", Final::Done), ("cancelled", Final::Cancelled)] {
-        trace.add(form, key(), &Stored::Finished { outcome });
+    for (form, outcome) in [
+        ("done", TerminalState::Done),
+        ("cancelled", TerminalState::Cancelled),
+    ] {
+        trace.add(form, key(), &StoredJob::Finished { outcome });
     }
     insta::assert_snapshot!("finished_job_record", trace.0);
 }
@@ -171,14 +179,14 @@
 fn what_is_kept_of_an_ended_job_keeps_its_json() {
     let mut trace = Trace::default();
     let id = "job-000412";
-    trace.add("done", final_key(id), &Final::Done);
-    trace.add("cancelled", final_key(id), &Final::Cancelled);
-    trace.add("given up", given_up_key(id), &GivenUp::under(VERSION));
+    trace.add("done", final_key(id), &TerminalState::Done);
+    trace.add("cancelled", final_key(id), &TerminalState::Cancelled);
+    trace.add("given up", given_up_key(id), &Relinquished::under(VERSION));
     insta::assert_snapshot!("ended_job_record", trace.0);
 }
 
-fn placed(attempt: u64, machine: &str, session: u64) -> Entry {
-    Entry::Placed {
+fn placed(attempt: u64, machine: &str, session: u64) -> TaskRecord {
+    TaskRecord::Placed {
         attempt,
         machine: machine.into(),
         session,
@@ -186,14 +194,14 @@
 }
 
 /// Pages with each kind of entry, and those of which an encoding leaves something out.
-fn pages() -> Vec<(&'static str, Page)> {
+fn pages() -> Vec<(&'static str, ProgressPage)> {
     vec![
         (
             "each kind of entry",
-            Page(vec![
-                Entry::NEVER_STARTED,
-                Entry::Waiting { last: 7 },
-                Entry::Done,
+            ProgressPage(vec![
+                TaskRecord::NEVER_STARTED,
+                TaskRecord::Waiting { last: 7 },
+                TaskRecord::Done,
                 placed(3, "vm-000231", 1),
                 placed(1, "vm-000017", 4),
                 placed(12, "vm-000231", 1),
@@ -202,15 +210,15 @@
             ]),
         ),
         ("sessions that are all the first", {
-            let mut page = Page::default();
+            let mut page = ProgressPage::default();
             page.set(2, placed(1, "vm-000001", 1));
             page
         }),
         (
             "nothing placed",
-            Page(vec![Entry::Done, Entry::Waiting { last: 1 }]),
+            ProgressPage(vec![TaskRecord::Done, TaskRecord::Waiting { last: 1 }]),
         ),
-        ("no task", Page::default()),
+        ("no task", ProgressPage::default()),
     ]
 }
 
@@ -218,7 +226,7 @@
 fn wide_progress_pages_keep_their_json() {
     let mut trace = Trace::default();
     for (form, page) in pages() {
-        trace.add(form, page_key("job-000412", PageId::Wide(3)), &page);
+        trace.add(form, page_key("job-000412", PageId::Plain(3)), &page);
     }
     insta::assert_snapshot!("wide_progress_page", trace.0);
 }
@@ -227,9 +235,9 @@
 fn dense_progress_pages_keep_their_json() {
     let mut trace = Trace::default();
     for (form, page) in pages() {
-        let key = page_key("job-000412", PageId::Dense(3));
-        let (key, json) = written(key, &page.to_dense());
-        assert_eq!(Page::from_dense(&json).unwrap(), page, "{form}");
+        let key = page_key("job-000412", PageId::Compact(3));
+        let (key, json) = written(key, &page.to_compact());
+        assert_eq!(ProgressPage::from_compact(&json).unwrap(), page, "{form}");
         trace.add_text(form, &key, &json);
     }
     insta::assert_snapshot!("dense_progress_page", trace.0);
--- a/src/testing/compatibility/keys.rs
+++ b/src/testing/compatibility/keys.rs
@@ -11,8 +11,8 @@
     let keys = [
         ("what every controller follows", LIVE.to_owned()),
         ("job", job_key("job-000412")),
-        ("wide page", page_key("job-000412", PageId::Wide(0))),
-        ("dense page", page_key("job-000412", PageId::Dense(12))),
+        ("wide page", page_key("job-000412", PageId::Plain(0))),
+        ("dense page", page_key("job-000412", PageId::Compact(12))),
         ("rental", rental_key("r-9-2")),
         ("presence", presence_key("millstone-0")),
         ("leader", LEADER_KEY.to_owned()),
--- a/src/testing/compatibility/recorded_run.rs
+++ b/src/testing/compatibility/recorded_run.rs
@@ -2,7 +2,7 @@
 //! here, with jobs that ran, waited, ended, were cancelled and changed cells.
 
 use super::trace::written;
-use crate::jobs::{GivenUp, Layout, PageId, Stored};
+use crate::jobs::{PageId, PageLayout, Relinquished, StoredJob};
 use crate::state::replica::Job;
 use crate::state::{
     ASSIGNMENT_KEY, FORMS_KEY, LEADER_KEY, LIVE, Replica, allotment_key, final_key, given_up_key,
@@ -41,9 +41,9 @@
     let pairs = RECORDS
         .lines()
         .map(|line| serde_json::from_str::<KeyValue>(line).unwrap());
-    let mut replica = Replica::new(Layout {
-        wide: 170,
-        dense: 170,
+    let mut replica = Replica::new(PageLayout {
+        plain_tasks: 170,
+        compact_tasks: 170,
         value_bytes: 8192,
     });
     replica.reset(pairs.collect(), u64::MAX);
@@ -63,18 +63,24 @@
     }
 
     fn add_job(&mut self, id: &str, job: &Job) {
-        let record = Stored::Open(job.record.clone());
+        let record = StoredJob::Open(job.record.clone());
         self.add(job_key(id), &record, job.revision);
         for (page, kept) in &job.pages {
             self.add_page(id, *page, &kept.record, kept.revision);
         }
     }
 
-    fn add_page(&mut self, id: &str, page: PageId, record: &crate::jobs::Page, revision: u64) {
+    fn add_page(
+        &mut self,
+        id: &str,
+        page: PageId,
+        record: &crate::jobs::ProgressPage,
+        revision: u64,
+    ) {
         let key = page_key(id, page);
         match page {
-            PageId::Wide(_) => self.add(key, record, revision),
-            PageId::Dense(_) => self.add(key, &record.to_dense(), revision),
+            PageId::Plain(_) => self.add(key, record, revision),
+            PageId::Compact(_) => self.add(key, &record.to_compact(), revision),
         }
     }
 
@@ -86,7 +92,7 @@
             self.add_page(id, *page, &kept.record, kept.revision);
         }
         for (id, blocked) in replica.pipelines.all() {
-            let record = Stored::Blocked {
+            let record = StoredJob::Blocked {
                 record: blocked.record.clone(),
                 awaits: blocked.awaits.clone(),
             };
@@ -94,7 +100,7 @@
         }
         for (id, revision) in &replica.closed {
             let outcome = replica.ended(id).unwrap();
-            self.add(job_key(id), &Stored::Finished { outcome }, *revision);
+            self.add(job_key(id), &StoredJob::Finished { outcome }, *revision);
         }
     }
 
@@ -152,7 +158,7 @@
             }
             ("x", id) => {
                 given_up += 1;
-                let record: GivenUp = serde_json::from_value(value.clone()).unwrap();
+                let record: Relinquished = serde_json::from_value(value.clone()).unwrap();
                 written(given_up_key(id), &record)
             }
             _ => continue,
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -5,8 +5,8 @@
 
 pub use wire::{Cause, Order, Report, TaskState};
 
-use crate::jobs::plans::Plans;
-use crate::jobs::{Entry, TaskId, TaskRef};
+use crate::jobs::pending_changes::PendingChanges;
+use crate::jobs::{TaskId, TaskRecord, TaskRef};
 use crate::state::Replica;
 use crate::state::replica::Job;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -157,7 +157,7 @@
 #[derive(Clone, Copy)]
 pub struct Pending<'a> {
     pub stops: &'a Stops,
-    pub plans: &'a Plans,
+    pub pending_changes: &'a PendingChanges,
     /// Jobs that other controllers know to be cancelled.
     pub cancelled: &'a BTreeSet<String>,
     /// The records were read lately enough for `run` to go out by them.
@@ -174,7 +174,7 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct Reading {
     /// Exits to be recorded.
-    pub facts: BTreeMap<TaskId, Entry>,
+    pub facts: BTreeMap<TaskId, TaskRecord>,
     pub orders: Vec<Order>,
     /// Tasks that completed, with the time they ran where it is known.
     pub completed: Vec<(TaskId, Option<Duration>)>,
@@ -200,8 +200,8 @@
         let TaskRef { job, index } = named;
         let id = TaskId::from(named);
         let record = replica.jobs.get(job);
-        let entry = replica.entry(job, index);
-        let recorded = matches!(entry, Entry::Placed { attempt, machine, .. }
+        let entry = replica.task_record(job, index);
+        let recorded = matches!(entry, TaskRecord::Placed { attempt, machine, .. }
             if *attempt == task.attempt && *machine == report.machine);
         if recorded {
             reported.insert(named, task.attempt);
@@ -222,14 +222,15 @@
                 let service = record.is_some_and(|job| job.record.spec.is_service());
                 match task.cause {
                     Some(Cause::Done) if !service => {
-                        out.facts.insert(id.clone(), Entry::Done);
+                        out.facts.insert(id.clone(), TaskRecord::Done);
                         out.completed.push((id, ran));
                     }
                     cause => {
                         if cause == Some(Cause::Error) {
                             out.failed.push(id.clone());
                         }
-                        out.facts.insert(id, Entry::Waiting { last: task.attempt });
+                        out.facts
+                            .insert(id, TaskRecord::Waiting { last: task.attempt });
                     }
                 }
             }
@@ -299,9 +300,9 @@
             continue;
         }
         let record = replica.jobs.get(&id.job);
-        let Entry::Placed {
+        let TaskRecord::Placed {
             attempt, session, ..
-        } = *replica.entry(&id.job, id.index)
+        } = *replica.task_record(&id.job, id.index)
         else {
             continue;
         };
@@ -309,13 +310,13 @@
             // The worker killed and forgot all tasks of the sessions before, and drops answers
             // to reports from them: it is gone and cannot begin any more.
             out.facts
-                .insert(id.clone(), Entry::Waiting { last: attempt });
+                .insert(id.clone(), TaskRecord::Waiting { last: attempt });
             continue;
         }
         if session > report.session {
             continue; // a late report from before the start
         }
-        if pending.plans.get(&id.job, id.index).is_some() {
+        if pending.pending_changes.get(&id.job, id.index).is_some() {
             // Withdrawn already, and the record of that is under way: a `run` now would start
             // what is about to be placed elsewhere.
             continue;
@@ -328,7 +329,7 @@
             // token; from then on only we could start it, and we will not.
             if report.token == token {
                 out.facts
-                    .insert(id.clone(), Entry::Waiting { last: attempt });
+                    .insert(id.clone(), TaskRecord::Waiting { last: attempt });
             }
             continue;
         }
--- a/src/workers/service.rs
+++ b/src/workers/service.rs
@@ -4,7 +4,7 @@
 use crate::cells;
 use crate::fleet::MachineState;
 use crate::http::{HttpResponse, error_response, json_response, retry_later};
-use crate::jobs::{Entry, TaskId, TaskRef};
+use crate::jobs::{TaskId, TaskRecord, TaskRef};
 use crate::membership;
 use crate::membership::assignment::Member;
 use crate::metrics::CpuAccount;
@@ -201,7 +201,7 @@
     let cancelled = must_not_run(node, core, report);
     let pending = Pending {
         stops: &core.workers.stops,
-        plans: &core.plans,
+        pending_changes: &core.pending_changes,
         cancelled: &cancelled,
         may_start: may_start(node, core, now),
     };
@@ -270,7 +270,7 @@
     let cancelled = must_not_run(node, core, report);
     let pending = Pending {
         stops: &core.workers.stops,
-        plans: &core.plans,
+        pending_changes: &core.pending_changes,
         cancelled: &cancelled,
         may_start: may_start(node, core, now),
     };
@@ -285,8 +285,9 @@
     }
     live.report = report.clone();
     // Until an exit is recorded it is reported again; it counts once.
-    let new =
-        |core: &Core, id: &TaskId| reading.facts.get(id) != Some(core.entry(&id.job, id.index));
+    let new = |core: &Core, id: &TaskId| {
+        reading.facts.get(id) != Some(core.task_record(&id.job, id.index))
+    };
     let mut freed = false;
     for (id, ran) in reading
         .completed
@@ -304,14 +305,14 @@
         }
     }
     for (id, entry) in reading.facts {
-        freed |= *core.entry(&id.job, id.index) != entry;
-        if let Entry::Waiting { last } = &entry {
+        freed |= *core.task_record(&id.job, id.index) != entry;
+        if let TaskRecord::Waiting { last } = &entry {
             // A start planned on top of this exit already says the same.
-            if core.entry(&id.job, id.index).last_attempt() > *last {
+            if core.task_record(&id.job, id.index).last_attempt() > *last {
                 continue;
             }
         }
-        core.plan(&id, entry);
+        core.record_change(&id, entry);
     }
     core.workers.live.insert(name, live);
     let answer = wire::Answer {
@@ -326,7 +327,7 @@
         return;
     };
     let spec = &job.record.spec;
-    let first = core.replica.entry(&id.job, id.index).last_attempt() == 1;
+    let first = core.replica.task_record(&id.job, id.index).last_attempt() == 1;
     let age = crate::node::age_s(job.record.accepted_ms, wall_ms());
     let late = spec.deadline_s.is_some_and(|due| age > due);
     let pool = crate::placement::snapshot::eligible_machine_types(core, spec);
--- a/src/workers/service/tests.rs
+++ b/src/workers/service/tests.rs
@@ -131,7 +131,7 @@
             };
             format!("heard at {heard} s{ready}{deaf}")
         });
-        let planned = core.plans.get("job-1", 0);
+        let planned = core.pending_changes.get("job-1", 0);
         let planned = planned.map_or(String::new(), |p| format!("; to record: {p:?}"));
         let line =
             format!("{at_s} s session {session} #{seq} token {token}: {what}; {seen}{planned}\n");
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -36,15 +36,20 @@
 }
 
 fn trace(replica: &Replica, report: Report) -> String {
-    trace_with(replica, report, &Stops::new(), &Plans::default())
+    trace_with(replica, report, &Stops::new(), &PendingChanges::default())
 }
 
-fn trace_with(replica: &Replica, report: Report, stops: &Stops, plans: &Plans) -> String {
+fn trace_with(
+    replica: &Replica,
+    report: Report,
+    stops: &Stops,
+    pending_changes: &PendingChanges,
+) -> String {
     let now = Instant::now();
     let mut live = Live::new(Arc::new(report.clone()), now);
     let pending = Pending {
         stops,
-        plans,
+        pending_changes,
         cancelled: &BTreeSet::new(),
         may_start: true,
     };
@@ -144,13 +149,13 @@
     let replica = replica(false, json!([[1, "vm-1", 1]]));
     let id = TaskId::new("job-1", 0);
     let stops = Stops::from([((id.clone(), 1), 0.0)]);
-    let none = Plans::default();
+    let none = PendingChanges::default();
     let empty = || report(1, TOKEN, json!([]));
     let first = trace_with(&replica, empty(), &stops, &none);
-    let mut plans = Plans::default();
-    let held = replica.entry("job-1", 0);
-    plans.insert(&id, held, Entry::Waiting { last: 1 });
-    let second = trace_with(&replica, empty(), &Stops::new(), &plans);
+    let mut pending_changes = PendingChanges::default();
+    let held = replica.task_record("job-1", 0);
+    pending_changes.record(&id, held, TaskRecord::Waiting { last: 1 });
+    let second = trace_with(&replica, empty(), &Stops::new(), &pending_changes);
     insta::assert_snapshot!(format!("withdrawn\n{first}not recorded yet\n{second}"), @r#"
     withdrawn
     record job-1/0 Waiting { last: 1 }
@@ -182,10 +187,11 @@
 fn a_machine_that_is_kept_for_long_takes_no_more_memory() {
     let now = Instant::now();
     let mut live = Live::new(Arc::new(report(1, TOKEN, json!([]))), now);
-    let (stops, plans, cancelled) = (Stops::new(), Plans::default(), BTreeSet::new());
+    let (stops, pending_changes, cancelled) =
+        (Stops::new(), PendingChanges::default(), BTreeSet::new());
     let pending = Pending {
         stops: &stops,
-        plans: &plans,
+        pending_changes: &pending_changes,
         cancelled: &cancelled,
         may_start: true,
     };
