--- a/src/limits/blocked.rs
+++ b/src/limits/blocked.rs
@@ -16,7 +16,9 @@
 
 /// Headroom that is reserved for a blocked gang.
 pub struct GangReservation<'a> {
+    /// The gang.
     pub job: &'a str,
+    /// What it needs to start.
     pub amount: Resources,
 }
 
--- a/src/limits/charge.rs
+++ b/src/limits/charge.rs
@@ -8,7 +8,9 @@
 /// What a transaction takes of a team's allocation, and the revisions that it was weighed against.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QuotaCharge {
+    /// The team.
     pub team: String,
+    /// What the transaction takes of the team's allocation at this controller.
     pub amount: ResourceAmount,
     /// The revision of the team's record, 0 if there is none.
     pub record_revision: u64,
--- a/src/limits/team.rs
+++ b/src/limits/team.rs
@@ -11,7 +11,9 @@
 /// A team whose limit is divided, as the replica shows it.
 #[derive(Clone, Copy)]
 pub struct DividedTeam<'a> {
+    /// The team.
     pub name: &'a str,
+    /// Its limit in the settings.
     pub limit: TeamLimit,
     /// The record of its allocations, if there is one.
     pub(super) stored: Option<&'a StoredAllocations>,
@@ -19,7 +21,9 @@
     pub assignment_revision: u64,
     /// The replica has applied all changes up to this revision.
     pub applied_revision: u64,
+    /// What the team uses and waits for, as of the last refresh.
     pub(super) usage: Option<&'a TeamUsage>,
+    /// This controller's quota state of all teams.
     pub(super) holder: &'a QuotaHolder,
 }
 
--- a/src/testing/limits.rs
+++ b/src/testing/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that are divided once every controller was told to, and whole again as soon as one was not.
+//! Limits are divided once every controller is configured to, and whole again as soon as one is not.
 
 use super::tests::{Site, job};
 use super::{Controller, PRESENT, Version};
@@ -7,7 +7,7 @@
 
 const LIMIT: f64 = 4.0;
 
-fn version(divides_limits: bool) -> Version {
+fn version_that(divides_limits: bool) -> Version {
     Version {
         divides_limits,
         limit: LIMIT,
@@ -16,13 +16,13 @@
 }
 
 async fn start(site: &Site, number: usize, divides_limits: bool) -> Controller {
-    let controller = site.start_as(version(divides_limits), number);
+    let controller = site.start_as(version_that(divides_limits), number);
     let ready = async || site.get(number, "/healthz").await.0 == 200;
     until("the controller is healthy", ready).await;
     controller
 }
 
-/// How many controllers the team's limit is divided among; none if it is whole.
+/// The number of controllers that the team's limit is divided among; 0 if one controller has it whole.
 fn divided_among(site: &Site) -> usize {
     let assignments = site.state.stored("r/shares");
     let is_whole = |shares: &serde_json::Value| shares["teams"].get("t").is_some();
@@ -31,11 +31,12 @@
     }
     let records = site.state.stored("r/a/t");
     let record = records.values().next();
-    record.map_or(0, |r| r["allotments"].as_object().map_or(0, |a| a.len()))
+    let allocations = record.and_then(|record| record["allotments"].as_object());
+    allocations.map_or(0, |allocations| allocations.len())
 }
 
-/// Rule `quota` over an upgrade and its return: controllers that divide limits replace those that do not,
-/// one at a time, and one of them goes back, while the team has more work than its limit all along.
+/// Rule `quota` during an upgrade and a downgrade: controllers that divide limits replace those that do not, one
+/// at a time, and one of them is replaced again, while the team always has more work than its limit allows.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn limits_are_divided_while_every_controller_can_and_whole_otherwise() {
     let site = Site::new(2, Duration::from_millis(250)).await;
@@ -43,12 +44,10 @@
     let submit = async |wave: usize| {
         for n in wave * 10..wave * 10 + 10 {
             let id = format!("job-{n}");
-            site.cloud
-                .world
-                .lock()
-                .unwrap()
-                .quota
-                .record_job(&id, "t", 1000);
+            {
+                let mut world = site.cloud.world.lock().unwrap();
+                world.quota.record_job(&id, "t", 1000);
+            }
             site.submit(n % 2, &job(&id, 6, 1.0)).await;
         }
     };
@@ -59,7 +58,7 @@
     drop(first);
     let _first = start(&site, 0, true).await;
     submit(2).await;
-    assert_eq!(divided_among(&site), 0, "one of two was not told to");
+    assert_eq!(divided_among(&site), 0, "one of two is not configured to");
     drop(second);
     let second = start(&site, 1, true).await;
     until("it is divided", async || divided_among(&site) == 2).await;
@@ -74,6 +73,6 @@
         until("it is done", done).await;
     }
     assert_eq!(site.broken_rules(), Vec::<String>::new());
-    let most = site.cloud.world.lock().unwrap().quota.peak_usage("t");
-    assert_eq!(most, 4000, "the whole limit is used");
+    let peak = site.cloud.world.lock().unwrap().quota.peak_usage("t");
+    assert_eq!(peak, 4000, "the whole limit is used");
 }
