--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -131,10 +131,10 @@
 fn health(node: &Node) -> HttpResponse {
     let blind = Duration::from_millis(3500);
     let ready = node.core().loaded && !node.core().kinds.is_empty();
-    if !node.has_state(blind) || !ready {
-        let others = node.peer_status().have_state;
+    if !node.is_connected_within(blind) || !ready {
+        let others = node.peer_status().state_service_reached_at;
         let others_have = others.is_some_and(|at| at.elapsed() < Duration::from_secs(3));
-        if others_have || node.core().proof.is_none() {
+        if others_have || node.core().last_read_barrier.is_none() {
             return retry_later(StatusCode::SERVICE_UNAVAILABLE, 2, "no state service");
         }
     }
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -95,7 +95,7 @@
     if node.peer_status().cancelled.contains(id) {
         return Known::Live(Stage::Cancelled, 0, 0);
     }
-    if !node.has_state(OUT) || !node.sync().await {
+    if !node.is_connected_within(OUT) || !node.read_barrier().await {
         return Known::Unclear;
     }
     // One that waits may be cancelled by what ended before this process began.
@@ -169,7 +169,7 @@
     let Some(_permit) = server.limit.enter(0.8) else {
         return busy();
     };
-    if !node.has_state(OUT) {
+    if !node.is_connected_within(OUT) {
         return no_state();
     }
     // A known job's state must be of now; for a new one the guards of its record say the same.
@@ -337,7 +337,7 @@
     if awaits.is_empty() {
         return Ok(Before::Done);
     }
-    if !node.sync().await {
+    if !node.read_barrier().await {
         return Err(no_state());
     }
     let mut before = Before::Done;
--- a/src/background.rs
+++ b/src/background.rs
@@ -19,10 +19,13 @@
     pub fn start(node: &Arc<Node>) -> Self {
         let mut tasks = Self::default();
         tasks.spawn("state watch", state::follow::run(node.clone()));
-        tasks.spawn("state reads", state::follow::serve_syncs(node.clone()));
+        tasks.spawn(
+            "state reads",
+            state::follow::serve_read_barriers(node.clone()),
+        );
         tasks.spawn("pipelines", pipelines::service::run(node.clone()));
         tasks.spawn("membership", membership::run(node.clone()));
-        tasks.spawn("mesh client", mesh::ask(node.clone()));
+        tasks.spawn("mesh client", mesh::poll_peers(node.clone()));
         tasks.spawn("placement", placement::service::run(node.clone()));
         tasks.spawn("renting", renting::service::run(node.clone()));
         tasks.spawn_cells(node);
--- a/src/cells/scheduler.rs
+++ b/src/cells/scheduler.rs
@@ -182,7 +182,7 @@
             Err(error) => {
                 if !matches!(error, TransactionError::Refused) {
                     // The records in memory may be outdated.
-                    node.sync().await;
+                    node.read_barrier().await;
                 }
                 Err(Unavailable)
             }
@@ -230,7 +230,7 @@
 
 impl Scheduler for CellScheduler {
     fn is_leader(&self) -> bool {
-        membership::lead_mark(&self.node).is_some()
+        membership::leader_revision(&self.node).is_some()
     }
 
     fn local_job_states(&self, ids: &[String]) -> Vec<LocalJobState> {
@@ -258,7 +258,7 @@
         job: &LedgerJob,
         revision: u64,
     ) -> Result<AdoptionOutcome, Unavailable> {
-        if !self.node.sync().await {
+        if !self.node.read_barrier().await {
             return Err(Unavailable);
         }
         if self.is_adopted(id)? {
@@ -287,7 +287,7 @@
     }
 
     async fn relinquish(&self, id: &str, epoch: u64) -> Result<bool, Unavailable> {
-        if !self.node.sync().await {
+        if !self.node.read_barrier().await {
             return Err(Unavailable);
         }
         let previous = self.read_relinquished(id).await?;
--- a/src/jobs/ends.rs
+++ b/src/jobs/ends.rs
@@ -40,7 +40,7 @@
         let jobs = core.replica.jobs.iter();
         jobs.filter_map(|(id, job)| {
             let last = over(&core, id, job)?;
-            core.owns_job(&node.me, id).then(|| Ended {
+            core.owns_job(&node.identity, id).then(|| Ended {
                 id: id.clone(),
                 revision: job.revision,
                 pages: job.pages.keys().copied().take(most - 2).collect(),
--- a/src/jobs/writer.rs
+++ b/src/jobs/writer.rs
@@ -89,7 +89,7 @@
         && write_pages(node).await;
     if !fine {
         // Something failed or went unanswered: what stands is read, never assumed.
-        node.sync().await;
+        node.read_barrier().await;
     }
     settle(&mut node.core());
     if leads {
@@ -145,7 +145,7 @@
         match outcome {
             Ok(revision) => {
                 for d in batch {
-                    let others = !core.owns_job(&node.me, &d.job);
+                    let others = !core.owns_job(&node.identity, &d.job);
                     core.metrics.foreign_pages += u64::from(others);
                     match d.starts {
                         true => core.metrics.start_pages += 1,
@@ -199,13 +199,13 @@
     let _charge = node.processor_time.charge(CpuAccount::RecordWrites);
     // The log may have told of new owners since the turn began: what was seen under an ownership
     // that is over must be forgotten before it is written under the next one's revision.
-    core.note_ownership(&node.me, now);
-    withdraw_unstartable(core, &node.me);
+    core.update_ownership(&node.identity, now);
+    withdraw_unstartable(core, &node.identity);
     limits::withdraw_uncovered_starts(core);
     withdraw_broken_gangs(core);
     let most_guards = node.settings.max_transaction_operations() * 4;
     let at_ease = node.state.write_headroom() >= 0.98;
-    make_up(core, &node.me, most_guards, at_ease, now)
+    make_up(core, &node.identity, most_guards, at_ease, now)
 }
 
 fn make_up(
@@ -315,7 +315,7 @@
             if ours.is_none_or(|m| m.owner != *me || m.state != MachineState::Active) {
                 continue; // it left our hands since this was planned
             }
-            needed.extend(core.machine_guard(machine));
+            needed.extend(core.machine_precondition(machine));
         }
         // What was seen of a task holds as long as its machine is ours: a next owner may have
         // started what we saw absent. A machine in no record is gone for good.
@@ -324,7 +324,7 @@
             if theirs.is_some_and(|m| m.owner != *me) {
                 continue; // an absence that we saw is void once another may send `run`
             }
-            needed.extend(core.machine_guard(machine));
+            needed.extend(core.machine_precondition(machine));
         }
         let more = needed.iter().filter(|g| !rentals.contains(g)).count();
         if rentals.len() + more + fixed_guards > most_guards {
--- a/src/jobs/writer/tests.rs
+++ b/src/jobs/writer/tests.rs
@@ -45,11 +45,11 @@
 #[test]
 fn what_was_seen_under_an_earlier_ownership_is_not_recorded() {
     let (me, mut core) = core();
-    core.note_ownership(&me, Instant::now());
+    core.update_ownership(&me, Instant::now());
     core.record_change(&TaskId::new("job-1", 0), TaskRecord::Waiting { last: 1 });
     let ours = show(&core);
     put(&mut core, "r/m/r-1", rental("vm-1", "me", 2), 12);
-    core.note_ownership(&me, Instant::now());
+    core.update_ownership(&me, Instant::now());
     let after = show(&core);
     insta::assert_snapshot!(format!("seen as owner\n{ours}another's in between\n{after}"), @r#"
     seen as owner
@@ -66,9 +66,9 @@
 #[test]
 fn what_changes_hands_during_a_turn_takes_its_plans_along() {
     let (me, mut core) = core();
-    core.note_ownership(&me, Instant::now());
+    core.update_ownership(&me, Instant::now());
     put(&mut core, "r/m/r-2", rental("vm-2", "me", 1), 9);
-    core.note_ownership(&me, Instant::now());
+    core.update_ownership(&me, Instant::now());
     core.record_change(&TaskId::new("job-1", 0), TaskRecord::Waiting { last: 1 });
     let on_second = TaskRecord::Placed {
         attempt: 1,
@@ -80,7 +80,7 @@
     put(&mut core, "r/m/r-1", rental("vm-1", "other", 2), 12);
     put(&mut core, "r/m/r-2", rental("vm-2", "other", 2), 13);
     let during = show(&core);
-    core.note_ownership(&me, Instant::now());
+    core.update_ownership(&me, Instant::now());
     let entry = core.task_record("job-1", 1);
     insta::assert_snapshot!(
         format!("ours\n{before}lost within the turn\n{during}then the second is {entry:?}"),
@@ -103,7 +103,7 @@
     gang["spec"]["shape"] = json!("group");
     gang["spec"]["sacks"] = json!(20);
     put(&mut core, "r/j/job-2", gang, 9);
-    core.note_ownership(&me, Instant::now());
+    core.update_ownership(&me, Instant::now());
     let start = TaskRecord::Placed {
         attempt: 1,
         machine: "vm-1".into(),
@@ -141,7 +141,7 @@
         0
     ]);
     put(&mut core, "r/p/job-2/0", page, 10);
-    core.note_ownership(&me, Instant::now());
+    core.update_ownership(&me, Instant::now());
     let start = Instant::now();
     let mut trace = String::new();
     let mut say = |core: &Core, what: &str| {
@@ -210,7 +210,7 @@
     }
     // Some of the array's tasks were written on a wide page before.
     put(&mut core, "r/p/job-2/0", json!([true, 3, true]), 400);
-    core.note_ownership(&me, Instant::now());
+    core.update_ownership(&me, Instant::now());
     for (id, tasks) in [("job-1", 16), ("job-2", 300)] {
         for task in 0..tasks {
             let machine = format!("vm-with-a-longer-name-{id}-{task:06}");
@@ -303,7 +303,7 @@
 #[test]
 fn a_start_planned_on_a_machine_that_goes_back_is_planned_anew() {
     let (me, mut core) = core();
-    core.note_ownership(&me, Instant::now());
+    core.update_ownership(&me, Instant::now());
     let start = TaskRecord::Placed {
         attempt: 1,
         machine: "vm-1".into(),
@@ -315,7 +315,7 @@
     let mut returning = rental("vm-1", "me", 1);
     returning["machines"][0][3] = json!(1);
     put(&mut core, "r/m/r-1", returning, 12);
-    core.note_ownership(&me, Instant::now());
+    core.update_ownership(&me, Instant::now());
     withdraw_unstartable(&mut core, &me);
     assert_eq!(core.pending_changes.starts_on("vm-1").count(), 0);
     assert_eq!(
@@ -333,7 +333,7 @@
     other["spec"]["nameId"] = json!("job-2");
     put(&mut core, "r/j/job-2", other, 9);
     put(&mut core, "r/p/job-2/0", json!([[1, "vm-1", 1]]), 10);
-    core.note_ownership(&me, Instant::now());
+    core.update_ownership(&me, Instant::now());
     let start = TaskRecord::Placed {
         attempt: 1,
         machine: "vm-1".into(),
@@ -369,7 +369,7 @@
     gang["spec"]["shape"] = json!("group");
     put(&mut core, "r/j/job-2", gang, 9);
     put(&mut core, "r/m/r-2", rental("vm-2", "me", 1), 10);
-    core.note_ownership(&me, Instant::now());
+    core.update_ownership(&me, Instant::now());
     for (task, machine) in [(0, "vm-1"), (1, "vm-2")] {
         let entry = TaskRecord::Placed {
             attempt: 1,
@@ -381,7 +381,7 @@
     withdraw_broken_gangs(&mut core);
     let whole = show(&core);
     put(&mut core, "r/m/r-2", rental("vm-2", "other", 2), 12);
-    core.note_ownership(&me, Instant::now());
+    core.update_ownership(&me, Instant::now());
     withdraw_broken_gangs(&mut core);
     let broken = show(&core);
     insta::assert_snapshot!(format!("whole\n{whole}one machine lost\n{broken}"), @r#"
@@ -444,7 +444,7 @@
 #[test]
 fn an_exit_does_not_undo_a_later_start() {
     let (me, mut core) = core();
-    core.note_ownership(&me, Instant::now());
+    core.update_ownership(&me, Instant::now());
     core.record_change(&TaskId::new("job-1", 0), TaskRecord::Waiting { last: 1 });
     put(&mut core, "r/m/r-2", rental("vm-2", "other", 1), 12);
     let page = json!([[2, "vm-2", 1]]);
@@ -452,7 +452,7 @@
     let later = show(&core);
     put(&mut core, "r/p/job-1/0", json!([[1, "vm-1", 1]]), 14);
     put(&mut core, "r/m/r-1", rental("vm-1", "other", 2), 15);
-    core.note_ownership(&me, Instant::now());
+    core.update_ownership(&me, Instant::now());
     let lost = show(&core);
     insta::assert_snapshot!(format!("started again\n{later}machine lost\n{lost}"), @r"
     started again
@@ -483,7 +483,7 @@
         let rental = rental(&format!("vm-with-a-longer-name-{n:06}"), "me", 1);
         put(&mut core, &format!("r/m/r-1234567-{n}"), rental, 10 + n);
     }
-    core.note_ownership(&me, Instant::now());
+    core.update_ownership(&me, Instant::now());
     for task in 0..100_000 {
         let machine = format!("vm-with-a-longer-name-{:06}", task % 1000);
         let entry = TaskRecord::Placed {
--- a/src/limits/leader.rs
+++ b/src/limits/leader.rs
@@ -15,7 +15,7 @@
     }
     // What is in use is known once all changes up to the assignment's and the records' are applied.
     let is_behind = is_behind(&node.core());
-    if is_behind && !node.sync().await {
+    if is_behind && !node.read_barrier().await {
         return;
     }
     let max_records = node.settings.max_transaction_operations();
--- a/src/membership/assignment.rs
+++ b/src/membership/assignment.rs
@@ -40,7 +40,7 @@
 const PER_GANGS: usize = 4;
 
 /// The same in each process and version: FNV-1a.
-pub fn spot_of(id: &str) -> usize {
+pub fn hash_slot(id: &str) -> usize {
     let hash = id.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
     });
@@ -51,7 +51,7 @@
     /// The controller that places a job and ends it.
     pub fn owner(&self, job: &JobRecord) -> Option<&Member> {
         let spec = &job.spec;
-        let of = |list: &[usize]| list.get(spot_of(&spec.id) % list.len().max(1)).copied();
+        let of = |list: &[usize]| list.get(hash_slot(&spec.id) % list.len().max(1)).copied();
         let named = || {
             let name = job.placer.as_ref()?;
             self.members.iter().position(|m| m.name == *name)
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -6,7 +6,7 @@
 pub mod schema_versions;
 mod sharing;
 
-pub use sharing::{assign_work, choose_placer, demand};
+pub use sharing::{choose_placer, demand, rebalance};
 
 use crate::node::Node;
 use crate::state::replica::{LeaderRecord, PresenceRecord};
@@ -21,17 +21,17 @@
 
 /// How this node stands among the controllers.
 #[derive(Debug, Default)]
-pub struct Standing {
+pub struct ElectionState {
     pub lease: Option<u64>,
     /// When the last call was sent that renewed the presence lease.
-    pub lease_proof: Option<Instant>,
+    pub lease_renewed_at: Option<Instant>,
     /// Mark of the leader key under which this node did the leader's duties last, and since when.
     pub leading: Option<(u64, Instant)>,
     /// When the leader shared out last, and among whom.
     shared_at: Option<Instant>,
     shared_among: BTreeSet<Member>,
     /// This node cannot hear most workers and leaves the lead to others until then.
-    pub stand_back_until: Option<Instant>,
+    pub stepped_down_until: Option<Instant>,
     pub probe: Probe,
     spoken: Option<Spoken>,
 }
@@ -52,8 +52,8 @@
     let (lease, stands_back) = {
         let core = node.core();
         (
-            core.standing.lease,
-            core.standing.stand_back_until.is_some(),
+            core.election.lease,
+            core.election.stepped_down_until.is_some(),
         )
     };
     if let Some(lease) = lease
@@ -61,7 +61,7 @@
     {
         // Its teams and machines, and the lead if it has it, go to others with the lease.
         if node.state.revoke_lease(lease).await.is_ok() {
-            node.core().standing.lease = None;
+            node.core().election.lease = None;
         }
         return;
     }
@@ -71,12 +71,12 @@
         Some(lease) => match extend(node, lease).await {
             Err(ReadError::LeaseExpired) => {
                 tracing::info!("the presence lease is over");
-                node.core().standing.lease = None;
+                node.core().election.lease = None;
             }
             Ok(()) => {
                 if announce(node, lease).await {
                     campaign(node, lease).await;
-                    schema_versions::keep(node).await;
+                    schema_versions::update_record(node).await;
                 }
             }
             Err(_) => {}
@@ -87,19 +87,19 @@
 async fn extend(node: &Node, lease: u64) -> Result<(), ReadError> {
     let sent = Instant::now();
     node.state.extend_lease(lease).await?;
-    node.core().standing.lease_proof = Some(sent);
+    node.core().election.lease_renewed_at = Some(sent);
     Ok(())
 }
 
 async fn join(node: &Arc<Node>, ttl: Duration) {
-    let me = &node.me.name;
+    let me = &node.identity.name;
     let old = {
         let core = node.core();
         let old = core.replica.presence.get(me);
         old.map(|p| (p.record.incarnation, p.record.lease))
     };
     if let Some((incarnation, lease)) = old
-        && incarnation != node.me.incarnation
+        && incarnation != node.identity.incarnation
     {
         // A process of the same name that ended: its lease would only keep others waiting.
         let _ = node.state.revoke_lease(lease).await;
@@ -110,10 +110,10 @@
     };
     {
         let mut core = node.core();
-        core.standing.lease_proof = Some(sent);
-        core.standing.lease = Some(lease);
+        core.election.lease_renewed_at = Some(sent);
+        core.election.lease = Some(lease);
     }
-    if announce(node, lease).await && node.sync().await {
+    if announce(node, lease).await && node.read_barrier().await {
         campaign(node, lease).await;
     }
 }
@@ -124,14 +124,14 @@
 /// is guarded by the revision before, and what the records tell is compared at each turn.
 async fn announce(node: &Node, lease: u64) -> bool {
     let record = PresenceRecord {
-        incarnation: node.me.incarnation,
+        incarnation: node.identity.incarnation,
         lease,
-        forms: node.can,
+        supported_level: node.supported_level,
     };
-    let key = presence_key(&node.me.name);
+    let key = presence_key(&node.identity.name);
     let revision = {
         let core = node.core();
-        let held = core.replica.presence.get(&node.me.name);
+        let held = core.replica.presence.get(&node.identity.name);
         if held.is_some_and(|held| held.record == record) {
             return true;
         }
@@ -153,9 +153,9 @@
         }
         Err(error) => {
             if matches!(error, TransactionError::LeaseExpired) {
-                node.core().standing.lease = None;
+                node.core().election.lease = None;
             }
-            node.sync().await;
+            node.read_barrier().await;
             false
         }
     }
@@ -170,8 +170,8 @@
         return;
     }
     let record = LeaderRecord {
-        member: node.me.name.clone(),
-        incarnation: node.me.incarnation,
+        member: node.identity.name.clone(),
+        incarnation: node.identity.incarnation,
         lease,
     };
     let guard = Precondition {
@@ -181,28 +181,28 @@
     let put = leased(LEADER_KEY.into(), &record, lease);
     match node.state.compare_and_swap(&[guard], &[put]).await {
         Ok(_) => tracing::info!("elected"),
-        Err(TransactionError::LeaseExpired) => node.core().standing.lease = None,
+        Err(TransactionError::LeaseExpired) => node.core().election.lease = None,
         Err(_) => {}
     }
-    node.sync().await;
+    node.read_barrier().await;
 }
 
 /// Whether the leader record is this very process's; its revision.
-pub fn lead_mark(node: &Node) -> Option<u64> {
+pub fn leader_revision(node: &Node) -> Option<u64> {
     let core = node.core();
     let leader = core.replica.leader.as_ref()?;
-    let ours =
-        leader.record.member == node.me.name && leader.record.incarnation == node.me.incarnation;
+    let ours = leader.record.member == node.identity.name
+        && leader.record.incarnation == node.identity.incarnation;
     ours.then_some(leader.revision)
 }
 
 /// Notes whether this node leads, and since when.
-pub fn note_lead(node: &Node, revision: Option<u64>) {
+pub fn record_leadership(node: &Node, revision: Option<u64>) {
     let mut core = node.core();
-    let before = core.standing.leading.map(|(revision, _)| revision);
+    let before = core.election.leading.map(|(revision, _)| revision);
     if before != revision {
         tracing::info!(?revision, "the lead changed hands");
-        core.standing.leading = revision.map(|revision| (revision, Instant::now()));
+        core.election.leading = revision.map(|revision| (revision, Instant::now()));
     }
 }
 
@@ -212,10 +212,10 @@
     let alone = core.replica.presence.is_empty();
     if alone
         || core
-            .standing
-            .stand_back_until
+            .election
+            .stepped_down_until
             .is_some_and(|until| until <= Instant::now())
     {
-        core.standing.stand_back_until = None;
+        core.election.stepped_down_until = None;
     }
 }
--- a/src/membership/schema_versions.rs
+++ b/src/membership/schema_versions.rs
@@ -1,7 +1,9 @@
-//! What may be written once no process of the version before can be there any more. That version
-//! would run a job that waits for others at once, and cannot read dense pages. So each node says in
-//! its presence what it can do, and new forms begin when every configured node has been seen to; from
-//! then on they stay, by a record that nothing removes.
+//! Activation of new encodings of durable records during a rolling upgrade.
+//!
+//! A controller of the previous version would run a job with dependencies at once, and cannot read a compact
+//! progress page. So each controller publishes its [`FeatureLevel`] in its presence record, and the new encodings
+//! are activated once every configured controller was seen at the required level. The activation is a durable
+//! record that nothing removes: it must never be undone, since compact pages may exist from then on.
 
 use crate::jobs::PageLayout;
 use crate::node::Node;
@@ -9,95 +11,129 @@
 use crate::state::{FORMS_KEY, Operation, Precondition, presence_key};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
+use std::fmt;
 
-/// What this version can do: jobs that wait for others, dense pages.
-pub const CAN: u32 = 1;
-/// The same, and that it was told to divide teams' limits.
-pub const CAN_DIVIDE_LIMITS: u32 = 2;
+/// The features that a controller's process supports; each level includes those below it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct FeatureLevel(u32);
 
-/// Who has been seen to be of this version, and whether all have.
+impl FeatureLevel {
+    /// The previous version, which publishes no level.
+    pub const NONE: Self = Self(0);
+    /// Jobs with dependencies, and compact progress pages.
+    pub const COMPACT_PAGES: Self = Self(1);
+    /// In addition, the process was configured to divide teams' quotas among the controllers.
+    pub const DIVIDED_QUOTAS: Self = Self(2);
+}
+
+impl Default for FeatureLevel {
+    fn default() -> Self {
+        Self::NONE
+    }
+}
+
+impl fmt::Display for FeatureLevel {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(f)
+    }
+}
+
+/// Durable record of the upgrade: who supports the new encodings, and whether they are activated.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct SchemaVersions {
-    pub seen: BTreeSet<String>,
-    /// How jobs are divided into pages, from the beginning on: it must not change with the settings
-    /// while there are pages.
+    /// Controllers that were at [`FeatureLevel::COMPACT_PAGES`] or above when last seen.
+    #[serde(rename = "seen")]
+    pub upgraded_members: BTreeSet<String>,
+    /// How jobs are divided into pages, present once activated: it must not follow the settings while there
+    /// are pages.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub layout: Option<PageLayout>,
 }
 
 impl SchemaVersions {
-    pub fn begun(&self) -> bool {
+    /// Whether the new encodings may be written.
+    pub fn is_activated(&self) -> bool {
         self.layout.is_some()
     }
 }
 
-/// The record as it should be, if that is not what is there. A node that is absent counts as last
-/// seen: one of this version is not put back to the one before once the new forms have begun, and
-/// before that its presence tells.
-pub fn wanted(members: &[&str], layout: &PageLayout, replica: &Replica) -> Option<SchemaVersions> {
-    let before = replica.forms.as_ref().map(|f| &f.record);
-    if before.is_some_and(SchemaVersions::begun) {
+/// Decides what the record should become, `None` if it is up to date or already activated.
+///
+/// An absent controller counts as last seen: one of this version is not downgraded once the new encodings are
+/// activated, and before that its next presence record shows its level.
+pub fn next_record(
+    members: &[&str],
+    layout: &PageLayout,
+    replica: &Replica,
+) -> Option<SchemaVersions> {
+    let current = replica.forms.as_ref().map(|versioned| &versioned.record);
+    if current.is_some_and(SchemaVersions::is_activated) {
         return None;
     }
-    let mut forms = before.cloned().unwrap_or_default();
+    let mut next = current.cloned().unwrap_or_default();
     for name in members {
-        match replica.presence.get(*name) {
-            Some(presence) if presence.record.forms >= CAN => {
-                forms.seen.insert((*name).to_owned());
-            }
-            Some(_) => {
-                forms.seen.remove(*name);
-            }
-            None => {}
+        let Some(presence) = replica.presence.get(*name) else {
+            continue;
+        };
+        if presence.record.supported_level >= FeatureLevel::COMPACT_PAGES {
+            next.upgraded_members.insert((*name).to_owned());
+        } else {
+            next.upgraded_members.remove(*name);
         }
     }
-    if members.iter().all(|name| forms.seen.contains(*name)) {
-        forms.layout = Some(*layout);
+    if members
+        .iter()
+        .all(|name| next.upgraded_members.contains(*name))
+    {
+        next.layout = Some(*layout);
     }
-    (before != Some(&forms) && !forms.seen.is_empty()).then_some(forms)
+    let is_changed = current != Some(&next) && !next.upgraded_members.is_empty();
+    is_changed.then_some(next)
 }
 
-/// Any node of this version brings the record up to date: the leader may be of the one before.
-pub async fn keep(node: &Node) {
-    if node.can < CAN {
+/// Brings the durable record up to date. Every controller of this version does so, not the leader alone, which
+/// may be of the previous version. A refused transaction is tried again by the next call.
+pub async fn update_record(node: &Node) {
+    if node.supported_level < FeatureLevel::COMPACT_PAGES {
         return;
     }
-    let (forms, guards) = {
-        let core = node.core();
-        let members = node.settings.member_names();
-        let Some(forms) = wanted(&members, &node.settings.page_layout(), &core.replica) else {
-            return;
-        };
-        // Under the presences that it follows from: one may be back with the version before.
-        let presence = |name: &&str| core.replica.presence.get(*name).map_or(0, |p| p.revision);
-        let mut guards: Vec<Precondition> = members
-            .iter()
-            .map(|name| Precondition {
-                key: presence_key(name),
-                revision: presence(name),
-            })
-            .collect();
-        guards.truncate(node.settings.max_transaction_operations() * 4 - 1);
-        let revision = core.replica.forms.as_ref().map_or(0, |f| f.revision);
-        guards.push(Precondition {
-            key: FORMS_KEY.into(),
-            revision,
-        });
-        (forms, guards)
+    let Some((record, preconditions)) = prepare_update(node) else {
+        return;
     };
-    let begun = forms.begun();
-    let put = Operation::put(FORMS_KEY.into(), &forms);
-    if let Ok(revision) = node
+    let put = Operation::put(FORMS_KEY.into(), &record);
+    let written = node
         .state
-        .compare_and_swap(&guards, std::slice::from_ref(&put))
-        .await
-    {
+        .compare_and_swap(&preconditions, std::slice::from_ref(&put))
+        .await;
+    if let Ok(revision) = written {
         node.core().apply(vec![put], revision);
-        if begun {
-            tracing::info!("all controllers are of this version: its forms begin");
+        if record.is_activated() {
+            tracing::info!("schema version activated");
         }
     }
 }
 
+/// The record to write, and the revisions that it was derived from.
+fn prepare_update(node: &Node) -> Option<(SchemaVersions, Vec<Precondition>)> {
+    let core = node.core();
+    let members = node.settings.member_names();
+    let record = next_record(&members, &node.settings.page_layout(), &core.replica)?;
+    // Under the presence records that it was derived from: a controller may have returned with the previous version.
+    let mut preconditions: Vec<Precondition> = members
+        .iter()
+        .map(|name| Precondition {
+            key: presence_key(name),
+            revision: core.replica.presence.get(*name).map_or(0, |p| p.revision),
+        })
+        .collect();
+    preconditions.truncate(node.settings.max_transaction_operations() * 4 - 1);
+    preconditions.push(Precondition {
+        key: FORMS_KEY.into(),
+        revision: core.replica.forms.as_ref().map_or(0, |f| f.revision),
+    });
+    Some((record, preconditions))
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/membership/schema_versions/tests.rs
+++ b/src/membership/schema_versions/tests.rs
@@ -2,11 +2,11 @@
 use crate::jobs::pages::tests::wide;
 use crate::state::replica::{PresenceRecord, Versioned};
 
-fn presence(incarnation: u64, forms: u32) -> Versioned<PresenceRecord> {
+fn presence(incarnation: u64, level: FeatureLevel) -> Versioned<PresenceRecord> {
     let record = PresenceRecord {
         incarnation,
         lease: 1,
-        forms,
+        supported_level: level,
     };
     let revision = incarnation;
     Versioned { record, revision }
@@ -21,36 +21,50 @@
     let mut revision = 100;
     let mut trace = String::new();
     let mut step = |what: &str, replica: &mut Replica| {
-        if let Some(forms) = wanted(&members, &wide(8), replica) {
+        if let Some(forms) = next_record(&members, &wide(8), replica) {
             revision += 1;
             let text = serde_json::to_string(&forms).unwrap();
             replica.put("r/forms", &text, revision);
         }
         let forms = replica.forms.as_ref().map(|f| &f.record);
-        let seen: Vec<_> = forms.iter().flat_map(|f| &f.seen).collect();
+        let seen: Vec<_> = forms.iter().flat_map(|f| &f.upgraded_members).collect();
         let begun = replica.has_begun();
         trace.push_str(&format!("{what}: seen {seen:?}, begun {begun}\n"));
     };
     for name in members {
-        replica.presence.insert(name.into(), presence(1, 0));
+        replica
+            .presence
+            .insert(name.into(), presence(1, FeatureLevel::NONE));
     }
     step("all old", &mut replica);
-    replica.presence.insert("a".into(), presence(2, CAN));
+    replica
+        .presence
+        .insert("a".into(), presence(2, FeatureLevel::COMPACT_PAGES));
     step("a is new", &mut replica);
     replica.presence.remove("b");
     step("b is absent", &mut replica);
-    replica.presence.insert("b".into(), presence(3, CAN));
+    replica
+        .presence
+        .insert("b".into(), presence(3, FeatureLevel::COMPACT_PAGES));
     step("b is new", &mut replica);
-    replica.presence.insert("a".into(), presence(4, 0));
+    replica
+        .presence
+        .insert("a".into(), presence(4, FeatureLevel::NONE));
     step("a was put back", &mut replica);
-    replica.presence.insert("a".into(), presence(5, CAN));
+    replica
+        .presence
+        .insert("a".into(), presence(5, FeatureLevel::COMPACT_PAGES));
     replica.presence.remove("b");
     step("a is new, b absent", &mut replica);
     replica.presence.remove("c");
     step("c is absent, too", &mut replica);
-    replica.presence.insert("c".into(), presence(6, CAN));
+    replica
+        .presence
+        .insert("c".into(), presence(6, FeatureLevel::COMPACT_PAGES));
     step("c is new, b still absent", &mut replica);
-    replica.presence.insert("b".into(), presence(7, 0));
+    replica
+        .presence
+        .insert("b".into(), presence(7, FeatureLevel::NONE));
     step("whatever comes", &mut replica);
     insta::assert_snapshot!(trace, @r#"
     all old: seen [], begun false
--- a/src/membership/sharing.rs
+++ b/src/membership/sharing.rs
@@ -3,7 +3,7 @@
 use super::assignment::{
     Assignment, Demand, Member, Shared, Wanted, Work, part_jobs, part_machines,
 };
-use super::schema_versions::CAN_DIVIDE_LIMITS;
+use super::schema_versions::FeatureLevel;
 use crate::fleet::{RentalPart, split_to_fit};
 use crate::jobs::JobRecord;
 use crate::metrics::CpuAccount;
@@ -147,7 +147,7 @@
     }
     let (kind, machines) = weight(node, core, record, spec.tasks, 0.0)?;
     let fresh = |s: &Spoken| s.at.elapsed() < SPOKEN_FOR && s.shares_mark == kept.revision;
-    let mut spoken = match core.standing.spoken.take().filter(fresh) {
+    let mut spoken = match core.election.spoken.take().filter(fresh) {
         Some(spoken) => spoken,
         None => Spoken::new(node, core, &kept.record, kept.revision),
     };
@@ -158,7 +158,7 @@
     if let Some(best) = &best {
         *spoken.wanted.entry((best.clone(), kind)).or_default() += machines;
     }
-    core.standing.spoken = Some(spoken);
+    core.election.spoken = Some(spoken);
     best.map(|m| m.name)
 }
 
@@ -166,7 +166,8 @@
 /// before takes no part in it, and has them whole again from its arrival on.
 fn divides_limits(node: &Node, core: &Core) -> bool {
     let mut present = core.replica.presence.values();
-    node.can >= CAN_DIVIDE_LIMITS && present.all(|p| p.record.forms >= CAN_DIVIDE_LIMITS)
+    node.supported_level >= FeatureLevel::DIVIDED_QUOTAS
+        && present.all(|p| p.record.supported_level >= FeatureLevel::DIVIDED_QUOTAS)
 }
 
 fn wanted_change(node: &Node, core: &Core, settled: bool) -> Change {
@@ -184,7 +185,7 @@
         whole: &whole,
         gangs,
     };
-    let shares = part_jobs(&present, &node.me, before, &work);
+    let shares = part_jobs(&present, &node.identity, before, &work);
     let (demand, ..) = demand(node, core, &shares);
     let machines = &replica.fleet.machines;
     let shared: Vec<Shared> = machines
@@ -224,13 +225,13 @@
 /// The leader's duty: everything belongs to a controller that is there, and machines follow the
 /// work. A machine that changes hands has a higher token, so that whatever its old owner still
 /// sends fails on its guards, and the worker drops the old owner's answers.
-pub async fn assign_work(node: &Arc<Node>, revision: u64) {
+pub async fn rebalance(node: &Arc<Node>, revision: u64) {
     let change = {
         let _charge = node.processor_time.charge(CpuAccount::Scaling);
         let mut core = node.core();
         let present = core.replica.present();
         let fleet = &core.replica.fleet.machines;
-        let orphaned = present != core.standing.shared_among
+        let orphaned = present != core.election.shared_among
             || core.replica.assignment.is_none()
             || fleet.values().any(|m| !present.contains(&m.owner));
         // Records of machines that follow the work take the place of starts where puts are short.
@@ -238,13 +239,13 @@
             true => SHARE_EVERY * 2,
             false => SHARE_EVERY,
         };
-        let shared_at = core.standing.shared_at;
+        let shared_at = core.election.shared_at;
         let due = shared_at.is_none_or(|at| at.elapsed() >= every);
         if core.kinds.is_empty() || !(due || orphaned) {
             return;
         }
-        core.standing.shared_at = Some(Instant::now());
-        core.standing.shared_among = present;
+        core.election.shared_at = Some(Instant::now());
+        core.election.shared_among = present;
         (wanted_change(node, &core, due), orphaned)
     };
     let (change, orphaned) = change;
@@ -325,7 +326,7 @@
         }
         Err(error) => {
             tracing::debug!(%error, "the sharing was not written");
-            node.sync().await;
+            node.read_barrier().await;
         }
     }
 }
--- a/src/membership/sharing/tests.rs
+++ b/src/membership/sharing/tests.rs
@@ -20,7 +20,11 @@
             "cloud": {"rps": 8.0, "list_lag_s": 4.0},
             "limits": {"core_share": 1.0, "mem_mb": 72.0, "sockets": 500}, "skew_ms": 25.0}});
     let settings = Settings::parse(&settings.to_string(), "test").unwrap();
-    let node = Node::new(schema_versions::CAN, settings, Policy::default());
+    let node = Node::new(
+        schema_versions::FeatureLevel::COMPACT_PAGES,
+        settings,
+        Policy::default(),
+    );
     let mut core = node.core();
     let kind = json!({"sku":"m","cpus":4.0,"memGb":16.0,"hourly":1.0,"yards":["a"]});
     core.kinds = vec![serde_json::from_value::<MachineType>(kind).unwrap()];
@@ -38,9 +42,9 @@
         let name = choose_placer(&node, &mut core, &job(tasks)).unwrap();
         format!("{tasks} tasks to {name}")
     });
-    let looked_at = core.standing.spoken.as_ref().map(|s| s.at);
+    let looked_at = core.election.spoken.as_ref().map(|s| s.at);
     choose_placer(&node, &mut core, &job(1)).unwrap();
-    assert_eq!(core.standing.spoken.as_ref().map(|s| s.at), looked_at);
+    assert_eq!(core.election.spoken.as_ref().map(|s| s.at), looked_at);
     insta::assert_snapshot!(chosen.join("\n"), @r#"
     40 tasks to n-0
     4 tasks to n-1
--- a/src/mesh/attestation.rs
+++ b/src/mesh/attestation.rs
@@ -37,7 +37,7 @@
 #[derive(Debug, Default)]
 pub struct PeerStatus {
     /// When another controller last had the state service, and when one last answered at all.
-    pub have_state: Option<Instant>,
+    pub state_service_reached_at: Option<Instant>,
     pub any: Option<Instant>,
     /// Jobs that others know to be cancelled and this node may not.
     pub cancelled: Arc<BTreeSet<String>>,
@@ -65,14 +65,14 @@
         asked: Instant,
     ) {
         for id in &attestation.cancelled {
-            self.note_cancelled(id);
+            self.record_cancelled(id);
         }
         if attestation.is_disconnected && known == Some(attestation.incarnation) {
             self.attested_at.insert(peer.to_owned(), asked);
         }
     }
 
-    pub fn note_cancelled(&mut self, cancelled: &str) {
+    pub fn record_cancelled(&mut self, cancelled: &str) {
         if !self.cancelled.contains(cancelled) {
             Arc::make_mut(&mut self.cancelled).insert(cancelled.to_owned());
         }
@@ -93,8 +93,11 @@
     let core = node.core();
     let cancelled = core.replica.jobs.iter().filter(|(_, j)| j.record.cancelled);
     Attestation {
-        incarnation: node.me.incarnation,
-        is_disconnected: core.loaded && core.proof.is_some_and(|p| p.elapsed() > WITHOUT_STATE),
+        incarnation: node.identity.incarnation,
+        is_disconnected: core.loaded
+            && core
+                .last_read_barrier
+                .is_some_and(|p| p.elapsed() > WITHOUT_STATE),
         cancelled: cancelled.map(|(id, _)| id.clone()).collect(),
     }
 }
--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -14,7 +14,7 @@
 use tokio::task::JoinSet;
 
 #[derive(Debug, bitcode::Encode, bitcode::Decode)]
-pub struct Status {
+pub struct StatusFrame {
     pub member: String,
     /// Milliseconds since the last proven contact with the state service.
     pub state_age_ms: Option<u64>,
@@ -25,26 +25,26 @@
 /// Contact this fresh counts as having the state service.
 const FRESH_MS: u64 = 2500;
 
-fn status(node: &Node) -> Status {
-    let proof = node.core().proof;
-    Status {
+fn status(node: &Node) -> StatusFrame {
+    let proof = node.core().last_read_barrier;
+    StatusFrame {
         member: node.settings.member.clone(),
         state_age_ms: proof.map(|p| p.elapsed().as_millis() as u64),
     }
 }
 
-async fn send(stream: &mut TcpStream, status: &Status) -> std::io::Result<()> {
+async fn send(stream: &mut TcpStream, status: &StatusFrame) -> std::io::Result<()> {
     let frame = bitcode::encode(status);
     stream.write_u16(frame.len() as u16).await?;
     stream.write_all(&frame).await
 }
 
-async fn receive(stream: &mut TcpStream) -> std::io::Result<Status> {
+async fn receive(stream: &mut TcpStream) -> std::io::Result<StatusFrame> {
     let length = stream.read_u16().await?;
     receive_rest(stream, length.into()).await
 }
 
-async fn receive_rest(stream: &mut TcpStream, length: usize) -> std::io::Result<Status> {
+async fn receive_rest(stream: &mut TcpStream, length: usize) -> std::io::Result<StatusFrame> {
     if length > MOST_FRAME {
         return Err(std::io::ErrorKind::InvalidData.into());
     }
@@ -82,18 +82,18 @@
 /// Contact this fresh leaves nothing to ask.
 const CONTACT: Duration = Duration::from_millis(2000);
 
-async fn ask_status(peer: SocketAddr, own: Status) -> std::io::Result<Status> {
+async fn ask_status(peer: SocketAddr, own: StatusFrame) -> std::io::Result<StatusFrame> {
     let mut stream = TcpStream::connect(peer).await?;
     send(&mut stream, &own).await?;
     receive(&mut stream).await
 }
 
 /// Asks the others, but only while this node itself lacks the state service.
-pub async fn ask(node: Arc<Node>) {
+pub async fn poll_peers(node: Arc<Node>) {
     let mut attested_before = None;
     loop {
         tokio::time::sleep(EVERY).await;
-        let proof = node.core().proof;
+        let proof = node.core().last_read_barrier;
         if let Some(proof) = proof.filter(|p| p.elapsed() <= CONTACT) {
             node.peer_status().settle(proof);
             attested_before = None;
@@ -125,7 +125,7 @@
         }
         // What one said a moment before must not keep sending workers on that nobody else answers.
         if all_lack {
-            node.peer_status().have_state = None;
+            node.peer_status().state_service_reached_at = None;
         }
         let peers = node.settings.peers.iter().map(|p| p.member.as_str());
         let (all_attest, cancelled) = {
@@ -143,13 +143,13 @@
 }
 
 /// Whether the one that told so has the state service.
-fn note_status(node: &Node, told: &Status) -> bool {
+fn note_status(node: &Node, told: &StatusFrame) -> bool {
     let has_state = told.state_age_ms.is_some_and(|age| age < FRESH_MS);
     let mut peers = node.peer_status();
     peers.any = Some(Instant::now());
     if has_state {
         tracing::debug!(peer = told.member, "another node has the state service");
-        peers.have_state = Some(Instant::now());
+        peers.state_service_reached_at = Some(Instant::now());
     }
     has_state
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -5,9 +5,9 @@
 use crate::jobs::runtime_estimate::{Failures, RuntimeEstimate};
 use crate::jobs::{JobSpec, PageLayout, TaskId, TaskRecord};
 use crate::limits::TeamQuotas;
-use crate::membership::Standing;
+use crate::membership::ElectionState;
 use crate::membership::assignment::Member;
-use crate::membership::schema_versions::CAN_DIVIDE_LIMITS;
+use crate::membership::schema_versions::FeatureLevel;
 use crate::mesh::attestation::PeerStatus;
 use crate::metrics::memory::MemoryPressure;
 use crate::metrics::{Metrics, ProcessorTime};
@@ -29,11 +29,11 @@
     pub replica: Replica,
     /// When the request was sent whose answer last proved contact with the state service and
     /// brought all changes up to then.
-    pub proof: Option<Instant>,
+    pub last_read_barrier: Option<Instant>,
     /// Since when it has had contact without a longer break.
-    pub contact_since: Option<Instant>,
+    pub connected_since: Option<Instant>,
     pub loaded: bool,
-    pub standing: Standing,
+    pub election: ElectionState,
     pub pending_changes: PendingChanges,
     pub limits: TeamQuotas,
     pub workers: Workers,
@@ -48,14 +48,14 @@
 pub struct Node {
     pub settings: Settings,
     pub policy: Policy,
-    pub me: Member,
-    /// What this process can do, see `membership::schema_versions`.
-    pub can: u32,
+    pub identity: Member,
+    /// What this process supports, see `membership::schema_versions`.
+    pub supported_level: FeatureLevel,
     pub state: StateClient,
     pub cloud: CloudClient,
     core: Mutex<Core>,
-    sync_waiters: Mutex<Vec<oneshot::Sender<bool>>>,
-    pub sync_wanted: Notify,
+    read_barrier_waiters: Mutex<Vec<oneshot::Sender<bool>>>,
+    pub read_barrier_requested: Notify,
     /// Something changed that the placing loop should look at.
     pub wake_up: Notify,
     /// Placing ticks, counted as they begin and as they end.
@@ -71,11 +71,11 @@
 const PEERS_SILENT: Duration = Duration::from_secs(5);
 
 impl Node {
-    pub fn new(can: u32, settings: Settings, policy: Policy) -> Self {
+    pub fn new(supported_level: FeatureLevel, settings: Settings, policy: Policy) -> Self {
         let now = Instant::now();
         Self {
-            can,
-            me: Member {
+            supported_level,
+            identity: Member {
                 name: settings.member.clone(),
                 incarnation: rand::random::<u64>() >> 12,
             },
@@ -86,8 +86,8 @@
             ),
             cloud: CloudClient::new(settings.endpoints.cloud),
             core: Mutex::new(Core::new(settings.page_layout(), now)),
-            sync_waiters: Mutex::default(),
-            sync_wanted: Notify::new(),
+            read_barrier_waiters: Mutex::default(),
+            read_barrier_requested: Notify::new(),
             wake_up: Notify::new(),
             ticks: watch::Sender::new((0, 0)),
             heard: Mutex::default(),
@@ -103,7 +103,7 @@
     pub fn with_limits(mut self, config: Option<LimitsConfig>) -> Self {
         let config = match config {
             Some(config) => {
-                self.can = self.can.max(CAN_DIVIDE_LIMITS);
+                self.supported_level = self.supported_level.max(FeatureLevel::DIVIDED_QUOTAS);
                 config
             }
             None => LimitsConfig::default(),
@@ -114,7 +114,7 @@
 
     /// Takes part in the cells of an operators' file, as a controller of `cell`.
     pub fn in_cell(mut self, config: CellsConfig, cell: &str) -> Self {
-        let Member { name, incarnation } = &self.me;
+        let Member { name, incarnation } = &self.identity;
         self.cells = Some(Arc::new(CellCoordinator::new(
             config,
             cell,
@@ -135,62 +135,62 @@
 
     /// Waits for a read of the state service that was sent after this call: whatever any node
     /// told any user before is then in the replica. One read serves all who wait.
-    pub async fn sync(&self) -> bool {
+    pub async fn read_barrier(&self) -> bool {
         let (send, receive) = oneshot::channel();
-        self.sync_waiters.lock().unwrap().push(send);
-        self.sync_wanted.notify_one();
+        self.read_barrier_waiters.lock().unwrap().push(send);
+        self.read_barrier_requested.notify_one();
         receive.await.unwrap_or(false)
     }
 
-    pub fn cycle_begins(&self) {
+    pub fn begin_scheduling_cycle(&self) {
         self.ticks.send_modify(|(begun, _)| *begun += 1);
     }
 
-    pub fn cycle_ended(&self) {
+    pub fn end_scheduling_cycle(&self) {
         self.ticks.send_modify(|(begun, ended)| *ended = *begun);
     }
 
     /// Waits until a tick that begins after this call has ended, but no longer than `limit`.
-    pub async fn next_cycle(&self, limit: Duration) {
+    pub async fn await_next_scheduling_cycle(&self, limit: Duration) {
         let mut ticks = self.ticks.subscribe();
         let wanted = ticks.borrow().0 + 1;
         let ended = ticks.wait_for(|(_, ended)| *ended >= wanted);
         let _ = tokio::time::timeout(limit, ended).await;
     }
 
-    pub fn take_sync_waiters(&self) -> Vec<oneshot::Sender<bool>> {
-        std::mem::take(&mut *self.sync_waiters.lock().unwrap())
+    pub fn take_read_barrier_waiters(&self) -> Vec<oneshot::Sender<bool>> {
+        std::mem::take(&mut *self.read_barrier_waiters.lock().unwrap())
     }
 
     /// Whether this node is cut off from the state service while others reach it: then its
     /// presence is over, and its machines belong to others. In an outage for all, leases stand
     /// still and the machines stay.
-    pub fn is_cut_off(&self) -> bool {
-        let others = self.peer_status().have_state;
+    pub fn is_partitioned(&self) -> bool {
+        let others = self.peer_status().state_service_reached_at;
         let ttl = self.settings.presence_ttl();
-        let proof = self.core().standing.lease_proof;
+        let proof = self.core().election.lease_renewed_at;
         proof.is_none_or(|p| p.elapsed() > ttl)
             && others.is_some_and(|at| at.elapsed() < Duration::from_secs(4))
     }
 
     /// Whether a report from this worker is answered by sending it on: it must find its new owner,
     /// and as long as it gets a 200 it stays here.
-    pub fn redirects(&self, machine: &str) -> bool {
-        if self.is_cut_off() {
+    pub fn redirects_worker(&self, machine: &str) -> bool {
+        if self.is_partitioned() {
             return true;
         }
         let silent = |last: Option<Instant>| last.is_none_or(|at| at.elapsed() > PEERS_SILENT);
         let lost_for = |d| {
             self.core()
-                .standing
-                .lease_proof
+                .election
+                .lease_renewed_at
                 .is_none_or(|p| p.elapsed() > d)
         };
         let alone = self.settings.params.size > 1
             && lost_for(self.settings.presence_ttl() + PEERS_SILENT)
             && silent(self.peer_status().any);
         let mut core = self.core();
-        core.standing
+        core.election
             .probe
             .redirects(machine, alone, Instant::now())
     }
@@ -199,10 +199,10 @@
     /// node has not heard of would outlive `cancel_s` on a machine that it keeps alive. So it must
     /// have read the records within `disconnected_lease_limit`, or every other controller must have told it
     /// within that time what was cancelled, having no contact either.
-    pub fn may_renew(&self) -> bool {
+    pub fn may_renew_leases(&self) -> bool {
         let blind = self.settings.disconnected_lease_limit();
         let core = self.core();
-        let Some(proof) = core.proof.filter(|_| core.loaded) else {
+        let Some(proof) = core.last_read_barrier.filter(|_| core.loaded) else {
             return false;
         };
         let peers = self.settings.peers.iter().map(|p| p.member.as_str());
@@ -212,8 +212,10 @@
     }
 
     /// Whether the state service answered lately.
-    pub fn has_state(&self, within: Duration) -> bool {
-        self.core().proof.is_some_and(|p| p.elapsed() <= within)
+    pub fn is_connected_within(&self, within: Duration) -> bool {
+        self.core()
+            .last_read_barrier
+            .is_some_and(|p| p.elapsed() <= within)
     }
 }
 
@@ -221,10 +223,10 @@
     pub fn new(layout: PageLayout, now: Instant) -> Self {
         Self {
             replica: Replica::new(layout),
-            proof: None,
-            contact_since: None,
+            last_read_barrier: None,
+            connected_since: None,
             loaded: false,
-            standing: Standing::default(),
+            election: ElectionState::default(),
             pending_changes: PendingChanges::default(),
             limits: TeamQuotas::default(),
             workers: Workers::default(),
@@ -273,7 +275,7 @@
 
     /// Whether a machine has work of the sort that it was rented for: on one with GPUs, work
     /// without does not count, which would keep it at many times the price of its CPUs.
-    pub fn serves_its_purpose(&self, name: &str, kind: &str) -> bool {
+    pub fn runs_intended_work(&self, name: &str, kind: &str) -> bool {
         let open = self.views.opened.contains(name);
         let needs_gpus = !open && self.kind(kind).is_some_and(|k| k.gpus > 0.0);
         let on = self.replica.on.get(name).into_iter().flatten();
@@ -302,7 +304,7 @@
 
     /// The guard under which what is planned on a machine holds: its rental's key, which changes
     /// with the machine's owner and with its way back. A machine in no record is provably gone.
-    pub fn machine_guard(&self, machine: &str) -> Option<Precondition> {
+    pub fn machine_precondition(&self, machine: &str) -> Option<Precondition> {
         let machine = self.replica.fleet.machines.get(machine)?;
         let kept = self.replica.fleet.rentals.get(&machine.rental)?;
         Some(Precondition {
@@ -313,15 +315,15 @@
 
     /// Keeps what is known in memory to the machines that this node owns. Only machines whose
     /// records changed are looked at.
-    pub fn note_ownership(&mut self, me: &Member, now: Instant) {
+    pub fn update_ownership(&mut self, me: &Member, now: Instant) {
         for name in self.replica.fleet.take_changed_machines() {
-            self.note_owner(me, &name, now);
+            self.update_owner(me, &name, now);
         }
     }
 
     /// A new token of an owned machine means that it was another's in between, who acted on it:
     /// what was seen before is void, and what is true of it will be reported again.
-    pub fn note_owner(&mut self, me: &Member, name: &str, now: Instant) {
+    pub fn update_owner(&mut self, me: &Member, name: &str, now: Instant) {
         self.pending_changes.mark_machine_changed(name);
         let machine = self.replica.fleet.machines.get(name);
         let token = machine.filter(|m| m.owner == *me).map(|m| m.fencing_token);
--- a/src/pipelines/service.rs
+++ b/src/pipelines/service.rs
@@ -28,7 +28,7 @@
     let replica = &core.replica;
     let ours = |id: &str| {
         let held = replica.pipelines.get(id);
-        held.is_some_and(|held| replica.owner_of(&held.record) == Some(&node.me))
+        held.is_some_and(|held| replica.owner_of(&held.record) == Some(&node.identity))
     };
     let ready = replica.pipelines.ready();
     let ready = ready.filter(|(id, _)| ended_here || ours(id));
--- a/src/placement/service.rs
+++ b/src/placement/service.rs
@@ -27,9 +27,9 @@
         let _ = tokio::time::timeout(CYCLE_EVERY, node.wake_up.notified()).await;
         let mut pause = SHORTEST_PAUSE;
         if node.core().loaded {
-            node.cycle_begins();
+            node.begin_scheduling_cycle();
             let worked = scheduling_cycle(&node).await;
-            node.cycle_ended();
+            node.end_scheduling_cycle();
             // Where writes are scarce, a record should hold more starts rather than come sooner.
             let scarce = LONGEST_PAUSE.mul_f64(1.0 - node.state.write_headroom());
             pause = pause.max(worked * PAUSE_PER_WORK).max(scarce);
@@ -44,10 +44,10 @@
 
 /// One scheduling cycle. Returns how long it kept everything else waiting.
 async fn scheduling_cycle(node: &Arc<Node>) -> Duration {
-    let lead_mark = membership::lead_mark(node);
-    membership::note_lead(node, lead_mark);
-    if let Some(revision) = lead_mark {
-        membership::assign_work(node, revision).await;
+    let leader_revision = membership::leader_revision(node);
+    membership::record_leadership(node, leader_revision);
+    if let Some(revision) = leader_revision {
+        membership::rebalance(node, revision).await;
         limits::allocate_limits(node, revision).await;
     }
     let began = Instant::now();
@@ -57,7 +57,7 @@
     let worked = began.elapsed();
     note_cycle(&mut node.core().metrics, worked);
     limits::change_own_allocations(node, began).await;
-    writer::write(node, lead_mark.is_some()).await;
+    writer::write(node, leader_revision.is_some()).await;
     worked
 }
 
@@ -97,13 +97,13 @@
     now_ms: u64,
 ) -> Option<snapshot::ClusterSnapshot> {
     let _charge = node.processor_time.charge(CpuAccount::Snapshots);
-    core.note_ownership(&node.me, now);
+    core.update_ownership(&node.identity, now);
     if core.kinds.is_empty() {
         return None;
     }
     clear_gone(node, core);
     snapshot_cache::refresh_pulls(node, core, now);
-    core.metrics.rebuilt_snapshots += snapshot_cache::refresh(core, &node.me, now, now_ms);
+    core.metrics.rebuilt_snapshots += snapshot_cache::refresh(core, &node.identity, now, now_ms);
     limits::refresh_usage(core);
     Some(snapshot::build(node, core, now, now_ms))
 }
@@ -303,7 +303,7 @@
         .iter()
         .filter(|(name, _)| !fleet.contains_key(*name))
         .flat_map(|(_, on)| on.iter().cloned())
-        .filter(|task| core.owns_job(&node.me, &task.job))
+        .filter(|task| core.owns_job(&node.identity, &task.job))
         .collect();
     for id in gone {
         if let TaskRecord::Placed {
--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -6,7 +6,7 @@
 use super::{JobSnapshot, MachineSnapshot, Milestone, Resources, capacity_of};
 use crate::cells::protection::{exclusion_of, protected_pools};
 use crate::jobs::{JobRecord, JobSpec, Shape, TaskRecord, Urgency};
-use crate::membership::assignment::spot_of;
+use crate::membership::assignment::hash_slot;
 use crate::node::{Core, Node, age_s};
 use crate::policy::JobFacts;
 use crate::settings::{ObjectiveKind, Team};
@@ -33,7 +33,7 @@
         true => LARGEST_IN,
         false => OTHERS_IN,
     };
-    BEGIN_WITHIN_S * (1 + spot_of(&spec.id) % one_in) as f64
+    BEGIN_WITHIN_S * (1 + hash_slot(&spec.id) % one_in) as f64
 }
 
 pub struct ClusterSnapshot {
--- a/src/renting/decide.rs
+++ b/src/renting/decide.rs
@@ -87,7 +87,7 @@
         blocked: core.limits.published_gangs(),
     };
     for (kind, outlook) in &mut record.kinds {
-        outlook.booting = booting(core, &node.me, kind);
+        outlook.booting = booting(core, &node.identity, kind);
         outlook.held = held(node, core, kind, &mapping, now_ms);
         if core.replica.has_begun() {
             let held = std::mem::take(&mut outlook.held);
@@ -117,7 +117,7 @@
     let mut own = 1.0;
     for (name, kept) in &core.replica.outlooks {
         let record = &kept.record;
-        let mine = *name == node.me.name;
+        let mine = *name == node.identity.name;
         let fresh = age_s(record.at_ms, now_ms) < node.policy.period_s * 2.0;
         if mine || !fresh {
             own = if mine { 1.0 + record.unwritten } else { own };
@@ -131,7 +131,7 @@
     }
     let outlooks = core.replica.outlooks.iter();
     let lacks = outlooks
-        .filter(|(name, _)| **name != node.me.name)
+        .filter(|(name, _)| **name != node.identity.name)
         .any(|(_, o)| {
             o.record.unwritten >= LACKS
                 && age_s(o.record.at_ms, now_ms) < node.policy.period_s * 2.0
@@ -373,7 +373,7 @@
     let period_s = node.policy.period_s;
     let jobs = core.replica.jobs.values();
     jobs.map(|job| &job.record)
-        .filter(|r| core.replica.owner_of(r) == Some(&node.me))
+        .filter(|r| core.replica.owner_of(r) == Some(&node.identity))
         .filter(|r| !r.cancelled && age_s(r.since_ms(), now_ms) < period_s)
         .filter(|r| {
             eligible_machine_types(core, &r.spec)
@@ -465,10 +465,10 @@
     let mut held: Vec<Held> = machines
         .filter(|(name, m)| {
             m.pool.machine_type == kind
-                && m.owner == node.me
+                && m.owner == node.identity
                 && m.state == MachineState::Active
                 && !core.rent.closing.contains_key(*name)
-                && !core.serves_its_purpose(name, kind)
+                && !core.runs_intended_work(name, kind)
                 && !mapping.used.contains(name.as_str())
         })
         .filter_map(|(name, m)| {
--- a/src/renting/provision.rs
+++ b/src/renting/provision.rs
@@ -242,7 +242,7 @@
     );
     let present = core.replica.present();
     let Some(shares) = core.replica.assignment.as_ref() else {
-        return vec![node.me.clone(); count];
+        return vec![node.identity.clone(); count];
     };
     let fleet = &core.replica.fleet.machines;
     let of_kind = || fleet.values().filter(|m| m.pool.machine_type == *kind);
@@ -269,7 +269,7 @@
             by_lack.then(a.1.1.cmp(&b.1.1)).then(la.total_cmp(&lb))
         });
         let Some(member) = neediest.map(|(m, _)| (*m).clone()) else {
-            owners.push(node.me.clone());
+            owners.push(node.identity.clone());
             continue;
         };
         let entry = have.get_mut(&member).expect("present");
--- a/src/renting/release.rs
+++ b/src/renting/release.rs
@@ -98,7 +98,7 @@
             written
         }
         Err(_) => {
-            node.sync().await;
+            node.read_barrier().await;
             Vec::new()
         }
     }
@@ -171,7 +171,7 @@
             node.core().apply(ops, revision);
         }
         Err(_) => {
-            node.sync().await;
+            node.read_barrier().await;
         }
     }
 }
@@ -225,7 +225,7 @@
 
 pub(super) async fn mark_returning(node: &Arc<Node>, revision: u64) {
     let names = std::mem::take(&mut node.core().rent.to_return);
-    if names.is_empty() || membership::lead_mark(node) != Some(revision) {
+    if names.is_empty() || membership::leader_revision(node) != Some(revision) {
         return;
     }
     let give_back = |machine: &mut RentedMachine| {
@@ -257,11 +257,11 @@
     let now_ms = wall_ms();
     // Without contact nothing can be recorded as closing, and silence means nothing: workers were
     // sent on. One that stood back for it in an outage gave everything away right after.
-    if node.is_cut_off() || !node.has_state(LOST) {
+    if node.is_partitioned() || !node.is_connected_within(LOST) {
         return Vec::new();
     }
     let mut core = node.core();
-    if core.standing.stand_back_until.is_some() {
+    if core.election.stepped_down_until.is_some() {
         return Vec::new();
     }
     let core = &mut *core;
@@ -320,9 +320,9 @@
                     .iter()
                     .find(|k| k.name == record.pool.machine_type);
                 let boot = boot.map_or(60.0, |k| k.boot_s);
-                // In an outage it may also keep them for as long as that lasts (`may_renew`).
+                // In an outage it may also keep them for as long as that lasts (`may_renew_leases`).
                 let known =
-                    now.saturating_duration_since(core.contact_since.unwrap_or(now).max(*since));
+                    now.saturating_duration_since(core.connected_since.unwrap_or(now).max(*since));
                 let unheard = age_s(record.requested_ms, now_ms) > boot * 3.0 + 15.0;
                 // An owner before us that is cut off from the state service may keep the worker
                 // for as long as it may go without proof; only then does silence mean anything.
@@ -333,11 +333,11 @@
         }
     }
     let others = core.replica.presence.len() > 1;
-    if others && silent >= 3 && silent > heard && core.standing.stand_back_until.is_none() {
+    if others && silent >= 3 && silent > heard && core.election.stepped_down_until.is_none() {
         // Most machines fell silent at once: more likely this node cannot hear them. Others may;
         // releasing them all would throw their work away.
         tracing::info!(silent, heard, "cannot hear most machines: standing back");
-        core.standing.stand_back_until = Some(now + STAND_BACK);
+        core.election.stepped_down_until = Some(now + STAND_BACK);
         return Vec::new();
     }
     close.truncate(MAX_RELEASE_BATCH);
@@ -360,7 +360,7 @@
     let lag = Duration::from_secs_f64(node.settings.params.cloud.list_lag_s * 2.0 + 5.0);
     let settled = {
         let core = node.core();
-        let leading = core.standing.leading;
+        let leading = core.election.leading;
         leading.is_some_and(|(_, since)| since.elapsed() > lag)
             && core.replica.fleet.unconfirmed_rentals().next().is_none()
     };
@@ -402,7 +402,7 @@
         unconfirmed: false,
         machines: vec![RentedMachine {
             name: listed.name.clone(),
-            owner: node.me.clone(),
+            owner: node.identity.clone(),
             fencing_token: revision,
             state: MachineState::Active,
         }],
--- a/src/renting/service.rs
+++ b/src/renting/service.rs
@@ -64,7 +64,7 @@
     let mut record = record;
     record.puts_per_s = node.state.measure_write_rate();
     record.fallen = node.state.has_lower_quota();
-    let put = Operation::put(outlook_key(&node.me.name), &record);
+    let put = Operation::put(outlook_key(&node.identity.name), &record);
     if let Ok(revision) = node
         .state
         .compare_and_swap(&[], std::slice::from_ref(&put))
@@ -94,7 +94,7 @@
         }
         publish(&node).await;
         close_machines(&node).await;
-        if let Some(revision) = membership::lead_mark(&node) {
+        if let Some(revision) = membership::leader_revision(&node) {
             lead_event(&node);
             merge_rentals(&node, revision).await;
             mark_returning(&node, revision).await;
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -2,7 +2,7 @@
 
 use crate::background::BackgroundTasks;
 use crate::cli::ServeArgs;
-use crate::membership::schema_versions;
+use crate::membership::schema_versions::FeatureLevel;
 use crate::node::Node;
 use crate::operator_files::{load_cells, load_limits};
 use crate::policy::{Policy, PolicyError};
@@ -76,8 +76,8 @@
     }
 
     /// The controller's state before its first contact with the state service.
-    fn into_node(self, schema_version: u32) -> Node {
-        let node = Node::new(schema_version, self.settings, self.policy).with_limits(self.limits);
+    fn into_node(self, supported_level: FeatureLevel) -> Node {
+        let node = Node::new(supported_level, self.settings, self.policy).with_limits(self.limits);
         match self.cell {
             Some(CellMembership { config, cell }) => node.in_cell(config, &cell),
             None => node,
@@ -93,19 +93,19 @@
         .enable_all()
         .build()
         .map_err(ServeError::Runtime)?;
-    runtime.block_on(run_controller(schema_versions::CAN, configuration))
+    runtime.block_on(run_controller(FeatureLevel::COMPACT_PAGES, configuration))
 }
 
-/// One controller, until its runtime ends. `schema_version` is the newest form of the durable records that
-/// it says it can handle.
+/// One controller, until its runtime ends. `supported_level` is what it publishes that it supports, before
+/// its configuration raises it.
 pub async fn run_controller(
-    schema_version: u32,
+    supported_level: FeatureLevel,
     configuration: Configuration,
 ) -> Result<(), ServeError> {
     let api_listener = listen(configuration.settings.api_addr).await?;
     let mesh_listener = listen(configuration.settings.mesh_addr).await?;
-    let node = Arc::new(configuration.into_node(schema_version));
-    tracing::info!(incarnation = node.me.incarnation, "starting");
+    let node = Arc::new(configuration.into_node(supported_level));
+    tracing::info!(incarnation = node.identity.incarnation, "starting");
     let mut tasks = BackgroundTasks::start(&node);
     tasks.spawn("mesh server", mesh::serve(node.clone(), mesh_listener));
     // Not awaited here: it ends with the runtime, as the tasks that it supervises do.
--- a/src/state/follow.rs
+++ b/src/state/follow.rs
@@ -29,10 +29,10 @@
 }
 
 /// Serves those who wait for a read of their own, one read at a time for all of them.
-pub async fn serve_syncs(node: Arc<Node>) {
+pub async fn serve_read_barriers(node: Arc<Node>) {
     loop {
-        node.sync_wanted.notified().await;
-        let waiters = node.take_sync_waiters();
+        node.read_barrier_requested.notified().await;
+        let waiters = node.take_read_barrier_waiters();
         if waiters.is_empty() {
             continue;
         }
@@ -54,11 +54,11 @@
             let _charge = node.processor_time.charge(CpuAccount::Replication);
             let mut core = node.core();
             let wake_up = !followed.events.is_empty();
-            if core.proof.is_none_or(|p| p.elapsed() > LOST) {
-                core.contact_since = Some(sent);
+            if core.last_read_barrier.is_none_or(|p| p.elapsed() > LOST) {
+                core.connected_since = Some(sent);
             }
             core.replica.take(followed.events, followed.revision);
-            core.proof = core.proof.max(Some(sent));
+            core.last_read_barrier = core.last_read_barrier.max(Some(sent));
             drop(core);
             if wake_up {
                 node.wake_up.notify_one();
--- a/src/state/replica.rs
+++ b/src/state/replica.rs
@@ -536,7 +536,7 @@
 
     /// Whether all controllers are of a version that can do what this one can.
     pub fn has_begun(&self) -> bool {
-        self.forms.as_ref().is_some_and(|f| f.record.begun())
+        self.forms.as_ref().is_some_and(|f| f.record.is_activated())
     }
 
     /// The page on which a task's next entry is written.
--- a/src/state/replica/records.rs
+++ b/src/state/replica/records.rs
@@ -1,6 +1,7 @@
 //! Records as the replica keeps them.
 
 use crate::jobs::{JobRecord, PageId, PageLayout, ProgressPage, Stage, TaskRecord};
+use crate::membership::schema_versions::FeatureLevel;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -8,9 +9,9 @@
 pub struct PresenceRecord {
     pub incarnation: u64,
     pub lease: u64,
-    /// What its version can do; see `membership::schema_versions`. The version before says nothing.
-    #[serde(default)]
-    pub forms: u32,
+    /// What the process supports; absent in records of the previous version.
+    #[serde(rename = "forms", default)]
+    pub supported_level: FeatureLevel,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -4,7 +4,7 @@
 
 use super::{Operation, Replica};
 use crate::jobs::{JobRecord, PageId, PageLayout, ProgressPage, StoredJob, TaskRecord};
-use crate::membership::schema_versions::{CAN, SchemaVersions};
+use crate::membership::schema_versions::{FeatureLevel, SchemaVersions};
 use crate::state::replica::{LeaderRecord, PresenceRecord};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -193,8 +193,8 @@
         trace.push_str(&format!("{name}: {machines} machines of {owner}\n"));
     }
     for (name, kept) in &replica.presence {
-        let forms = kept.record.forms;
-        trace.push_str(&format!("{name} can do {forms}\n"));
+        let level = kept.record.supported_level;
+        trace.push_str(&format!("{name} can do {level}\n"));
     }
     let outlooks: Vec<_> = replica.outlooks.values().map(|o| &o.record).collect();
     let fallen = outlooks.iter().any(|o| o.fallen);
@@ -229,7 +229,7 @@
     let count = |r: &Replica| (r.jobs["job-000304"].done, r.jobs["job-000304"].placed);
     let before = count(&replica);
     let forms = SchemaVersions {
-        seen: ["a".to_string()].into(),
+        upgraded_members: ["a".to_string()].into(),
         layout: Some(LAYOUT),
     };
     replica.put("r/forms", &serde_json::to_string(&forms).unwrap(), 50);
@@ -313,7 +313,7 @@
     let presence = PresenceRecord {
         incarnation: 7,
         lease: 8,
-        forms: CAN,
+        supported_level: FeatureLevel::COMPACT_PAGES,
     };
     let presence = written(&presence);
     say(
@@ -354,7 +354,7 @@
         "outlook",
         &serde_json::from_str::<shapes::ForecastSummaryRecord>(&outlook).unwrap(),
     );
-    let frame = bitcode::encode(&crate::mesh::Status {
+    let frame = bitcode::encode(&crate::mesh::StatusFrame {
         member: "millstone-1".into(),
         state_age_ms: Some(140),
     });
--- a/src/testing/compatibility/cluster_records.rs
+++ b/src/testing/compatibility/cluster_records.rs
@@ -4,7 +4,7 @@
 use crate::fleet::{MachinePool, MachineState, Rental, RentedMachine};
 use crate::jobs::PageLayout;
 use crate::membership::assignment::{Assignment, Member};
-use crate::membership::schema_versions::{CAN, CAN_DIVIDE_LIMITS, SchemaVersions};
+use crate::membership::schema_versions::{FeatureLevel, SchemaVersions};
 use crate::renting::{ForecastSummaryRecord, Held, Outlook};
 use crate::state::replica::{LeaderRecord, PresenceRecord};
 use crate::state::{
@@ -67,15 +67,15 @@
 #[test]
 fn presence_record_keeps_its_json() {
     let mut trace = Trace::default();
-    for (form, forms) in [
-        ("the version before", 0),
-        ("present version", CAN),
-        ("divides limits", CAN_DIVIDE_LIMITS),
+    for (form, supported_level) in [
+        ("the version before", FeatureLevel::NONE),
+        ("present version", FeatureLevel::COMPACT_PAGES),
+        ("divides limits", FeatureLevel::DIVIDED_QUOTAS),
     ] {
         let record = PresenceRecord {
             incarnation: 1_170_161_245_356_350,
             lease: 17,
-            forms,
+            supported_level,
         };
         trace.add(form, presence_key("millstone-0"), &record);
     }
@@ -116,7 +116,7 @@
     let key = || FORMS_KEY.to_owned();
     trace.add("nobody seen", key(), &SchemaVersions::default());
     let waiting = SchemaVersions {
-        seen: ["millstone-0".to_owned(), "millstone-1".to_owned()].into(),
+        upgraded_members: ["millstone-0".to_owned(), "millstone-1".to_owned()].into(),
         layout: None,
     };
     trace.add("not all seen", key(), &waiting);
@@ -217,7 +217,7 @@
     let expected = PresenceRecord {
         incarnation: 7,
         lease: 8,
-        forms: 0,
+        supported_level: FeatureLevel::NONE,
     };
     assert_eq!(read, expected);
     let summary = json!({"at_ms": 9, "kinds": {}, "added_later": [1]});
--- a/src/testing/compatibility/frames.rs
+++ b/src/testing/compatibility/frames.rs
@@ -1,6 +1,7 @@
 //! What a controller answers over the mesh, byte for byte.
 
 use super::trace::hex;
+use crate::membership::schema_versions::FeatureLevel;
 use crate::mesh;
 use crate::node::Node;
 use crate::policy::Policy;
@@ -23,8 +24,8 @@
             "limits": {"core_share": 1.0, "mem_mb": 10000.0, "sockets": 500},
             "skew_ms": 25.0}});
     let settings = Settings::parse(&settings.to_string(), "test").unwrap();
-    let mut node = Node::new(0, settings, Policy::default());
-    node.me.incarnation = 1_170_161_245_356_350;
+    let mut node = Node::new(FeatureLevel::NONE, settings, Policy::default());
+    node.identity.incarnation = 1_170_161_245_356_350;
     node
 }
 
@@ -43,7 +44,7 @@
     let address = listener.local_addr().unwrap();
     let serving = tokio::spawn(mesh::serve(Arc::new(node()), listener));
     let mut trace = String::new();
-    let status = mesh::Status {
+    let status = mesh::StatusFrame {
         member: "millstone-1".into(),
         state_age_ms: Some(140),
     };
@@ -74,12 +75,12 @@
         ("millstone-1", Some(140)),
         ("millstone-1", Some(u64::MAX)),
     ] {
-        let frame = bitcode::encode(&mesh::Status {
+        let frame = bitcode::encode(&mesh::StatusFrame {
             member: member.to_owned(),
             state_age_ms,
         });
         trace.push_str(&format!("{member:?} {state_age_ms:?}: {}\n", hex(&frame)));
-        let read: mesh::Status = bitcode::decode(&frame).unwrap();
+        let read: mesh::StatusFrame = bitcode::decode(&frame).unwrap();
         assert_eq!(read.member, member);
         assert_eq!(read.state_age_ms, state_age_ms);
     }
--- a/src/testing/compatibility/interfaces.rs
+++ b/src/testing/compatibility/interfaces.rs
@@ -9,6 +9,7 @@
 use crate::http::HttpResponse;
 use crate::jobs::Submission;
 use crate::membership::assignment::Member;
+use crate::membership::schema_versions::FeatureLevel;
 use crate::node::Node;
 use crate::policy::Policy;
 use crate::settings::Settings;
@@ -104,7 +105,12 @@
     /// A node whose records are put there by hand, just read and complete.
     async fn by_hand() -> Self {
         let settings = settings(1, NOWHERE.parse().unwrap());
-        let served = Self::start(Node::new(1, settings, Policy::default())).await;
+        let served = Self::start(Node::new(
+            FeatureLevel::COMPACT_PAGES,
+            settings,
+            Policy::default(),
+        ))
+        .await;
         {
             let mut core = served.node.core();
             core.loaded = true;
@@ -115,7 +121,7 @@
     }
 
     fn read_now(&self) {
-        self.node.core().proof = Some(Instant::now());
+        self.node.core().last_read_barrier = Some(Instant::now());
     }
 
     fn put(&self, key: &str, data: Value, revision: u64) {
@@ -128,7 +134,7 @@
         let end = Instant::now() + Duration::from_secs(40);
         let recently = Duration::from_millis(1500);
         let cells = self.node.cells.as_ref();
-        while !self.node.has_state(recently)
+        while !self.node.is_connected_within(recently)
             || cells.is_some_and(|cells| !cells.ledger_responded_within(recently))
         {
             assert!(Instant::now() < end, "no reading of the log");
@@ -186,7 +192,9 @@
     let mut served = Served::start(node).await;
     served.follows = true;
     tokio::spawn(crate::state::follow::run(served.node.clone()));
-    tokio::spawn(crate::state::follow::serve_syncs(served.node.clone()));
+    tokio::spawn(crate::state::follow::serve_read_barriers(
+        served.node.clone(),
+    ));
     let node = served.node.clone();
     until("the records are read", async || node.core().loaded).await;
     served
@@ -195,7 +203,11 @@
 /// A state service, and a node that follows it.
 async fn with_state() -> (Served, SocketAddr) {
     let (_state, addr) = state_service().await;
-    let node = Node::new(1, settings(1, addr), Policy::default());
+    let node = Node::new(
+        FeatureLevel::COMPACT_PAGES,
+        settings(1, addr),
+        Policy::default(),
+    );
     (following(node).await, addr)
 }
 
@@ -365,7 +377,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn without_the_state_service_users_are_sent_away_with_a_time() {
     let mut served = Served::by_hand().await;
-    served.node.core().proof = None;
+    served.node.core().last_read_barrier = None;
     served.submit("submitted", &job("job-1"));
     served.submit("a body that is none", &json!({"nameId": "job-1"}));
     served.poll("polled", "job-1");
@@ -380,10 +392,10 @@
     served.health("with the state service");
     served.node.core().kinds.clear();
     served.health("without a catalogue, no other controller better off");
-    served.node.peer_status().have_state = Some(Instant::now());
+    served.node.peer_status().state_service_reached_at = Some(Instant::now());
     served.health("without a catalogue, another has the state service");
-    served.node.peer_status().have_state = None;
-    served.node.core().proof = None;
+    served.node.peer_status().state_service_reached_at = None;
+    served.node.core().last_read_barrier = None;
     served.health("never any contact");
     insta::assert_snapshot!(served.trace);
 }
@@ -402,7 +414,8 @@
 async fn without_the_ledger_users_of_cells_are_sent_away_with_a_time() {
     let settings = settings(1, NOWHERE.parse().unwrap());
     let cells = cells_config("127.0.0.1:6".parse().unwrap());
-    let node = Node::new(1, settings, Policy::default()).in_cell(cells, "hanoi");
+    let node =
+        Node::new(FeatureLevel::COMPACT_PAGES, settings, Policy::default()).in_cell(cells, "hanoi");
     node.core().kinds = vec![kind("c4", 4.0, &["a"])];
     let mut served = Served::start(node).await;
     tokio::spawn(BackgroundTasks::of_cells(&served.node).supervise());
@@ -434,7 +447,12 @@
         store(ledger_addr, key, data).await;
     }
     let cells = cells_config(ledger_addr);
-    let node = Node::new(1, settings(1, state_addr), Policy::default()).in_cell(cells, "hanoi");
+    let node = Node::new(
+        FeatureLevel::COMPACT_PAGES,
+        settings(1, state_addr),
+        Policy::default(),
+    )
+    .in_cell(cells, "hanoi");
     let mut served = following(node).await;
     tokio::spawn(BackgroundTasks::of_cells(&served.node).supervise());
     let coordinator = served.node.cells.clone().unwrap();
@@ -504,13 +522,13 @@
     };
     let mut core = node.core();
     core.apply(vec![Operation::put(rental_key("r-1"), &rental)], revision);
-    core.note_ownership(&node.me, Instant::now());
+    core.update_ownership(&node.identity, Instant::now());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_owner_answers_a_report_with_its_token_and_each_kind_of_order() {
     let mut served = Served::by_hand().await;
-    let me = served.node.me.clone();
+    let me = served.node.identity.clone();
     own(&served.node, me, 12);
     let spec = without(job("job-1"), "nameId");
     let spec = with(spec, json!({"nameId": "job-1", "sacks": 5}));
@@ -550,7 +568,7 @@
     let leader = json!({"member": "millstone-2", "incarnation": 7, "lease": 3});
     served.put("r/leader", leader, 5);
     served.hello("no record of it, another leads", &idle);
-    let me = served.node.me.clone();
+    let me = served.node.identity.clone();
     let leader = json!({"member": me.name, "incarnation": me.incarnation, "lease": 3});
     served.put("r/leader", leader, 6);
     served.hello("no record of it, this node leads", &idle);
@@ -565,7 +583,7 @@
     own(&served.node, earlier, 14);
     served.hello("this node's before its restart", &idle);
     own(&served.node, me, 15);
-    served.node.core().proof = None;
+    served.node.core().last_read_barrier = None;
     let text = idle.to_string();
     served.ask(
         "this node's, without the state service",
--- a/src/testing/compatibility/observability.rs
+++ b/src/testing/compatibility/observability.rs
@@ -1,5 +1,6 @@
 //! What a controller logs of itself at the end of each period: scripts read the fields.
 
+use crate::membership::schema_versions::FeatureLevel;
 use crate::metrics::log_period;
 use crate::node::Node;
 use crate::policy::Policy;
@@ -56,7 +57,7 @@
 
 fn node() -> Node {
     let settings = super::interfaces::settings(1, "127.0.0.1:4".parse().unwrap());
-    let node = Node::new(1, settings, Policy::default());
+    let node = Node::new(FeatureLevel::COMPACT_PAGES, settings, Policy::default());
     {
         let mut core = node.core();
         let spec = json!({"nameId":"job-1","grist":"c","crew":"t","shape":"array",
@@ -65,7 +66,7 @@
             "bankS":0.0,"bankWriteS":0.0});
         let record = json!({"spec": spec, "accepted_ms": 0});
         core.replica.put("r/j/job-1", &record.to_string(), 5);
-        let member = json!({"name": node.me.name, "incarnation": node.me.incarnation});
+        let member = json!({"name": node.identity.name, "incarnation": node.identity.incarnation});
         let assignment = json!({"members": [member], "teams": {}, "gangs": [0],
             "had_gangs": false, "slots": [0]});
         core.replica.put("r/shares", &assignment.to_string(), 6);
--- a/src/testing/fleet_scale.rs
+++ b/src/testing/fleet_scale.rs
@@ -7,7 +7,7 @@
 use crate::api::limit::Limit;
 use crate::api::users;
 use crate::background::BackgroundTasks;
-use crate::membership::{lead_mark, schema_versions};
+use crate::membership::{leader_revision, schema_versions};
 use crate::metrics::memory;
 use crate::node::Node;
 use crate::policy::Policy;
@@ -83,7 +83,11 @@
     fn start(number: usize, state: SocketAddr, cloud: SocketAddr) -> Self {
         let policy = Policy::parse("period = 1\nhold = 15\n").unwrap();
         let settings = settings(number, state, cloud);
-        let node = Arc::new(Node::new(schema_versions::CAN, settings, policy));
+        let node = Arc::new(Node::new(
+            schema_versions::FeatureLevel::COMPACT_PAGES,
+            settings,
+            policy,
+        ));
         let mut builder = tokio::runtime::Builder::new_multi_thread();
         let runtime = builder.worker_threads(1).enable_all().build().unwrap();
         let started = node.clone();
@@ -252,7 +256,7 @@
         Box::pin(async move { answer })
     }));
     let first = Controller::start(0, state_addr, cloud_addr);
-    let leads = |node: &Node| lead_mark(node).is_some();
+    let leads = |node: &Node| leader_revision(node).is_some();
     let limit = Duration::from_secs(90);
     until("the first controller leads", limit, || leads(&first.node)).await;
     let second = Controller::start(1, state_addr, cloud_addr);
@@ -276,7 +280,7 @@
     let owns_all = || {
         let core = second.node.core();
         let machines = core.replica.fleet.machines.values();
-        let owned = machines.filter(|m| m.owner == second.node.me).count();
+        let owned = machines.filter(|m| m.owner == second.node.identity).count();
         owned == MACHINES
     };
     until("all machines are the second's", limit, owns_all).await;
--- a/src/testing/load_profile.rs
+++ b/src/testing/load_profile.rs
@@ -370,7 +370,7 @@
         Box::pin(async move { answer })
     }));
     let node = Node::new(
-        crate::membership::schema_versions::CAN,
+        crate::membership::schema_versions::FeatureLevel::COMPACT_PAGES,
         settings(load, state, cloud),
         Policy::default(),
     );
--- a/src/testing/mod.rs
+++ b/src/testing/mod.rs
@@ -8,6 +8,7 @@
 mod load_profile;
 mod tests;
 
+use crate::membership::schema_versions::FeatureLevel;
 use crate::serve::{Configuration, run_controller};
 use rowanmill_config::ConfigFile;
 use rowanmill_testing::{DEFAULT_TIMEOUTS, Timeouts};
@@ -31,8 +32,8 @@
 /// What a controller is started as.
 #[derive(Clone, Copy)]
 struct Version {
-    /// What it can do: 0 stands for the version before.
-    can: u32,
+    /// What it supports; `NONE` is the version before.
+    supported_level: FeatureLevel,
     /// Limits of the state service, and those that it is told of.
     value_kb: f64,
     next: Option<(f64, usize, f64)>,
@@ -46,7 +47,7 @@
 }
 
 const PRESENT: Version = Version {
-    can: crate::membership::schema_versions::CAN,
+    supported_level: FeatureLevel::COMPACT_PAGES,
     value_kb: 8.0,
     next: None,
     timeouts: DEFAULT_TIMEOUTS,
@@ -100,7 +101,7 @@
             let runtime = builder.enable_all().build().unwrap();
             runtime.block_on(async {
                 tokio::select! {
-                    ended = run_controller(version.can, configuration) => ended.unwrap(),
+                    ended = run_controller(version.supported_level, configuration) => ended.unwrap(),
                     _ = stopped => {}
                 }
             });
--- a/src/testing/tests.rs
+++ b/src/testing/tests.rs
@@ -1,6 +1,7 @@
 //! Controllers against the stand-ins, in real time.
 
 use super::{Controller, DEFAULT_TIMEOUTS, PRESENT, Seat, Timeouts, Version};
+use crate::membership::schema_versions::FeatureLevel;
 use hyper::Method;
 use rowanmill_testing::cloud::Cloud;
 use rowanmill_testing::state::{StateLimits, StateService};
@@ -396,7 +397,10 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn old_and_new_share_the_work_while_one_replaces_the_other() {
     let next = Some((1.0, 8, 60.0));
-    let old = Version { can: 0, ..PRESENT };
+    let old = Version {
+        supported_level: FeatureLevel::NONE,
+        ..PRESENT
+    };
     let new = Version { next, ..PRESENT };
     let lower = StateLimits {
         value_bytes: 1024,
--- a/src/workers/service.rs
+++ b/src/workers/service.rs
@@ -46,24 +46,27 @@
         };
         // One that is not there takes seconds to say so; its worker's lease is better spent on
         // asking the others until the machine has a new owner.
-        if owner.as_ref().is_some_and(|m| *m != node.me && !there(m)) {
+        if owner
+            .as_ref()
+            .is_some_and(|m| *m != node.identity && !there(m))
+        {
             return elsewhere(None);
         }
         owner
     };
     match owner {
-        Some(owner) if owner == node.me => {}
+        Some(owner) if owner == node.identity => {}
         // Ours before a restart: the leader has yet to give it to someone who is there.
-        Some(owner) if owner.name == node.me.name => return elsewhere(None),
+        Some(owner) if owner.name == node.identity.name => return elsewhere(None),
         Some(owner) => return elsewhere(Some(&owner.name)),
         None => return greet_unknown(node),
     }
-    if node.redirects(&report.machine) {
+    if node.redirects_worker(&report.machine) {
         return elsewhere(None);
     }
     // A cancellation may have passed us by: keeping the worker's lease alive would keep cancelled
     // tasks running. It ends by itself if we stay silent.
-    if !node.may_renew() || !cells::permits_renewal(node, &report, Instant::now()) {
+    if !node.may_renew_leases() || !cells::permits_renewal(node, &report, Instant::now()) {
         note_there(&mut node.core(), &report, Instant::now());
         return retry_later(StatusCode::SERVICE_UNAVAILABLE, 1, "no state service");
     }
@@ -87,7 +90,7 @@
         }
         // What is placed in the room just freed goes out with this answer, once it is recorded;
         // with the next report's it would come a report's interval later.
-        Taken::Read { freed: true, .. } => node.next_cycle(ANSWER_WITHIN).await,
+        Taken::Read { freed: true, .. } => node.await_next_scheduling_cycle(ANSWER_WITHIN).await,
     }
     let mut core = node.core();
     match orders(node, &mut core, &report, Instant::now()) {
@@ -98,7 +101,7 @@
             elsewhere(
                 machine
                     .map(|m| m.owner.name.as_str())
-                    .filter(|o| *o != node.me.name),
+                    .filter(|o| *o != node.identity.name),
             )
         }
     }
@@ -169,7 +172,9 @@
 
 fn may_start(node: &Node, core: &Core, now: Instant) -> bool {
     let age = |proof| now.saturating_duration_since(proof);
-    let is_read = core.proof.is_some_and(|p| age(p) <= STARTS_WITHIN);
+    let is_read = core
+        .last_read_barrier
+        .is_some_and(|p| age(p) <= STARTS_WITHIN);
     is_read && cells::permits_starts(node, now)
 }
 
@@ -217,23 +222,23 @@
 /// proves nothing: the leader adopts machines by the cloud's list alone, and until then, or until
 /// the rental is recorded that it belongs to, its worker asks again.
 fn greet_unknown(node: &Node) -> HttpResponse {
-    if membership::lead_mark(node).is_some() {
+    if membership::leader_revision(node).is_some() {
         return retry_later(StatusCode::SERVICE_UNAVAILABLE, 1, "not known yet");
     }
     let core = node.core();
     let leader = core.replica.leader.as_ref();
     let leader = leader.map(|l| l.record.member.as_str());
-    elsewhere(leader.filter(|l| *l != node.me.name))
+    elsewhere(leader.filter(|l| *l != node.identity.name))
 }
 
 /// Reads an owned machine's report into what is known and planned, and answers it.
 fn take(node: &Node, core: &mut Core, report: &Arc<Report>, now: Instant) -> Taken {
     let _charge = node.processor_time.charge(CpuAccount::Heartbeats);
     let name = report.machine.clone();
-    core.note_owner(&node.me, &name, now);
+    core.update_owner(&node.identity, &name, now);
     let machine = core.replica.fleet.machines.get(&name);
     let Some(token) = machine
-        .filter(|m| m.owner == node.me)
+        .filter(|m| m.owner == node.identity)
         .map(|m| m.fencing_token)
     else {
         return Taken::NotOurs;
@@ -261,7 +266,7 @@
         live.heard = now;
         live.confirmed = true;
     }
-    if core.serves_its_purpose(&name, &report.kind) {
+    if core.runs_intended_work(&name, &report.kind) {
         live.used_at = now;
     }
     live.taken_at = report
--- a/src/workers/service/tests.rs
+++ b/src/workers/service/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::fleet::{MachinePool, MachineState, Rental, RentedMachine};
+use crate::membership::schema_versions::FeatureLevel;
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::state::{Operation, rental_key};
@@ -33,7 +34,7 @@
 impl Scene {
     fn new() -> Self {
         let scene = Self {
-            node: Node::new(1, settings(), Policy::default()),
+            node: Node::new(FeatureLevel::COMPACT_PAGES, settings(), Policy::default()),
             start: Instant::now(),
             revision: 10,
             contact: true,
@@ -69,7 +70,11 @@
             unconfirmed: false,
             machines: vec![RentedMachine {
                 name: "vm-1".into(),
-                owner: if ours { self.node.me.clone() } else { other },
+                owner: if ours {
+                    self.node.identity.clone()
+                } else {
+                    other
+                },
                 fencing_token: token,
                 state: MachineState::Active,
             }],
@@ -80,8 +85,8 @@
             vec![Operation::put(rental_key("r-1"), &rental)],
             self.revision,
         );
-        let me = self.node.me.clone();
-        core.note_ownership(&me, self.start);
+        let me = self.node.identity.clone();
+        core.update_ownership(&me, self.start);
         self.trace.push_str(&format!(
             "-- token {token}, {}\n",
             if ours { "ours" } else { "another's" }
@@ -110,7 +115,7 @@
         let mut core = self.node.core();
         // Without contact they were read longer ago than starts may go by.
         let age = if self.contact { 0 } else { 4 };
-        core.proof = now.checked_sub(Duration::from_secs(age));
+        core.last_read_barrier = now.checked_sub(Duration::from_secs(age));
         let taken = take(&self.node, &mut core, &Arc::new(report), now);
         let what = match taken {
             Taken::NotOurs => "not ours".to_owned(),
@@ -258,7 +263,7 @@
     let runs = json!([{"sack": "job-1/0", "turn": 1, "stage": "running"}]);
     scene.report(4, 1, 4, 7, runs.clone());
     scene.trace.push_str("-- told that it is cancelled\n");
-    scene.node.peer_status().note_cancelled("job-1");
+    scene.node.peer_status().record_cancelled("job-1");
     scene.report(5, 1, 5, 7, runs);
     scene.report(6, 1, 6, 7, json!([]));
     insta::assert_snapshot!(scene.trace, @r#"
