--- a/src/placement/preemption/tests.rs
+++ b/src/placement/preemption/tests.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn only_lower_priority_gives_way_and_least_is_lost() {
+fn preempts_only_lower_priority_where_least_is_lost() {
     let mut urgent = job("urgent", 3.0, 1, 20.0);
     urgent.due_milestone = super::super::Milestone::Start;
     let running_task = |id: &str, urgency, lost_s| RunningTask {
@@ -48,16 +48,17 @@
             guaranteed,
         };
         urgent.due = due;
-        let stops = plan_preemption(
-            &[urgent.clone()],
-            &[request],
-            &late,
-            &machines,
-            &|name| running_tasks[name].clone(),
-            3.0,
-            2,
-        );
-        let names: Vec<&str> = stops.stops.iter().map(|s| s.0.job.as_str()).collect();
+        let plan = plan_preemption(&PreemptionInput {
+            jobs: &[urgent.clone()],
+            requests: &[request],
+            unplaced: &late,
+            machines: &machines,
+            running_tasks: &|name| running_tasks[name].clone(),
+            eviction_takes_s: 3.0,
+            max_machines: 2,
+        });
+        let evictions = plan.evictions.iter();
+        let names: Vec<&str> = evictions.map(|e| e.task.job.as_str()).collect();
         trace.push_str(&format!("{what}: stop {names:?}\n"));
     }
     insta::assert_snapshot!(trace, @r#"
--- a/src/placement/service.rs
+++ b/src/placement/service.rs
@@ -173,23 +173,25 @@
     }
     let takes = snapshot::STOP_TAKES_S + node.settings.params.workers.report_s;
     let used = snapshot::team_use(node, core);
-    let made = preemption::plan_preemption(
-        &views.jobs,
-        &views.preemption_requests,
-        &unplaced,
-        &views.machines,
-        &|name| snapshot::running_tasks(node, core, &used, name, now),
-        takes,
-        MOST_CLEARED,
-    );
-    for (id, attempt, grace) in made.stops {
-        tracing::debug!(job = id.job, task = id.index, "stopped to make room");
-        stop(core, id, attempt, grace);
+    let plan = preemption::plan_preemption(&preemption::PreemptionInput {
+        jobs: &views.jobs,
+        requests: &views.preemption_requests,
+        unplaced: &unplaced,
+        machines: &views.machines,
+        running_tasks: &|name| snapshot::running_tasks(node, core, &used, name, now),
+        eviction_takes_s: takes,
+        max_machines: MOST_CLEARED,
+    });
+    for eviction in plan.evictions {
+        let TaskId { job, index } = &eviction.task;
+        tracing::debug!(job, task = index, "task preempted");
+        stop(core, eviction.task, eviction.attempt, eviction.grace_s);
     }
-    for (job, machines) in made.cleared {
-        let names = machines.iter().map(|m| views.machines[*m].name.clone());
+    for cleared in plan.cleared {
+        let machines = cleared.machines.iter();
+        let names = machines.map(|m| views.machines[*m].name.clone());
         core.views.reserve_for(
-            &views.jobs[job].id,
+            &views.jobs[cleared.job].id,
             names.collect(),
             now + cleared_within(node),
         );
