--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -88,7 +88,7 @@
 
 pub async fn current_state(node: &Arc<Node>, id: &str) -> Known {
     // A final state never changes, so that memory may answer it at any time.
-    if let Some(last) = node.core().replica.ended(id) {
+    if let Some(last) = node.core().replica.final_state(id) {
         return Known::Over(last);
     }
     // Nor does a cancellation that another node confirmed, whether it is in the records here or not.
@@ -99,7 +99,7 @@
         return Known::Unclear;
     }
     // One that waits may be cancelled by what ended before this process began.
-    let unknown = node.core().replica.unknown_before(id);
+    let unknown = node.core().replica.unknown_ancestors(id);
     if !unknown.is_empty() && !look_up_needs(node, unknown).await {
         return Known::Unclear;
     }
@@ -108,7 +108,7 @@
         if let Some(known) = live(&core, id) {
             return known;
         }
-        if let Some(last) = core.replica.ended(id) {
+        if let Some(last) = core.replica.final_state(id) {
             return Known::Over(last);
         }
         if core.replica.is_unreadable(id) {
@@ -118,7 +118,7 @@
     match node.state.get(&final_key(id)).await {
         Ok(Some(value)) => match serde_json::from_value::<TerminalState>(value) {
             Ok(last) => {
-                node.core().replica.remember_ended(id, last);
+                node.core().replica.record_final_state(id, last);
                 Known::Over(last)
             }
             Err(_) => Known::Unclear,
@@ -173,7 +173,7 @@
         return no_state();
     }
     // A known job's state must be of now; for a new one the guards of its record say the same.
-    let seems_known = node.core().replica.knows(&id);
+    let seems_known = node.core().replica.is_known(&id);
     let record = JobRecord {
         spec,
         accepted_ms: wall_ms(),
@@ -256,7 +256,9 @@
         Ok(revision) => {
             let mut core = node.core();
             match before {
-                Before::Cancelled => core.replica.remember_ended(&id, TerminalState::Cancelled),
+                Before::Cancelled => core
+                    .replica
+                    .record_final_state(&id, TerminalState::Cancelled),
                 _ => core.apply(vec![put], revision),
             }
             drop(core);
@@ -296,7 +298,7 @@
 fn ended_in_memory(node: &Node, id: &str) -> Option<TerminalState> {
     match &node.cells {
         Some(cells) => cells.final_state(id).map(TerminalState::from),
-        None => node.core().replica.ended(id),
+        None => node.core().replica.final_state(id),
     }
 }
 
@@ -347,7 +349,7 @@
             if core.replica.is_unreadable(id) {
                 return Err(no_state());
             }
-            core.replica.knows(id)
+            core.replica.is_known(id)
         };
         if !known {
             // With a read of its own: a job is in one of the two places from its acceptance on.
@@ -357,13 +359,13 @@
                     return Err(error_response(StatusCode::UNPROCESSABLE_ENTITY, reason));
                 }
                 Ok(Some(value)) => match serde_json::from_value::<TerminalState>(value) {
-                    Ok(last) => node.core().replica.remember_ended(id, last),
+                    Ok(last) => node.core().replica.record_final_state(id, last),
                     Err(_) => return Err(no_state()),
                 },
                 Err(_) => return Err(no_state()),
             }
         }
-        let unknown = node.core().replica.unknown_before(id);
+        let unknown = node.core().replica.unknown_ancestors(id);
         if !unknown.is_empty() && !look_up_needs(node, unknown).await {
             return Err(no_state());
         }
@@ -374,7 +376,7 @@
                 .jobs
                 .get(id)
                 .is_some_and(|j| j.record.cancelled);
-        match (core.replica.ended(id), cancelled) {
+        match (core.replica.final_state(id), cancelled) {
             (Some(TerminalState::Cancelled), _) | (_, true) => before = Before::Cancelled,
             (Some(TerminalState::Done), _) => {}
             (None, false) if before == Before::Done => before = Before::Open,
@@ -438,7 +440,7 @@
         return Verdict::Never("no two zones for tasks that may not all be in one");
     }
     // A controller of the version before would run it at once.
-    if !awaits.is_empty() && !core.replica.has_begun() {
+    if !awaits.is_empty() && !core.replica.is_current_schema_active() {
         return Verdict::NotYet;
     }
     Verdict::Takes
--- a/src/background.rs
+++ b/src/background.rs
@@ -18,10 +18,10 @@
     /// Starts all that a controller does without being asked, on the current runtime.
     pub fn start(node: &Arc<Node>) -> Self {
         let mut tasks = Self::default();
-        tasks.spawn("state watch", state::follow::run(node.clone()));
+        tasks.spawn("state watch", state::watch::run(node.clone()));
         tasks.spawn(
             "state reads",
-            state::follow::serve_read_barriers(node.clone()),
+            state::watch::serve_read_barriers(node.clone()),
         );
         tasks.spawn("pipelines", pipelines::service::run(node.clone()));
         tasks.spawn("membership", membership::run(node.clone()));
--- a/src/cells/heartbeats.rs
+++ b/src/cells/heartbeats.rs
@@ -39,7 +39,12 @@
 /// Jobs with a record in the ledger that have tasks on the machine, by the cell's records, by planned
 /// changes to them or by the heartbeat.
 fn tracked_jobs_on(core: &Core, report: &Report) -> Vec<TrackedJob> {
-    let recorded = core.replica.on.get(&report.machine).into_iter().flatten();
+    let recorded = core
+        .replica
+        .tasks_by_machine
+        .get(&report.machine)
+        .into_iter()
+        .flatten();
     let recorded = recorded.map(|task| task.job.as_str());
     let planned = core
         .pending_changes
--- a/src/cells/local_state.rs
+++ b/src/cells/local_state.rs
@@ -48,7 +48,7 @@
 }
 
 fn state_without_record(core: &Core, id: &str) -> LocalJobState {
-    match core.replica.ended(id) {
+    match core.replica.final_state(id) {
         Some(TerminalState::Done) => LocalJobState::Completed,
         Some(TerminalState::Cancelled) => LocalJobState::Cancelled,
         // Nothing is done about a job whose record cannot be read.
--- a/src/cells/scheduler.rs
+++ b/src/cells/scheduler.rs
@@ -118,7 +118,7 @@
 
     /// Whether the job ended in this cell, by memory or by its final key.
     async fn has_ended(&self, id: &str) -> Result<bool, Unavailable> {
-        if self.node.core().replica.ended(id).is_some() {
+        if self.node.core().replica.final_state(id).is_some() {
             return Ok(true);
         }
         let value = self.node.state.get(&final_key(id)).await;
@@ -126,7 +126,7 @@
             return Ok(false);
         };
         let final_state = serde_json::from_value(value).map_err(|_| Unavailable)?;
-        self.node.core().replica.remember_ended(id, final_state);
+        self.node.core().replica.record_final_state(id, final_state);
         Ok(true)
     }
 
--- a/src/client/limits.rs
+++ b/src/client/limits.rs
@@ -66,7 +66,7 @@
         let listing = self.service.list_all(LIVE).await;
         let (pairs, revision) = listing.map_err(ClientError::state_service)?;
         let mut core = Core::new(self.config.page_layout(), Instant::now());
-        core.replica.reset(pairs, revision);
+        core.replica.reload_from_snapshot(pairs, revision);
         if core.replica.assignment.is_none() {
             return Err(ClientError::NoAssignment);
         }
--- a/src/jobs/ends.rs
+++ b/src/jobs/ends.rs
@@ -33,7 +33,7 @@
     let most = node.settings.max_transaction_operations();
     // Moving a job to its final key takes a change for each of its keys. Where these are short, its
     // end alone is recorded, and the moving waits for a quieter time.
-    let short = is_short(node) && node.core().replica.has_begun();
+    let short = is_short(node) && node.core().replica.is_current_schema_active();
     let mut over: Vec<Ended> = {
         let _charge = node.processor_time.charge(CpuAccount::RecordWrites);
         let core = node.core();
@@ -68,7 +68,7 @@
         core.apply(ops, revision);
         for ended in batch {
             if let Last::Final(last) = ended.last {
-                core.replica.remember_ended(&ended.id, last);
+                core.replica.record_final_state(&ended.id, last);
             }
             core.pending_changes.discard_job(&ended.id);
             core.failures.remove(&ended.id);
@@ -168,7 +168,7 @@
     let (guards, ops) = {
         let core = node.core();
         let replica = &core.replica;
-        let few = replica.closed.len() + replica.orphans.len() < MOST_LEFT;
+        let few = replica.ended_pending_archive.len() + replica.orphaned_pages.len() < MOST_LEFT;
         if few
             && (core.pending_changes.write_backlog() >= LEFT_OVER
                 || node.state.write_headroom() < AT_EASE)
@@ -188,8 +188,8 @@
 /// What to tidy up in so many changes.
 pub fn tidying(replica: &Replica, most: usize) -> (Vec<Precondition>, Vec<Operation>) {
     let (mut guards, mut ops) = (Vec::new(), Vec::new());
-    for (id, revision) in &replica.closed {
-        let Some(last) = replica.ended(id).filter(|_| ops.len() + 2 <= most) else {
+    for (id, revision) in &replica.ended_pending_archive {
+        let Some(last) = replica.final_state(id).filter(|_| ops.len() + 2 <= most) else {
             continue;
         };
         guards.push(Precondition {
@@ -199,8 +199,11 @@
         ops.push(Operation::put(final_key(id), &last));
         ops.push(Operation::delete(job_key(id)));
     }
-    let known_over = |id: &str| replica.ended(id).is_some();
-    let left = replica.orphans.keys().filter(|(id, _)| known_over(id));
+    let known_over = |id: &str| replica.final_state(id).is_some();
+    let left = replica
+        .orphaned_pages
+        .keys()
+        .filter(|(id, _)| known_over(id));
     let left = left.take(most - ops.len().min(most));
     ops.extend(left.map(|(id, page)| Operation::delete(page_key(id, *page))));
     (guards, ops)
--- a/src/jobs/writer.rs
+++ b/src/jobs/writer.rs
@@ -15,8 +15,8 @@
 use crate::pipelines;
 use crate::state::replica::Job;
 use crate::state::{
-    ASSIGNMENT_KEY, FORMS_KEY, MOST_BYTES, Operation, Precondition, TransactionError, job_key,
-    page_key,
+    ASSIGNMENT_KEY, FORMS_KEY, MAX_TRANSACTION_BYTES, Operation, Precondition, TransactionError,
+    job_key, page_key,
 };
 use rowanmill_state::WritePriority;
 use std::collections::{BTreeMap, BTreeSet};
@@ -125,7 +125,7 @@
             let more: usize = unit.iter().map(Dirty::bytes).sum();
             let full = count + unit.len() > room
                 || guards.len() + new.len() > ops * 4
-                || bytes + more > MOST_BYTES
+                || bytes + more > MAX_TRANSACTION_BYTES
                 || singly;
             if full && count > 0 {
                 break;
@@ -152,7 +152,7 @@
                         false => core.metrics.exit_pages += 1,
                     }
                     if revision > core.replica.revision {
-                        core.replica.put_page(&d.job, d.number, d.page, revision);
+                        core.replica.apply_page(&d.job, d.number, d.page, revision);
                     }
                     for machine in &d.machines {
                         core.workers.call(machine);
@@ -233,7 +233,7 @@
         let writes_exits = waited >= wait;
         let mut pages: BTreeMap<PageId, Vec<(u32, &TaskRecord)>> = BTreeMap::new();
         for (task, entry) in changes {
-            let page = pages.entry(core.replica.page_of(*task)).or_default();
+            let page = pages.entry(core.replica.page_to_write(*task)).or_default();
             page.push((*task, entry));
         }
         let before = dirty.len();
@@ -358,7 +358,7 @@
         },
         Precondition {
             key: page_key(id, number),
-            revision: job.page_mark(number),
+            revision: job.page_revision(number),
         },
     ];
     if starts {
@@ -416,12 +416,12 @@
             let wides = replica.layout.plain_pages_under(page).map(PageId::Plain);
             let guard = |wide| Precondition {
                 key: page_key(id, wide),
-                revision: job.page_mark(wide),
+                revision: job.page_revision(wide),
             };
             wides.map(guard).collect()
         }
         PageId::Plain(_) if replica.layout.uses_compact() => {
-            let revision = replica.forms.as_ref().map_or(0, |f| f.revision);
+            let revision = replica.schema_versions.as_ref().map_or(0, |f| f.revision);
             let key = FORMS_KEY.into();
             vec![Precondition { key, revision }]
         }
--- a/src/jobs/writer/tests.rs
+++ b/src/jobs/writer/tests.rs
@@ -12,7 +12,7 @@
 }
 
 fn put(core: &mut Core, key: &str, data: Value, revision: u64) {
-    core.replica.put(key, &data.to_string(), revision);
+    core.replica.apply_put(key, &data.to_string(), revision);
 }
 
 fn show(core: &Core) -> String {
@@ -268,8 +268,8 @@
     put(&mut core, "r/j/job-2", waits, 9);
     put(&mut core, "r/j/job-1", json!({"over": "done"}), 12);
     let replica = &core.replica;
-    assert_eq!(replica.ended("job-1"), Some(TerminalState::Done));
-    assert!(replica.on.is_empty() && replica.knows("job-1"));
+    assert_eq!(replica.final_state("job-1"), Some(TerminalState::Done));
+    assert!(replica.tasks_by_machine.is_empty() && replica.is_known("job-1"));
     assert_eq!(replica.pipelines.ready().count(), 1);
     let mut trace = String::new();
     for most in [1, 2, 8] {
@@ -404,7 +404,7 @@
         value: None,
         revision: 20,
     };
-    core.replica.take(vec![drop], 20);
+    core.replica.apply(vec![drop], 20);
     core.apply(vec![Operation::put("r/m/r-1".into(), &record)], 12);
     assert!(core.replica.fleet.rentals.is_empty());
     core.apply(vec![Operation::put("r/m/r-3".into(), &record)], 21);
@@ -427,7 +427,7 @@
         value: serde_json::value::to_raw_value(&data).unwrap(),
         revision,
     };
-    core.replica.reset(
+    core.replica.reload_from_snapshot(
         vec![
             pair("r/j/job-1", job, 5),
             pair("r/m/r-1", rental("vm-1", "me", 1), 6),
@@ -501,7 +501,7 @@
     let largest = largest.max().unwrap();
     let guards = dirty.iter().map(|d| d.guards.len()).max().unwrap();
     let bytes = dirty.iter().map(Dirty::bytes).max().unwrap();
-    assert!(largest <= settings_value && guards <= 96 && bytes <= MOST_BYTES);
+    assert!(largest <= settings_value && guards <= 96 && bytes <= MAX_TRANSACTION_BYTES);
     let pages = dirty.len();
     insta::assert_snapshot!(
         format!("{pages} pages, the largest of {largest} bytes, with at most {guards} guards"),
--- a/src/jobs/writer/withdrawal.rs
+++ b/src/jobs/writer/withdrawal.rs
@@ -63,7 +63,7 @@
         let planned = core.pending_changes.of_job(&d.job).into_iter().flatten();
         let starts: Vec<u32> = planned
             .filter(|(task, entry)| {
-                core.replica.page_of(**task) == d.number
+                core.replica.page_to_write(**task) == d.number
                     && matches!(entry, TaskRecord::Placed { .. })
             })
             .map(|(task, _)| *task)
--- a/src/limits/leader.rs
+++ b/src/limits/leader.rs
@@ -55,7 +55,7 @@
 
 /// The records, with their revisions, of teams that have no limit in the settings.
 fn obsolete_records(core: &Core) -> impl Iterator<Item = (&String, u64)> {
-    let stored = core.replica.allotments.iter();
+    let stored = core.replica.quota_allocations.iter();
     stored
         .filter(|(team, _)| !core.limits.limits.contains_key(*team))
         .map(|(team, stored)| (team, stored.revision))
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -92,7 +92,7 @@
         Some(DividedTeam {
             name: team,
             limit,
-            stored: core.replica.allotments.get(team),
+            stored: core.replica.quota_allocations.get(team),
             assignment_revision: assignment.revision,
             applied_revision: core.replica.revision,
             usage: self.usage.get(team),
--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -25,7 +25,7 @@
 }
 
 fn put(core: &mut Core, key: &str, data: Value, revision: u64) {
-    core.replica.put(key, &data.to_string(), revision);
+    core.replica.apply_put(key, &data.to_string(), revision);
 }
 
 fn job(core: &mut Core, id: &str, shape: &str, tasks: u32) {
@@ -129,7 +129,7 @@
         1.0,
         "our own change is no proof of what came before it"
     );
-    core.replica.take(Vec::new(), 9);
+    core.replica.apply(Vec::new(), 9);
     refresh_usage(&mut core);
     assert_eq!(headroom_cpus(&core), 4.0);
 }
--- a/src/limits/usage.rs
+++ b/src/limits/usage.rs
@@ -45,7 +45,7 @@
         let limit = &core.limits.limits[&job.record.spec.team];
         usage.add_job(core, &CountedJob { limit, id, job }, now_ms);
     }
-    for (member, outlook) in &core.replica.outlooks {
+    for (member, outlook) in &core.replica.forecast_summaries {
         for (team, unit) in &outlook.record.blocked {
             if let Some(usage) = teams.get_mut(team) {
                 usage.add_published(core, member, unit);
--- a/src/membership/schema_versions.rs
+++ b/src/membership/schema_versions.rs
@@ -67,7 +67,10 @@
     layout: &PageLayout,
     replica: &Replica,
 ) -> Option<SchemaVersions> {
-    let current = replica.forms.as_ref().map(|versioned| &versioned.record);
+    let current = replica
+        .schema_versions
+        .as_ref()
+        .map(|versioned| &versioned.record);
     if current.is_some_and(SchemaVersions::is_activated) {
         return None;
     }
@@ -130,7 +133,11 @@
     preconditions.truncate(node.settings.max_transaction_operations() * 4 - 1);
     preconditions.push(Precondition {
         key: FORMS_KEY.into(),
-        revision: core.replica.forms.as_ref().map_or(0, |f| f.revision),
+        revision: core
+            .replica
+            .schema_versions
+            .as_ref()
+            .map_or(0, |f| f.revision),
     });
     Some((record, preconditions))
 }
--- a/src/membership/schema_versions/tests.rs
+++ b/src/membership/schema_versions/tests.rs
@@ -24,11 +24,11 @@
         if let Some(forms) = next_record(&members, &wide(8), replica) {
             revision += 1;
             let text = serde_json::to_string(&forms).unwrap();
-            replica.put("r/forms", &text, revision);
+            replica.apply_put("r/forms", &text, revision);
         }
-        let forms = replica.forms.as_ref().map(|f| &f.record);
+        let forms = replica.schema_versions.as_ref().map(|f| &f.record);
         let seen: Vec<_> = forms.iter().flat_map(|f| &f.upgraded_members).collect();
-        let begun = replica.has_begun();
+        let begun = replica.is_current_schema_active();
         trace.push_str(&format!("{what}: seen {seen:?}, begun {begun}\n"));
     };
     for name in members {
--- a/src/membership/sharing.rs
+++ b/src/membership/sharing.rs
@@ -172,7 +172,7 @@
 
 fn wanted_change(node: &Node, core: &Core, settled: bool) -> Change {
     let replica = &core.replica;
-    let present = replica.present();
+    let present = replica.present_members();
     let old = replica.assignment.as_ref();
     let none = Assignment::default();
     let before = old.map_or(&none, |s| &s.record);
@@ -196,7 +196,10 @@
             zone: &m.pool.zone,
             spot: m.pool.spot,
             owner: &m.owner,
-            tasks: replica.on.get(name).map_or(0, |on| on.len() as u32),
+            tasks: replica
+                .tasks_by_machine
+                .get(name)
+                .map_or(0, |on| on.len() as u32),
         })
         .collect();
     let most = match settled {
@@ -229,7 +232,7 @@
     let change = {
         let _charge = node.processor_time.charge(CpuAccount::Scaling);
         let mut core = node.core();
-        let present = core.replica.present();
+        let present = core.replica.present_members();
         let fleet = &core.replica.fleet.machines;
         let orphaned = present != core.election.shared_among
             || core.replica.assignment.is_none()
@@ -301,7 +304,7 @@
             let new: Vec<Operation> = parts.iter().map(set).collect();
             bytes += new.iter().map(Operation::bytes).sum::<usize>();
             let left = most.saturating_sub(ops.len() - before);
-            if bytes > crate::state::MOST_BYTES || new.len() > left {
+            if bytes > crate::state::MAX_TRANSACTION_BYTES || new.len() > left {
                 break;
             }
             guards.extend(parts.iter().map(|part| Precondition {
--- a/src/membership/sharing/tests.rs
+++ b/src/membership/sharing/tests.rs
@@ -30,7 +30,7 @@
     core.kinds = vec![serde_json::from_value::<MachineType>(kind).unwrap()];
     let members = json!([{"name":"n-0","incarnation":1},{"name":"n-1","incarnation":1}]);
     let shares = json!({"members":members,"teams":{},"gangs":[0],"had_gangs":false,"slots":[0]});
-    core.replica.put("r/shares", &shares.to_string(), 5);
+    core.replica.apply_put("r/shares", &shares.to_string(), 5);
     let job = |tasks: u32| -> JobRecord {
         let spec = json!({"nameId":"job-1","grist":"c","crew":"t","shape":"array",
             "urgency":"standard","sacks":tasks,"cpus":1.0,"cards":0.0,"memGb":1.0,"mould":"i",
--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::cells;
 use crate::node::Node;
-use crate::state::follow::LOST;
+use crate::state::watch::CONTACT_TIMEOUT;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -135,7 +135,7 @@
                 peers_say.cancelled.len(),
             )
         };
-        let lost = proof.is_none_or(|p| p.elapsed() > LOST);
+        let lost = proof.is_none_or(|p| p.elapsed() > CONTACT_TIMEOUT);
         if lost && attested_before.replace(all_attest) != Some(all_attest) {
             tracing::info!(all_attest, cancelled, "no state service: asked the others");
         }
--- a/src/node.rs
+++ b/src/node.rs
@@ -278,7 +278,12 @@
     pub fn runs_intended_work(&self, name: &str, kind: &str) -> bool {
         let open = self.views.opened.contains(name);
         let needs_gpus = !open && self.kind(kind).is_some_and(|k| k.gpus > 0.0);
-        let on = self.replica.on.get(name).into_iter().flatten();
+        let on = self
+            .replica
+            .tasks_by_machine
+            .get(name)
+            .into_iter()
+            .flatten();
         on.filter_map(|task| self.replica.jobs.get(&task.job))
             .any(|job| !needs_gpus || job.record.spec.gpus > 0.0)
     }
@@ -290,8 +295,10 @@
         }
         for op in ops {
             match op {
-                Operation::Put { key, value, .. } => self.replica.put(&key, value.get(), revision),
-                Operation::Delete { key } => self.replica.remove(&key, revision),
+                Operation::Put { key, value, .. } => {
+                    self.replica.apply_put(&key, value.get(), revision)
+                }
+                Operation::Delete { key } => self.replica.apply_delete(&key, revision),
             }
         }
     }
@@ -347,7 +354,12 @@
         self.workers.live.remove(name);
         // A report that waits there is answered by whom it should go to now.
         self.workers.call(name);
-        let on = self.replica.on.get(name).cloned().unwrap_or_default();
+        let on = self
+            .replica
+            .tasks_by_machine
+            .get(name)
+            .cloned()
+            .unwrap_or_default();
         // Starts planned there and not written yet, too: nobody else would ever take them back, and
         // their tasks would count as placed for ever.
         let planned: Vec<TaskId> = self.pending_changes.starts_on(name).cloned().collect();
--- a/src/pipelines/service.rs
+++ b/src/pipelines/service.rs
@@ -76,7 +76,7 @@
         let mut bytes = 0;
         while let Some(step) = steps.first() {
             let more = step.op.bytes();
-            if ops.len() + 1 > room || bytes + more > crate::state::MOST_BYTES {
+            if ops.len() + 1 > room || bytes + more > crate::state::MAX_TRANSACTION_BYTES {
                 break;
             }
             let step = steps.remove(0);
@@ -105,7 +105,7 @@
         let Ok(last) = serde_json::from_value::<TerminalState>(value) else {
             return false;
         };
-        node.core().replica.remember_ended(&id, last);
+        node.core().replica.record_final_state(&id, last);
         node.wake_up.notify_one();
     }
     true
@@ -122,7 +122,7 @@
         let unknown = {
             let core = node.core();
             match core.loaded {
-                true => core.replica.unknown_needs(),
+                true => core.replica.unknown_dependencies(),
                 false => continue,
             }
         };
--- a/src/pipelines/tests.rs
+++ b/src/pipelines/tests.rs
@@ -12,7 +12,7 @@
 
 fn open(replica: &mut Replica, id: &str, revision: u64) {
     let record = json!({"spec": spec(id, "best_effort", None), "accepted_ms": 0});
-    replica.put(&format!("r/j/{id}"), &record.to_string(), revision);
+    replica.apply_put(&format!("r/j/{id}"), &record.to_string(), revision);
 }
 
 fn held(replica: &mut Replica, id: &str, awaits: &[&str], due: Option<f64>, revision: u64) {
@@ -23,7 +23,7 @@
     };
     let record = json!({"held": {"spec": spec(id, urgency, due), "accepted_ms": 0},
         "awaits": awaits});
-    replica.put(&format!("r/j/{id}"), &record.to_string(), revision);
+    replica.apply_put(&format!("r/j/{id}"), &record.to_string(), revision);
 }
 
 fn show(replica: &Replica) -> String {
@@ -60,20 +60,20 @@
         let mut trace = String::new();
         let mut replica = diamond(order);
         trace.push_str(&format!("accepted: {}", show(&replica)));
-        replica.remove("r/j/job-1", 21);
+        replica.apply_delete("r/j/job-1", 21);
         trace.push_str(&format!("1 is done: {}", show(&replica)));
         open(&mut replica, "job-2", 22);
         open(&mut replica, "job-3", 22);
         trace.push_str(&format!("2, 3 released: {}", show(&replica)));
         held(&mut replica, "job-2", &["job-1"], None, 12);
         trace.push_str(&format!("an older record comes late: {}", show(&replica)));
-        replica.remove("r/j/job-2", 23);
+        replica.apply_delete("r/j/job-2", 23);
         trace.push_str(&format!("2 is done: {}", show(&replica)));
         let record = json!({"spec": spec("job-3", "best_effort", None), "accepted_ms": 0,
             "cancelled": true});
-        replica.put("r/j/job-3", &record.to_string(), 24);
+        replica.apply_put("r/j/job-3", &record.to_string(), 24);
         trace.push_str(&format!("3 is cancelled: {}", show(&replica)));
-        replica.remove("r/j/job-4", 25);
+        replica.apply_delete("r/j/job-4", 25);
         trace.push_str(&format!("4 is ended so: {}", show(&replica)));
         traces.push(trace);
     }
@@ -92,9 +92,9 @@
         let mut replica = diamond(order);
         let record = json!({"spec": spec("job-1", "best_effort", None), "accepted_ms": 0,
             "cancelled": true});
-        replica.put("r/j/job-1", &record.to_string(), 21);
+        replica.apply_put("r/j/job-1", &record.to_string(), 21);
         assert_eq!(replica.pipelines.doomed().count(), 4);
-        replica.remove("r/j/job-1", 22);
+        replica.apply_delete("r/j/job-1", 22);
         held(&mut replica, "job-6", &["job-5", "job-1"], None, 23);
         assert!(replica.pipelines.is_doomed("job-6"), "it came afterwards");
         assert_eq!(replica.pipelines.ready().count(), 0);
@@ -109,7 +109,7 @@
     let mut record = json!({"held": {"spec": spec("job-7", "urgent", None), "accepted_ms": 0}});
     for awaits in [json!("job-1"), json!([1]), Value::Null] {
         record["awaits"] = awaits;
-        replica.put("r/j/job-7", &record.to_string(), 5);
+        replica.apply_put("r/j/job-7", &record.to_string(), 5);
         assert!(replica.jobs.is_empty() && replica.is_unreadable("job-7"));
     }
     open(&mut replica, "job-100000", 10);
@@ -119,10 +119,10 @@
     }
     let takes = |_: &_| 1.0;
     assert_eq!(pulls(&replica.pipelines, takes, takes).len(), 49_999);
-    assert_eq!(replica.unknown_before("job-149999").len(), 0);
+    assert_eq!(replica.unknown_ancestors("job-149999").len(), 0);
     let record = json!({"spec": spec("job-100000", "urgent", None), "accepted_ms": 0,
         "cancelled": true});
-    replica.put("r/j/job-100000", &record.to_string(), 200_000);
+    replica.apply_put("r/j/job-100000", &record.to_string(), 200_000);
     assert_eq!(replica.pipelines.doomed().count(), 49_999);
 }
 
@@ -132,10 +132,10 @@
     let mut replica = Replica::new(wide(8));
     held(&mut replica, "job-2", &["job-1"], None, 12);
     held(&mut replica, "job-3", &["job-2"], None, 13);
-    assert_eq!(replica.unknown_before("job-3"), ["job-1"]);
+    assert_eq!(replica.unknown_ancestors("job-3"), ["job-1"]);
     assert_eq!(replica.pipelines.ready().count(), 0);
-    replica.remember_ended("job-1", crate::jobs::TerminalState::Done);
-    assert!(replica.unknown_before("job-3").is_empty());
+    replica.record_final_state("job-1", crate::jobs::TerminalState::Done);
+    assert!(replica.unknown_ancestors("job-3").is_empty());
     insta::assert_snapshot!(show(&replica), @r#"open [] waiting [job-2 job-3] ready [job-2] cancelled []"#);
 }
 
--- a/src/placement/service.rs
+++ b/src/placement/service.rs
@@ -258,7 +258,13 @@
             continue;
         };
         let left = at.saturating_duration_since(now).as_secs_f64();
-        for id in core.replica.on.get(name).into_iter().flatten() {
+        for id in core
+            .replica
+            .tasks_by_machine
+            .get(name)
+            .into_iter()
+            .flatten()
+        {
             let Some(job) = core.replica.jobs.get(&id.job) else {
                 continue;
             };
@@ -301,7 +307,7 @@
     let fleet = &core.replica.fleet.machines;
     let gone: Vec<_> = core
         .replica
-        .on
+        .tasks_by_machine
         .iter()
         .filter(|(name, _)| !fleet.contains_key(*name))
         .flat_map(|(_, on)| on.iter().cloned())
--- a/src/placement/service/tests.rs
+++ b/src/placement/service/tests.rs
@@ -10,9 +10,9 @@
         "urgency":"standard","sacks":2,"cpus":1.0,"cards":0.0,"memGb":1.0,"mould":"i",
         "pullGb":1.0,"together":false,"spread":false,"borrowed":true,"grindS":10.0,
         "bankS":0.0,"bankWriteS":0.0}, "accepted_ms": 0});
-    core.replica.put("r/j/job-1", &job.to_string(), 5);
+    core.replica.apply_put("r/j/job-1", &job.to_string(), 5);
     core.replica
-        .put("r/p/job-1/0", &json!([[1, "vm-1", 1]]).to_string(), 6);
+        .apply_put("r/p/job-1/0", &json!([[1, "vm-1", 1]]).to_string(), 6);
     let planned = TaskRecord::Placed {
         attempt: 1,
         machine: "vm-1".into(),
--- a/src/placement/snapshot_cache.rs
+++ b/src/placement/snapshot_cache.rs
@@ -229,7 +229,7 @@
 /// Brings the cache up to date with all that changed. Returns how much was looked at anew.
 pub fn refresh(core: &mut Core, me: &Member, now: Instant, now_ms: u64) -> u64 {
     let mut cache = std::mem::replace(&mut core.views, SnapshotCache::new(now));
-    let mut machines = core.replica.take_changed_on();
+    let mut machines = core.replica.take_changed_machines();
     machines.extend(core.pending_changes.take_changed_machines());
     let mut jobs = core.replica.take_changed_jobs();
     jobs.extend(core.pending_changes.take_changed_jobs());
@@ -317,7 +317,12 @@
 /// Tasks on a machine: recorded, about to be recorded, or reported.
 pub fn tasks_on<'a>(core: &'a Core, name: &str) -> Vec<Cow<'a, TaskId>> {
     let is_here = |id: &&TaskId| matches!(core.task_record(&id.job, id.index), TaskRecord::Placed { machine, .. } if machine == name);
-    let recorded = core.replica.on.get(name).into_iter().flatten();
+    let recorded = core
+        .replica
+        .tasks_by_machine
+        .get(name)
+        .into_iter()
+        .flatten();
     let mut on: Vec<Cow<TaskId>> = recorded.filter(is_here).map(Cow::Borrowed).collect();
     on.extend(core.pending_changes.starts_on(name).map(Cow::Borrowed));
     on.sort_unstable();
@@ -339,7 +344,7 @@
 
 pub fn spec_of<'a>(core: &'a Core, job: &str) -> Option<&'a JobSpec> {
     let live = core.replica.jobs.get(job).map(|j| &j.record.spec);
-    live.or_else(|| core.replica.departed.get(job).map(|r| &r.spec))
+    live.or_else(|| core.replica.recently_ended.get(job).map(|r| &r.spec))
 }
 
 fn cache_machine(
--- a/src/renting/decide.rs
+++ b/src/renting/decide.rs
@@ -89,7 +89,7 @@
     for (kind, outlook) in &mut record.kinds {
         outlook.booting = booting(core, &node.identity, kind);
         outlook.held = held(node, core, kind, &mapping, now_ms);
-        if core.replica.has_begun() {
+        if core.replica.is_current_schema_active() {
             let held = std::mem::take(&mut outlook.held);
             outlook.idle = held.into_iter().map(|h| h.name).collect();
         }
@@ -109,13 +109,18 @@
 /// what it may need before it publishes again.
 fn part_writes(node: &Node, core: &Core, now_ms: u64) {
     // One node's refusals tell all of them that the limits fell.
-    if core.replica.outlooks.values().any(|o| o.record.fallen) {
+    if core
+        .replica
+        .forecast_summaries
+        .values()
+        .any(|o| o.record.fallen)
+    {
         node.state.adopt_lower_quota();
     }
     let part = node.state.quota().writes_per_s;
     let (mut spare, mut wanted) = (0.0, 0.0);
     let mut own = 1.0;
-    for (name, kept) in &core.replica.outlooks {
+    for (name, kept) in &core.replica.forecast_summaries {
         let record = &kept.record;
         let mine = *name == node.identity.name;
         let fresh = age_s(record.at_ms, now_ms) < node.policy.period_s * 2.0;
@@ -129,7 +134,7 @@
             false => spare += left,
         }
     }
-    let outlooks = core.replica.outlooks.iter();
+    let outlooks = core.replica.forecast_summaries.iter();
     let lacks = outlooks
         .filter(|(name, _)| **name != node.identity.name)
         .any(|(_, o)| {
@@ -330,8 +335,8 @@
 /// What the controllers that are there published, summed per kind.
 pub(super) fn summed(node: &Node, core: &Core, now_ms: u64) -> BTreeMap<String, Outlook> {
     let mut sums: BTreeMap<String, Outlook> = BTreeMap::new();
-    for member in core.replica.present() {
-        let Some(kept) = core.replica.outlooks.get(&member.name) else {
+    for member in core.replica.present_members() {
+        let Some(kept) = core.replica.forecast_summaries.get(&member.name) else {
             continue;
         };
         if age_s(kept.record.at_ms, now_ms) > (node.policy.period_s * 2.5).max(15.0) {
@@ -490,7 +495,7 @@
         false => 0,
     };
     let value_bytes = node.settings.max_value_bytes().saturating_sub(published);
-    let room = match core.replica.has_begun() {
+    let room = match core.replica.is_current_schema_active() {
         true => {
             let longest = held.iter().map(|h| h.name.len() + 3).max().unwrap_or(1);
             (value_bytes / kinds).saturating_sub(OUTLOOK_BYTES) / longest
--- a/src/renting/provision.rs
+++ b/src/renting/provision.rs
@@ -240,7 +240,7 @@
         &rental.pool.zone,
         rental.pool.spot,
     );
-    let present = core.replica.present();
+    let present = core.replica.present_members();
     let Some(shares) = core.replica.assignment.as_ref() else {
         return vec![node.identity.clone(); count];
     };
--- a/src/renting/release.rs
+++ b/src/renting/release.rs
@@ -9,8 +9,8 @@
 };
 use crate::membership;
 use crate::node::{Core, Node, age_s, wall_ms};
-use crate::state::follow::LOST;
 use crate::state::replica::Versioned;
+use crate::state::watch::CONTACT_TIMEOUT;
 use crate::state::{Operation, Precondition, rental_key};
 use rowanmill_state::WritePriority;
 use std::collections::BTreeMap;
@@ -73,7 +73,7 @@
             };
             let new: Vec<Operation> = parts.iter().map(op).collect();
             bytes += new.iter().map(Operation::bytes).sum::<usize>();
-            if bytes > crate::state::MOST_BYTES || ops.len() + new.len() > most {
+            if bytes > crate::state::MAX_TRANSACTION_BYTES || ops.len() + new.len() > most {
                 break;
             }
             guards.extend(parts.iter().map(|part| Precondition {
@@ -257,7 +257,7 @@
     let now_ms = wall_ms();
     // Without contact nothing can be recorded as closing, and silence means nothing: workers were
     // sent on. One that stood back for it in an outage gave everything away right after.
-    if node.is_partitioned() || !node.is_connected_within(LOST) {
+    if node.is_partitioned() || !node.is_connected_within(CONTACT_TIMEOUT) {
         return Vec::new();
     }
     let mut core = node.core();
@@ -276,7 +276,7 @@
         let Some(record) = core.replica.fleet.machines.get(name) else {
             continue;
         };
-        let empty = !core.replica.on.contains_key(name)
+        let empty = !core.replica.tasks_by_machine.contains_key(name)
             && core.pending_changes.starts_on(name).next().is_none();
         if record.state == MachineState::Releasing {
             close.push((name.clone(), "decided before"));
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,16 +1,16 @@
 //! The state service: its client, our share of its limits, and the replica kept of our records.
 
-pub mod follow;
 pub mod replica;
 #[cfg(test)]
 mod tests;
+pub mod watch;
 
 use crate::jobs::PageId;
 pub use replica::Replica;
 pub use rowanmill_state::{Operation, Precondition, StateClient, TransactionError};
 
 /// Most bytes of a transaction's changes: the service takes 64 KiB in all.
-pub const MOST_BYTES: usize = 44 << 10;
+pub const MAX_TRANSACTION_BYTES: usize = 44 << 10;
 
 /// Everything that every node follows. Final states lie outside it, so that what the nodes hold
 /// in memory stays bounded as finished jobs pile up.
--- a/src/state/replica.rs
+++ b/src/state/replica.rs
@@ -31,7 +31,7 @@
     pub pipelines: Pipelines,
     /// Jobs whose record cannot be read: they are known, and nothing else is said of them.
     unreadable: HashSet<String>,
-    pub forms: Option<Versioned<SchemaVersions>>,
+    pub schema_versions: Option<Versioned<SchemaVersions>>,
     pub fleet: Fleet,
     pub presence: BTreeMap<String, Versioned<PresenceRecord>>,
     /// Of each controller that was ever there, the incarnation last known.
@@ -39,26 +39,26 @@
     pub leader: Option<Versioned<LeaderRecord>>,
     pub assignment: Option<Versioned<Assignment>>,
     /// How the limit of each team is divided.
-    pub allotments: BTreeMap<String, StoredAllocations>,
+    pub quota_allocations: BTreeMap<String, StoredAllocations>,
     /// What each controller published last.
-    pub outlooks: BTreeMap<String, Versioned<ForecastSummaryRecord>>,
+    pub forecast_summaries: BTreeMap<String, Versioned<ForecastSummaryRecord>>,
     /// Pages whose job is not there (any more).
-    pub orphans: BTreeMap<(String, PageId), Versioned<ProgressPage>>,
+    pub orphaned_pages: BTreeMap<(String, PageId), Versioned<ProgressPage>>,
     /// Which tasks the records place on each machine.
-    pub on: HashMap<String, BTreeSet<TaskId>>,
+    pub tasks_by_machine: HashMap<String, BTreeSet<TaskId>>,
     /// Jobs that ended of late: their tasks may still hold room on machines.
-    pub departed: HashMap<String, JobRecord>,
-    departed_order: VecDeque<String>,
+    pub recently_ended: HashMap<String, JobRecord>,
+    recently_ended_order: VecDeque<String>,
     /// Jobs and machines whose records changed since they were last asked for.
     changed_jobs: HashSet<String>,
-    changed_on: HashSet<String>,
+    changed_machines: HashSet<String>,
     ended: HashMap<String, TerminalState>,
     /// Jobs that ended and whose key still stands, with its revision.
-    pub closed: BTreeMap<String, u64>,
-    ended_order: VecDeque<String>,
+    pub ended_pending_archive: BTreeMap<String, u64>,
+    final_states_order: VecDeque<String>,
     /// Keys that our own changes dropped before the log told of it, with the drops' marks: what the
     /// log still tells of them from before is over.
-    dropped: HashMap<String, u64>,
+    tombstones: HashMap<String, u64>,
 }
 
 impl Replica {
@@ -70,57 +70,57 @@
     }
 
     /// Starts again from a listing; what is known of ended jobs never changes and stays.
-    pub fn reset(&mut self, pairs: Vec<KeyValue>, revision: u64) {
+    pub fn reload_from_snapshot(&mut self, pairs: Vec<KeyValue>, revision: u64) {
         let ended = std::mem::take(&mut self.ended);
-        let ended_order = std::mem::take(&mut self.ended_order);
+        let ended_order = std::mem::take(&mut self.final_states_order);
         let incarnations = std::mem::take(&mut self.incarnations);
         let mut fleet = std::mem::take(&mut self.fleet);
         fleet.clear_for_reload();
         let jobs = std::mem::take(&mut self.jobs);
-        let on = std::mem::take(&mut self.on);
+        let on = std::mem::take(&mut self.tasks_by_machine);
         *self = Self {
             pipelines: self.pipelines.anew(),
             ended,
-            ended_order,
+            final_states_order: ended_order,
             incarnations,
             fleet,
             changed_jobs: jobs.into_keys().collect(),
-            changed_on: on.into_keys().collect(),
+            changed_machines: on.into_keys().collect(),
             ..Self::new(self.layout)
         };
         for pair in pairs {
-            self.put(&pair.key, pair.value.get(), pair.revision);
+            self.apply_put(&pair.key, pair.value.get(), pair.revision);
         }
         self.revision = revision;
     }
 
     /// Takes in what a follow returned. Answers may overlap: what is in already is passed over.
-    pub fn take(&mut self, events: Vec<WatchEvent>, revision: u64) {
+    pub fn apply(&mut self, events: Vec<WatchEvent>, revision: u64) {
         for change in events {
             if change.revision <= self.revision {
                 continue;
             }
             if let (Some(key), Some(data)) = (change.put, change.value) {
-                self.put(&key, data.get(), change.revision);
+                self.apply_put(&key, data.get(), change.revision);
             } else if let Some(key) = change.deleted {
-                self.remove(&key, change.revision);
+                self.apply_delete(&key, change.revision);
             }
         }
         self.revision = self.revision.max(revision);
         let told = self.revision;
-        self.dropped.retain(|_, revision| *revision > told);
+        self.tombstones.retain(|_, revision| *revision > told);
     }
 
-    pub fn ended(&self, id: &str) -> Option<TerminalState> {
+    pub fn final_state(&self, id: &str) -> Option<TerminalState> {
         self.ended.get(id).copied()
     }
 
-    pub fn remember_ended(&mut self, id: &str, last: TerminalState) {
+    pub fn record_final_state(&mut self, id: &str, last: TerminalState) {
         self.pipelines.over(id, last);
         if self.ended.insert(id.to_owned(), last).is_none() {
-            self.ended_order.push_back(id.to_owned());
-            if self.ended_order.len() > MOST_ENDED
-                && let Some(oldest) = self.ended_order.pop_front()
+            self.final_states_order.push_back(id.to_owned());
+            if self.final_states_order.len() > MOST_ENDED
+                && let Some(oldest) = self.final_states_order.pop_front()
             {
                 self.ended.remove(&oldest);
             }
@@ -129,11 +129,11 @@
 
     /// Puts one record. A revision no newer than the one held is passed over, so that our own
     /// writes can be taken in as soon as they are answered, before the log brings them.
-    pub fn put(&mut self, key: &str, data: &str, revision: u64) {
+    pub fn apply_put(&mut self, key: &str, data: &str, revision: u64) {
         let Some(rest) = key.strip_prefix(super::LIVE) else {
             return;
         };
-        if self.dropped.get(key).is_some_and(|at| *at >= revision) {
+        if self.tombstones.get(key).is_some_and(|at| *at >= revision) {
             return;
         }
         let (slice, name) = rest.split_once('/').unwrap_or((rest, ""));
@@ -145,7 +145,7 @@
                 }
                 Some(StoredJob::Finished { outcome }) => {
                     self.finish(name, outcome);
-                    self.closed.insert(name.to_owned(), revision);
+                    self.ended_pending_archive.insert(name.to_owned(), revision);
                 }
                 None => {
                     self.unreadable.insert(name.to_owned());
@@ -160,14 +160,19 @@
                     PageId::Compact(_) => ProgressPage::from_compact(data),
                 };
                 match record {
-                    Ok(record) => self.put_page(id, page, record, revision),
+                    Ok(record) => self.apply_page(id, page, record, revision),
                     Err(error) => tracing::error!(key, %error, "a record cannot be read"),
                 }
             }
-            "forms" if self.forms.as_ref().is_none_or(|f| f.revision < revision) => {
-                self.forms = read(key, data).map(|record| Versioned { record, revision });
+            "forms"
+                if self
+                    .schema_versions
+                    .as_ref()
+                    .is_none_or(|f| f.revision < revision) =>
+            {
+                self.schema_versions = read(key, data).map(|record| Versioned { record, revision });
                 // What the pages were begun with holds, whatever the settings have come to say.
-                if let Some(layout) = self.forms.as_ref().and_then(|f| f.record.layout) {
+                if let Some(layout) = self.schema_versions.as_ref().and_then(|f| f.record.layout) {
                     self.layout.plain_tasks = layout.plain_tasks;
                     self.layout.compact_tasks = layout.compact_tasks;
                 }
@@ -185,7 +190,7 @@
                 }
             }
             "a" => self.put_allotments(key, name, data, revision),
-            "o" => keep(&mut self.outlooks, key, name, data, revision),
+            "o" => keep(&mut self.forecast_summaries, key, name, data, revision),
             "shares"
                 if self
                     .assignment
@@ -206,26 +211,27 @@
             return;
         };
         if self
-            .allotments
+            .quota_allocations
             .get(&team)
             .is_none_or(|a| a.revision < revision)
         {
             let record = parse_allocations(key, data);
-            self.allotments.insert(team, Versioned { record, revision });
+            self.quota_allocations
+                .insert(team, Versioned { record, revision });
         }
     }
 
     fn depart(&mut self, id: &str, record: &JobRecord) {
         if self
-            .departed
+            .recently_ended
             .insert(id.to_owned(), record.clone())
             .is_none()
         {
-            self.departed_order.push_back(id.to_owned());
-            if self.departed_order.len() > MOST_DEPARTED
-                && let Some(oldest) = self.departed_order.pop_front()
+            self.recently_ended_order.push_back(id.to_owned());
+            if self.recently_ended_order.len() > MOST_DEPARTED
+                && let Some(oldest) = self.recently_ended_order.pop_front()
             {
-                self.departed.remove(&oldest);
+                self.recently_ended.remove(&oldest);
             }
         }
     }
@@ -263,9 +269,13 @@
         };
         let range =
             (id.to_owned(), PageId::Plain(0))..=(id.to_owned(), PageId::Compact(usize::MAX));
-        let found: Vec<PageId> = self.orphans.range(range).map(|((_, n), _)| *n).collect();
+        let found: Vec<PageId> = self
+            .orphaned_pages
+            .range(range)
+            .map(|((_, n), _)| *n)
+            .collect();
         for page in found {
-            if let Some(kept) = self.orphans.remove(&(id.to_owned(), page)) {
+            if let Some(kept) = self.orphaned_pages.remove(&(id.to_owned(), page)) {
                 job.pages.insert(page, kept);
             }
         }
@@ -282,7 +292,7 @@
     /// A job ended: nothing of it is on any machine or will be. Its pages are left to be dropped.
     fn finish(&mut self, id: &str, last: TerminalState) {
         self.leave(id);
-        self.remember_ended(id, last);
+        self.record_final_state(id, last);
     }
 
     /// A job's record is no more: it ended, or is another cell's.
@@ -301,7 +311,7 @@
             self.changed_jobs.insert(id.to_owned());
             self.depart(id, &job.record);
             for (page, kept) in job.pages {
-                self.orphans.insert((id.to_owned(), page), kept);
+                self.orphaned_pages.insert((id.to_owned(), page), kept);
             }
         }
     }
@@ -323,7 +333,7 @@
     }
 
     /// Whether it was accepted, as far as is known here.
-    pub fn knows(&self, id: &str) -> bool {
+    pub fn is_known(&self, id: &str) -> bool {
         self.jobs.contains_key(id)
             || self.pipelines.get(id).is_some()
             || self.ended.contains_key(id)
@@ -335,11 +345,11 @@
     }
 
     /// What jobs that wait need and no record here tells of.
-    pub fn unknown_needs(&self) -> BTreeSet<String> {
+    pub fn unknown_dependencies(&self) -> BTreeSet<String> {
         self.pipelines.unknown(|id| self.jobs.contains_key(id))
     }
 
-    pub fn unknown_before(&self, id: &str) -> Vec<String> {
+    pub fn unknown_ancestors(&self, id: &str) -> Vec<String> {
         let known = |id: &str| self.jobs.contains_key(id);
         self.pipelines.unknown_before(id, known)
     }
@@ -347,11 +357,11 @@
     fn page(&self, id: &str, page: PageId) -> Option<&Versioned<ProgressPage>> {
         match self.jobs.get(id) {
             Some(job) => job.pages.get(&page),
-            None => self.orphans.get(&(id.to_owned(), page)),
+            None => self.orphaned_pages.get(&(id.to_owned(), page)),
         }
     }
 
-    pub fn put_page(&mut self, id: &str, page: PageId, record: ProgressPage, revision: u64) {
+    pub fn apply_page(&mut self, id: &str, page: PageId, record: ProgressPage, revision: u64) {
         let old = self.page(id, page);
         if old.is_some_and(|old| old.revision >= revision) {
             return;
@@ -364,7 +374,7 @@
                 job.pages.insert(page, kept);
             }
             None => {
-                self.orphans.insert((id.to_owned(), page), kept);
+                self.orphaned_pages.insert((id.to_owned(), page), kept);
             }
         }
         self.differ(id, page, before);
@@ -409,17 +419,20 @@
     fn index(&mut self, id: &str, task: u32, old: &TaskRecord, new: &TaskRecord) {
         let id = TaskId::new(id, task);
         if let TaskRecord::Placed { machine, .. } = old {
-            if let Some(on) = self.on.get_mut(machine) {
+            if let Some(on) = self.tasks_by_machine.get_mut(machine) {
                 on.remove(&id);
                 if on.is_empty() {
-                    self.on.remove(machine);
+                    self.tasks_by_machine.remove(machine);
                 }
             }
-            self.changed_on.insert(machine.clone());
+            self.changed_machines.insert(machine.clone());
         }
         if let TaskRecord::Placed { machine, .. } = new {
-            self.on.entry(machine.clone()).or_default().insert(id);
-            self.changed_on.insert(machine.clone());
+            self.tasks_by_machine
+                .entry(machine.clone())
+                .or_default()
+                .insert(id);
+            self.changed_machines.insert(machine.clone());
         }
     }
 
@@ -429,17 +442,17 @@
     }
 
     /// Machines on which other tasks are recorded than at the last call.
-    pub fn take_changed_on(&mut self) -> HashSet<String> {
-        std::mem::take(&mut self.changed_on)
+    pub fn take_changed_machines(&mut self) -> HashSet<String> {
+        std::mem::take(&mut self.changed_machines)
     }
 
     /// Removes one record, unless what is held is newer than the removal.
-    pub fn remove(&mut self, key: &str, revision: u64) {
+    pub fn apply_delete(&mut self, key: &str, revision: u64) {
         let Some(rest) = key.strip_prefix(super::LIVE) else {
             return;
         };
         if revision > self.revision {
-            self.dropped.insert(key.to_owned(), revision);
+            self.tombstones.insert(key.to_owned(), revision);
         }
         let (slice, name) = rest.split_once('/').unwrap_or((rest, ""));
         match slice {
@@ -464,7 +477,7 @@
                     self.finish(name, last);
                 }
                 self.unreadable.remove(name);
-                self.closed.remove(name);
+                self.ended_pending_archive.remove(name);
             }
             "p" | "q" => {
                 let Some((id, page)) = page_name(slice, name) else {
@@ -477,7 +490,7 @@
                 let before = self.entries(id, page, slots);
                 match self.jobs.get_mut(id) {
                     Some(job) => job.pages.remove(&page),
-                    None => self.orphans.remove(&(id.to_owned(), page)),
+                    None => self.orphaned_pages.remove(&(id.to_owned(), page)),
                 };
                 self.differ(id, page, before);
             }
@@ -492,11 +505,11 @@
             "a" => {
                 let team = rowanmill_limits::key::decode_team(name).unwrap_or_default();
                 if self
-                    .allotments
+                    .quota_allocations
                     .get(&team)
                     .is_some_and(|a| a.revision < revision)
                 {
-                    self.allotments.remove(&team);
+                    self.quota_allocations.remove(&team);
                 }
             }
             "leader" if self.leader.as_ref().is_some_and(|l| l.revision < revision) => {
@@ -507,7 +520,7 @@
     }
 
     /// The controllers that are there.
-    pub fn present(&self) -> BTreeSet<Member> {
+    pub fn present_members(&self) -> BTreeSet<Member> {
         let presence = self.presence.iter();
         presence
             .map(|(name, p)| Member {
@@ -527,21 +540,23 @@
         if let Some(job) = self.jobs.get(job) {
             return job.task_record(&self.layout, task);
         }
-        if self.orphans.is_empty() {
+        if self.orphaned_pages.is_empty() {
             return &TaskRecord::NEVER_STARTED;
         }
-        let page = |page: PageId| self.orphans.get(&(job.to_owned(), page));
+        let page = |page: PageId| self.orphaned_pages.get(&(job.to_owned(), page));
         entry_in(page, &self.layout, task)
     }
 
     /// Whether all controllers are of a version that can do what this one can.
-    pub fn has_begun(&self) -> bool {
-        self.forms.as_ref().is_some_and(|f| f.record.is_activated())
+    pub fn is_current_schema_active(&self) -> bool {
+        self.schema_versions
+            .as_ref()
+            .is_some_and(|f| f.record.is_activated())
     }
 
     /// The page on which a task's next entry is written.
-    pub fn page_of(&self, task: u32) -> PageId {
-        match self.has_begun() && self.layout.uses_compact() {
+    pub fn page_to_write(&self, task: u32) -> PageId {
+        match self.is_current_schema_active() && self.layout.uses_compact() {
             true => self.layout.compact_page_of(task),
             false => self.layout.plain_page_of(task),
         }
--- a/src/state/replica/records.rs
+++ b/src/state/replica/records.rs
@@ -75,7 +75,7 @@
         entry_in(|page| self.pages.get(&page), layout, task)
     }
 
-    pub fn page_mark(&self, page: PageId) -> u64 {
+    pub fn page_revision(&self, page: PageId) -> u64 {
         self.pages.get(&page).map_or(0, |p| p.revision)
     }
 }
--- a/src/state/replica/tests.rs
+++ b/src/state/replica/tests.rs
@@ -20,14 +20,17 @@
     let page = |m: &str| json!([[1, m, 1], true]);
     let job = json!({"spec": crate::pipelines::tests::spec("job-1", "urgent", None),
         "accepted_ms": 0});
-    replica.take(vec![change("r/j/job-1", job, 4)], 4);
-    replica.take(vec![change("r/p/job-1/0", page("vm-1"), 5)], 5);
-    replica.take(vec![change("r/p/job-1/0", page("vm-2"), 7)], 7);
-    replica.take(vec![change("r/p/job-1/0", page("vm-1"), 5)], 5);
+    replica.apply(vec![change("r/j/job-1", job, 4)], 4);
+    replica.apply(vec![change("r/p/job-1/0", page("vm-1"), 5)], 5);
+    replica.apply(vec![change("r/p/job-1/0", page("vm-2"), 7)], 7);
+    replica.apply(vec![change("r/p/job-1/0", page("vm-1"), 5)], 5);
     assert_eq!(replica.revision, 7);
-    assert!(replica.on.contains_key("vm-2") && !replica.on.contains_key("vm-1"));
-    replica.take(vec![change("r/p/job-1/0", serde_json::Value::Null, 8)], 8);
-    assert!(replica.on.is_empty() && replica.orphans.is_empty());
+    assert!(
+        replica.tasks_by_machine.contains_key("vm-2")
+            && !replica.tasks_by_machine.contains_key("vm-1")
+    );
+    replica.apply(vec![change("r/p/job-1/0", serde_json::Value::Null, 8)], 8);
+    assert!(replica.tasks_by_machine.is_empty() && replica.orphaned_pages.is_empty());
 }
 
 /// Rules `ran_twice` and `wrong_place`, found by hunt and on a calm day: rentals were merged
@@ -43,7 +46,7 @@
     };
     let null = serde_json::Value::Null;
     let mut replica = Replica::new(wide(8));
-    replica.take(
+    replica.apply(
         vec![
             change("r/m/r-1", rental(&["vm-1"]), 5),
             change("r/m/r-2", rental(&["vm-2", "vm-3"]), 6),
@@ -51,9 +54,9 @@
         6,
     );
     // Our own changes, taken in as soon as they are answered: a release, and the merging.
-    replica.put("r/m/r-2", &rental(&["vm-2"]).to_string(), 7);
-    replica.put("r/m/r-1", &rental(&["vm-1", "vm-2"]).to_string(), 9);
-    replica.remove("r/m/r-2", 9);
+    replica.apply_put("r/m/r-2", &rental(&["vm-2"]).to_string(), 7);
+    replica.apply_put("r/m/r-1", &rental(&["vm-1", "vm-2"]).to_string(), 9);
+    replica.apply_delete("r/m/r-2", 9);
     let mut trace = String::new();
     let mut say = |what: &str, replica: &Replica| {
         let machines = replica.fleet.machines.iter();
@@ -63,15 +66,15 @@
         trace.push_str(&format!("{what}: {}\n", machines.join(", ")));
     };
     say("merged", &replica);
-    replica.take(vec![change("r/m/r-2", rental(&["vm-2"]), 7)], 7);
+    replica.apply(vec![change("r/m/r-2", rental(&["vm-2"]), 7)], 7);
     say("the log tells of the release", &replica);
     let merging = vec![
         change("r/m/r-1", rental(&["vm-1", "vm-2"]), 9),
         change("r/m/r-2", null, 9),
     ];
-    replica.take(merging, 9);
+    replica.apply(merging, 9);
     say("and of the merging", &replica);
-    assert!(replica.dropped.is_empty());
+    assert!(replica.tombstones.is_empty());
     insta::assert_snapshot!(trace, @r#"
     merged: vm-1 in r-1, vm-2 in r-1
     the log tells of the release: vm-1 in r-1, vm-2 in r-1
@@ -85,11 +88,11 @@
 fn who_was_there_last_is_known_when_it_is_gone() {
     let mut replica = Replica::new(wide(8));
     let there = |incarnation| json!({"incarnation": incarnation, "lease": 1});
-    replica.take(vec![change("r/n/n-1", there(7), 4)], 4);
-    replica.take(vec![change("r/n/n-1", serde_json::Value::Null, 5)], 5);
+    replica.apply(vec![change("r/n/n-1", there(7), 4)], 4);
+    replica.apply(vec![change("r/n/n-1", serde_json::Value::Null, 5)], 5);
     assert!(replica.presence.is_empty());
     assert_eq!(replica.incarnations.get("n-1"), Some(&7));
-    replica.take(vec![change("r/n/n-1", there(8), 6)], 6);
-    replica.reset(Vec::new(), 7);
+    replica.apply(vec![change("r/n/n-1", there(8), 6)], 6);
+    replica.reload_from_snapshot(Vec::new(), 7);
     assert_eq!(replica.incarnations.get("n-1"), Some(&8));
 }
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -159,8 +159,8 @@
     let mut replica = Replica::new(layout);
     for (key, (revision, data)) in kept() {
         match key.strip_prefix("e/") {
-            Some(id) => replica.remember_ended(id, serde_json::from_value(data).unwrap()),
-            None => replica.put(&key, &data.to_string(), revision),
+            Some(id) => replica.record_final_state(id, serde_json::from_value(data).unwrap()),
+            None => replica.apply_put(&key, &data.to_string(), revision),
         }
     }
     replica
@@ -196,7 +196,11 @@
         let level = kept.record.supported_level;
         trace.push_str(&format!("{name} can do {level}\n"));
     }
-    let outlooks: Vec<_> = replica.outlooks.values().map(|o| &o.record).collect();
+    let outlooks: Vec<_> = replica
+        .forecast_summaries
+        .values()
+        .map(|o| &o.record)
+        .collect();
     let fallen = outlooks.iter().any(|o| o.fallen);
     trace.push_str(&format!(
         "leader {:?}, {} slots, {} outlooks, limits fallen {fallen}, begun {}\n",
@@ -206,7 +210,7 @@
             .as_ref()
             .map_or(0, |s| s.record.slots.len()),
         outlooks.len(),
-        replica.has_begun(),
+        replica.is_current_schema_active(),
     ));
     insta::assert_snapshot!(trace, @r#"
     job-000301: Array of 12, Running, 8 done, 4 placed, due Some(5.0), since true
@@ -232,20 +236,20 @@
         upgraded_members: ["a".to_string()].into(),
         layout: Some(LAYOUT),
     };
-    replica.put("r/forms", &serde_json::to_string(&forms).unwrap(), 50);
+    replica.apply_put("r/forms", &serde_json::to_string(&forms).unwrap(), 50);
     assert_eq!(count(&replica), before);
-    assert_eq!(replica.page_of(30), PageId::Compact(0));
+    assert_eq!(replica.page_to_write(30), PageId::Compact(0));
     let entries = (0..64).map(|t| replica.task_record("job-000304", t).clone());
     let mut page = ProgressPage(entries.collect());
     page.set(63, TaskRecord::Done);
     page.set(0, TaskRecord::Done);
     let text = serde_json::to_string(&page.to_compact()).unwrap();
-    replica.put("r/q/job-000304/0", &text, 51);
+    replica.apply_put("r/q/job-000304/0", &text, 51);
     assert_eq!(count(&replica), (before.0 + 1, before.1));
     // The wide page changes late: only what no dense page covers counts.
     let mut late = vec![Value::from(7); 70];
     late[69] = Value::from(true);
-    replica.put("r/p/job-000304/0", &Value::from(late).to_string(), 52);
+    replica.apply_put("r/p/job-000304/0", &Value::from(late).to_string(), 52);
     assert_eq!(count(&replica), (before.0 + 2, before.1));
     assert_eq!(*replica.task_record("job-000304", 5), TaskRecord::Done);
     assert_eq!(
@@ -254,12 +258,12 @@
         "no dense page covers it"
     );
     // The job ends, and its pages are dropped, the wide one first.
-    replica.remove("r/j/job-000304", 53);
-    let first = replica.orphans.keys().next().cloned();
+    replica.apply_delete("r/j/job-000304", 53);
+    let first = replica.orphaned_pages.keys().next().cloned();
     assert_eq!(first, Some(("job-000304".into(), PageId::Plain(0))));
-    replica.remove("r/p/job-000304/0", 54);
-    replica.remove("r/q/job-000304/0", 54);
-    let on = replica.on.values().flatten();
+    replica.apply_delete("r/p/job-000304/0", 54);
+    replica.apply_delete("r/q/job-000304/0", 54);
+    let on = replica.tasks_by_machine.values().flatten();
     assert_eq!(on.filter(|id| id.job == "job-000304").count(), 0);
 }
 
@@ -347,7 +351,7 @@
             shares.slots.len(),
         ),
     );
-    let mut outlook = replica.outlooks["millstone-0"].record.clone();
+    let mut outlook = replica.forecast_summaries["millstone-0"].record.clone();
     outlook.fallen = true;
     let outlook = written(&outlook);
     say(
--- a/src/state/follow.rs
+++ b/src/state/watch.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// Contact with the state service that was lost for longer begins anew with the next answer.
-pub const LOST: Duration = Duration::from_secs(4);
+pub const CONTACT_TIMEOUT: Duration = Duration::from_secs(4);
 const PAUSE: Duration = Duration::from_millis(200);
 
 /// Loads the records once, then follows the log for as long as the process lives.
@@ -54,10 +54,13 @@
             let _charge = node.processor_time.charge(CpuAccount::Replication);
             let mut core = node.core();
             let wake_up = !followed.events.is_empty();
-            if core.last_read_barrier.is_none_or(|p| p.elapsed() > LOST) {
+            if core
+                .last_read_barrier
+                .is_none_or(|p| p.elapsed() > CONTACT_TIMEOUT)
+            {
                 core.connected_since = Some(sent);
             }
-            core.replica.take(followed.events, followed.revision);
+            core.replica.apply(followed.events, followed.revision);
             core.last_read_barrier = core.last_read_barrier.max(Some(sent));
             drop(core);
             if wake_up {
@@ -82,7 +85,7 @@
 
 async fn load(node: &Node) -> Result<(), ReadError> {
     let (pairs, revision) = node.state.list_all(LIVE).await?;
-    node.core().replica.reset(pairs, revision);
+    node.core().replica.reload_from_snapshot(pairs, revision);
     // The pages of the listing are of different moments; the log from the first one on makes
     // them agree.
     turn(node, Duration::ZERO).await
--- a/src/testing/compatibility/interfaces.rs
+++ b/src/testing/compatibility/interfaces.rs
@@ -126,7 +126,7 @@
 
     fn put(&self, key: &str, data: Value, revision: u64) {
         let mut core = self.node.core();
-        core.replica.put(key, &data.to_string(), revision);
+        core.replica.apply_put(key, &data.to_string(), revision);
     }
 
     /// On a busy machine the last reading may be old: that is another test's subject.
@@ -191,8 +191,8 @@
     node.core().kinds = vec![kind("c4", 4.0, &["a"]), kind("c8", 8.0, &["a", "b"])];
     let mut served = Served::start(node).await;
     served.follows = true;
-    tokio::spawn(crate::state::follow::run(served.node.clone()));
-    tokio::spawn(crate::state::follow::serve_read_barriers(
+    tokio::spawn(crate::state::watch::run(served.node.clone()));
+    tokio::spawn(crate::state::watch::serve_read_barriers(
         served.node.clone(),
     ));
     let node = served.node.clone();
@@ -256,7 +256,10 @@
     );
     store(state, "r/forms", begun(&served)).await;
     let node = served.node.clone();
-    until("all can", async || node.core().replica.has_begun()).await;
+    until("all can", async || {
+        node.core().replica.is_current_schema_active()
+    })
+    .await;
     served.submit(
         "one that waits for a job that is done",
         &needs("job-4", "job-2"),
@@ -476,7 +479,10 @@
     let needs = with(job("job-6"), json!({"awaits": ["job-98"]}));
     store(state_addr, "r/forms", begun(&served)).await;
     let node = served.node.clone();
-    until("all can", async || node.core().replica.has_begun()).await;
+    until("all can", async || {
+        node.core().replica.is_current_schema_active()
+    })
+    .await;
     served.submit("one that waits for none that the cells know", &needs);
     served.submit("a new job", &job("job-7"));
     served.submit("the same again", &job("job-7"));
--- a/src/testing/compatibility/observability.rs
+++ b/src/testing/compatibility/observability.rs
@@ -65,12 +65,13 @@
             "pullGb":1.0,"together":false,"spread":false,"borrowed":true,"grindS":10.0,
             "bankS":0.0,"bankWriteS":0.0});
         let record = json!({"spec": spec, "accepted_ms": 0});
-        core.replica.put("r/j/job-1", &record.to_string(), 5);
+        core.replica.apply_put("r/j/job-1", &record.to_string(), 5);
         let member = json!({"name": node.identity.name, "incarnation": node.identity.incarnation});
         let assignment = json!({"members": [member], "teams": {}, "gangs": [0],
             "had_gangs": false, "slots": [0]});
-        core.replica.put("r/shares", &assignment.to_string(), 6);
-        core.replica.put("r/p/job-1/0", "[true]", 7);
+        core.replica
+            .apply_put("r/shares", &assignment.to_string(), 6);
+        core.replica.apply_put("r/p/job-1/0", "[true]", 7);
         let counters = &mut core.metrics;
         counters.heartbeats = 1;
         counters.status_polls = 2;
--- a/src/testing/compatibility/recorded_run.rs
+++ b/src/testing/compatibility/recorded_run.rs
@@ -46,7 +46,7 @@
         compact_tasks: 170,
         value_bytes: 8192,
     });
-    replica.reset(pairs.collect(), u64::MAX);
+    replica.reload_from_snapshot(pairs.collect(), u64::MAX);
     replica
 }
 
@@ -88,7 +88,7 @@
         for (id, job) in &replica.jobs {
             self.add_job(id, job);
         }
-        for ((id, page), kept) in &replica.orphans {
+        for ((id, page), kept) in &replica.orphaned_pages {
             self.add_page(id, *page, &kept.record, kept.revision);
         }
         for (id, blocked) in replica.pipelines.all() {
@@ -98,8 +98,8 @@
             };
             self.add(job_key(id), &record, blocked.revision);
         }
-        for (id, revision) in &replica.closed {
-            let outcome = replica.ended(id).unwrap();
+        for (id, revision) in &replica.ended_pending_archive {
+            let outcome = replica.final_state(id).unwrap();
             self.add(job_key(id), &StoredJob::Finished { outcome }, *revision);
         }
     }
@@ -111,14 +111,14 @@
         for (name, kept) in &replica.presence {
             self.add(presence_key(name), &kept.record, kept.revision);
         }
-        for (name, kept) in &replica.outlooks {
+        for (name, kept) in &replica.forecast_summaries {
             self.add(outlook_key(name), &kept.record, kept.revision);
         }
-        for (team, kept) in &replica.allotments {
+        for (team, kept) in &replica.quota_allocations {
             let record = kept.record.as_ref().unwrap();
             self.add(allotment_key(team), record, kept.revision);
         }
-        let forms = replica.forms.as_ref().unwrap();
+        let forms = replica.schema_versions.as_ref().unwrap();
         self.add(FORMS_KEY.into(), &forms.record, forms.revision);
         let leader = replica.leader.as_ref().unwrap();
         self.add(LEADER_KEY.into(), &leader.record, leader.revision);
@@ -153,8 +153,8 @@
         let again = match key.split_once('/').unwrap() {
             ("e", id) => {
                 ended += 1;
-                replica.remember_ended(id, serde_json::from_value(value.clone()).unwrap());
-                written(final_key(id), &replica.ended(id).unwrap())
+                replica.record_final_state(id, serde_json::from_value(value.clone()).unwrap());
+                written(final_key(id), &replica.final_state(id).unwrap())
             }
             ("x", id) => {
                 given_up += 1;
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -258,7 +258,7 @@
     );
     live.running_since
         .retain(|id, (attempt, _)| reported.get(&id.borrowed()) == Some(attempt));
-    live.forget_gone(replica.on.get(&report.machine));
+    live.forget_gone(replica.tasks_by_machine.get(&report.machine));
     out
 }
 
@@ -292,7 +292,7 @@
     out: &mut Reading,
 ) {
     let before = std::mem::take(&mut live.unseen);
-    let Some(on) = replica.on.get(&report.machine) else {
+    let Some(on) = replica.tasks_by_machine.get(&report.machine) else {
         return;
     };
     for id in on {
--- a/src/workers/service.rs
+++ b/src/workers/service.rs
@@ -141,7 +141,7 @@
         && report.notice_s.is_none()
         && record.state == MachineState::Active
         && report.token == record.fencing_token
-        && !core.replica.on.contains_key(&report.machine);
+        && !core.replica.tasks_by_machine.contains_key(&report.machine);
     if !idle {
         return None;
     }
--- a/src/workers/service/tests.rs
+++ b/src/workers/service/tests.rs
@@ -50,7 +50,7 @@
 
     fn put(&self, key: &str, data: Value, revision: u64) {
         let mut core = self.node.core();
-        core.replica.put(key, &data.to_string(), revision);
+        core.replica.apply_put(key, &data.to_string(), revision);
     }
 
     /// vm-1 belongs to this node, or to another, under that token.
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -20,7 +20,7 @@
         value: serde_json::value::to_raw_value(&data).unwrap(),
         revision,
     };
-    replica.reset(
+    replica.reload_from_snapshot(
         vec![pair("r/j/job-1", job, 5), pair("r/p/job-1/0", page, 6)],
         10,
     );
@@ -177,7 +177,7 @@
         revision: 5,
     };
     let page = json!([[1, "vm-1", 1]]);
-    replica.reset(vec![pair("r/j/job-1", job), pair("r/p/job-1/0", page)], 10);
+    replica.reload_from_snapshot(vec![pair("r/j/job-1", job), pair("r/p/job-1/0", page)], 10);
     let ended = json!([{"sack":"job-1/0","turn":1,"stage":"ended","cause":"done"}]);
     insta::assert_snapshot!(trace(&replica, report(1, TOKEN, ended)), @"record job-1/0 Waiting { last: 1 }");
 }
