--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::http::{HttpResponse, error_response, json_response, retry_later};
 use crate::node::Node;
-use crate::workers::service as workers;
+use crate::workers::service::handle_heartbeat;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
@@ -100,7 +100,7 @@
         Err(answer) => return answer,
     };
     match parts.as_slice() {
-        ["hello"] => workers::hello(&server.node, &body).await,
+        ["hello"] => handle_heartbeat(&server.node, &body).await,
         ["v1", "jobs"] => users::submit(server, &body).await,
         ["v1", "jobs", id] => users::poll(server, id).await,
         ["v1", "jobs", id, _] => users::abort(server, id).await,
--- a/src/cells/heartbeats.rs
+++ b/src/cells/heartbeats.rs
@@ -3,7 +3,7 @@
 use super::local_state::tracked_job;
 use crate::jobs::TaskRef;
 use crate::node::{Core, Node};
-use crate::workers::Report;
+use crate::workers::Heartbeat;
 use rowanmill_cells::TrackedJob;
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -11,11 +11,11 @@
 /// Whether the machine's heartbeat may be answered, which renews its lease. Without a recent read of the
 /// ledger, renewing the lease of a machine with tasks of its jobs would keep alive what another cell has
 /// confirmed as cancelled, or has taken over.
-pub fn permits_renewal(node: &Node, report: &Report, now: Instant) -> bool {
+pub fn permits_renewal(node: &Node, heartbeat: &Heartbeat, now: Instant) -> bool {
     let Some(cells) = &node.cells else {
         return true;
     };
-    cells.permits_renewals(now) || tracked_jobs_on(&node.core(), report).is_empty()
+    cells.permits_renewals(now) || tracked_jobs_on(&node.core(), heartbeat).is_empty()
 }
 
 /// Whether tasks may be started.
@@ -25,11 +25,11 @@
 }
 
 /// Jobs with tasks on the machine that must not run by the ledger, whatever the cell's own records say yet.
-pub fn halted_jobs_on(node: &Node, core: &Core, report: &Report) -> BTreeSet<String> {
+pub fn halted_jobs_on(node: &Node, core: &Core, heartbeat: &Heartbeat) -> BTreeSet<String> {
     let Some(cells) = &node.cells else {
         return BTreeSet::new();
     };
-    let tracked = tracked_jobs_on(core, report);
+    let tracked = tracked_jobs_on(core, heartbeat);
     if tracked.is_empty() {
         return BTreeSet::new();
     }
@@ -38,19 +38,19 @@
 
 /// Jobs with a record in the ledger that have tasks on the machine, by the cell's records, by planned
 /// changes to them or by the heartbeat.
-fn tracked_jobs_on(core: &Core, report: &Report) -> Vec<TrackedJob> {
+fn tracked_jobs_on(core: &Core, heartbeat: &Heartbeat) -> Vec<TrackedJob> {
     let recorded = core
         .replica
         .tasks_by_machine
-        .get(&report.machine)
+        .get(&heartbeat.machine)
         .into_iter()
         .flatten();
     let recorded = recorded.map(|task| task.job.as_str());
     let planned = core
         .pending_changes
-        .starts_on(&report.machine)
+        .starts_on(&heartbeat.machine)
         .map(|task| task.job.as_str());
-    let reported = report.tasks.iter();
+    let reported = heartbeat.tasks.iter();
     let reported = reported.filter_map(|task| TaskRef::try_from(task.task.as_str()).ok());
     let reported = reported.map(|task| task.job);
     let ids: BTreeSet<&str> = recorded.chain(planned).chain(reported).collect();
--- a/src/jobs/writer.rs
+++ b/src/jobs/writer.rs
@@ -155,7 +155,7 @@
                         core.replica.apply_page(&d.job, d.number, d.page, revision);
                     }
                     for machine in &d.machines {
-                        core.workers.call(machine);
+                        core.workers.release_held_response(machine);
                     }
                     core.pending_changes.restart_wait(&d.job);
                     core.pending_changes.clear_start_rank(&d.job);
--- a/src/jobs/writer/withdrawal.rs
+++ b/src/jobs/writer/withdrawal.rs
@@ -89,12 +89,13 @@
 /// Forgets planned changes that the records now hold, or that no longer apply to them.
 pub(super) fn settle(core: &mut Core) {
     let replica = &core.replica;
-    core.workers.stops.retain(|(id, attempt), _| {
+    core.workers.pending_stops.retain(|stopped, _| {
+        let id = &stopped.task;
         let entry = replica
             .jobs
             .contains_key(&id.job)
             .then(|| replica.task_record(&id.job, id.index));
-        matches!(entry, Some(TaskRecord::Placed { attempt: held, .. }) if held == attempt)
+        matches!(entry, Some(TaskRecord::Placed { attempt, .. }) if *attempt == stopped.attempt)
     });
     let mut over = Vec::new();
     for (id, changes) in core.pending_changes.iter() {
--- a/src/node.rs
+++ b/src/node.rs
@@ -16,7 +16,7 @@
 use crate::renting::service::RentState;
 use crate::settings::Settings;
 use crate::state::{Operation, Precondition, Replica, StateClient, rental_key};
-use crate::workers::Workers;
+use crate::workers::{Ownership, Workers};
 use rowanmill_cells::{CellCoordinator, CellsConfig};
 use rowanmill_limits::LimitsConfig;
 use std::collections::HashMap;
@@ -334,13 +334,17 @@
         self.pending_changes.mark_machine_changed(name);
         let machine = self.replica.fleet.machines.get(name);
         let token = machine.filter(|m| m.owner == *me).map(|m| m.fencing_token);
-        let known = self.workers.owned.get(name).map(|(_, known)| *known);
+        let known = self.workers.owned.get(name).map(|o| o.fencing_token);
         if token == known {
             return;
         }
         match token {
             Some(token) => {
-                self.workers.owned.insert(name.to_owned(), (now, token));
+                let ownership = Ownership {
+                    since: now,
+                    fencing_token: token,
+                };
+                self.workers.owned.insert(name.to_owned(), ownership);
             }
             None => {
                 self.workers.owned.remove(name);
@@ -351,9 +355,9 @@
     }
 
     fn forget_seen(&mut self, name: &str) {
-        self.workers.live.remove(name);
-        // A report that waits there is answered by whom it should go to now.
-        self.workers.call(name);
+        self.workers.agents.remove(name);
+        // A response that is held back there now names the owner.
+        self.workers.release_held_response(name);
         let on = self
             .replica
             .tasks_by_machine
--- a/src/placement/service.rs
+++ b/src/placement/service.rs
@@ -7,6 +7,7 @@
 use crate::metrics::{self, CpuAccount, Metrics};
 use crate::node::{Core, Node, wall_ms};
 use crate::renting;
+use crate::workers::TaskAttempt;
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -218,7 +219,8 @@
         core.discard_change(&id);
         return;
     }
-    core.workers.stops.entry((id, attempt)).or_insert(grace);
+    let stopped = TaskAttempt { task: id, attempt };
+    core.workers.pending_stops.entry(stopped).or_insert(grace);
 }
 
 /// A gang that lost a task before its end cannot complete: its other tasks would hold their
@@ -253,8 +255,8 @@
 fn save_from_notices(node: &Node, core: &mut Core, now: Instant) {
     let report = node.settings.params.workers.report_s;
     let mut stops = Vec::new();
-    for (name, live) in &core.workers.live {
-        let Some(at) = live.taken_at else {
+    for (name, status) in &core.workers.agents {
+        let Some(at) = status.preemption_at else {
             continue;
         };
         let left = at.saturating_duration_since(now).as_secs_f64();
@@ -269,9 +271,8 @@
                 continue;
             };
             let spec = &job.record.spec;
-            let ran = live.running_since.get(id).map_or(0.0, |(_, since)| {
-                now.saturating_duration_since(*since).as_secs_f64()
-            });
+            let ran = status.attempts.running_for(id, now);
+            let ran = ran.map_or(0.0, |ran| ran.as_secs_f64());
             let ends_in_time = core.duration(spec) - ran < left;
             let saves = spec.checkpoint_s > 0.0;
             // The order goes out with an answer to a report, and saving takes its time.
@@ -332,7 +333,7 @@
     for start in starts {
         let job = &views.jobs[start.job];
         let machine = &views.machines[start.machine];
-        if !core.workers.live.contains_key(&*machine.name) {
+        if !core.workers.agents.contains_key(&*machine.name) {
             refused.insert(start.job); // a gang starts whole or not at all
         }
         if job.gang && !gang_attempts.contains_key(&start.job) {
@@ -362,13 +363,16 @@
             continue;
         };
         let (image, image_gb) = (spec.image.clone(), spec.image_gb);
-        let Some(live) = core.workers.live.get_mut(&*machine.name) else {
+        let Some(status) = core.workers.agents.get_mut(&*machine.name) else {
             continue;
         };
-        let session = live.report.session;
-        let cache_gb = core.kinds.iter().find(|k| k.name == live.report.kind);
+        let session = status.latest_heartbeat.incarnation;
+        let cache_gb = core
+            .kinds
+            .iter()
+            .find(|k| k.name == status.latest_heartbeat.machine_type);
         let cache_gb = cache_gb.map_or(0.0, |k| k.cache_gb);
-        live.use_image(&image, image_gb, cache_gb);
+        status.record_image_use(&image, image_gb, cache_gb);
         core.record_change(
             &id,
             TaskRecord::Placed {
--- a/src/placement/service/tests.rs
+++ b/src/placement/service/tests.rs
@@ -22,9 +22,9 @@
     for task in [0, 1] {
         stop(&mut core, TaskId::new("job-1", task), 1, 0.0);
     }
-    let stops = core.workers.stops.keys();
+    let stops = core.workers.pending_stops.keys();
     let stops: Vec<_> = stops
-        .map(|(id, attempt)| ((&id.job, id.index), attempt))
+        .map(|stop| ((&stop.task.job, stop.task.index), stop.attempt))
         .collect();
     insta::assert_snapshot!(
         format!("{:?}\n{:?}\nto be stopped {stops:?}", core.task_record("job-1", 0), core.task_record("job-1", 1)),
--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -10,6 +10,7 @@
 use crate::node::{Core, Node, age_s};
 use crate::policy::JobFacts;
 use crate::settings::{ObjectiveKind, Team};
+use crate::workers::TaskAttempt;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Instant;
@@ -332,7 +333,7 @@
             used.cpus > t.guaranteed_cpus + 1e-6 || used.gpus > t.guaranteed_gpus + 1e-6
         })
     };
-    let Some(live) = core.workers.live.get(name) else {
+    let Some(status) = core.workers.agents.get(name) else {
         return Vec::new();
     };
     let mut there = Vec::new();
@@ -345,9 +346,8 @@
         let TaskRecord::Placed { attempt, .. } = *core.task_record(&id.job, id.index) else {
             continue;
         };
-        let ran = live.running_since.get(&id).map_or(0.0, |(_, since)| {
-            now.saturating_duration_since(*since).as_secs_f64()
-        });
+        let ran = status.attempts.running_for(&id, now);
+        let ran = ran.map_or(0.0, |ran| ran.as_secs_f64());
         let saves = spec.checkpoint_s > 0.0;
         there.push(RunningTask {
             attempt,
@@ -356,8 +356,10 @@
             borrowing: borrowing(&spec.team),
             lost_s: if saves { spec.save_s } else { ran },
             grace_s: if saves { spec.save_s * 1.5 + 1.0 } else { 0.0 },
-            not_preemptible: core.workers.stops.contains_key(&(id.clone(), attempt))
-                || (spec.is_gang() && spec.tasks > 1),
+            not_preemptible: core.workers.pending_stops.contains_key(&TaskAttempt {
+                task: id.clone(),
+                attempt,
+            }) || (spec.is_gang() && spec.tasks > 1),
             id,
         });
     }
--- a/src/placement/snapshot_cache.rs
+++ b/src/placement/snapshot_cache.rs
@@ -13,7 +13,7 @@
 use crate::node::{Core, Node, age_s};
 use crate::pipelines::paths::{Pull, pulls};
 use crate::state::replica::Job;
-use crate::workers::{Live, TaskState};
+use crate::workers::{AgentStatus, TaskAttempt, TaskState};
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -327,10 +327,10 @@
     on.extend(core.pending_changes.starts_on(name).map(Cow::Borrowed));
     on.sort_unstable();
     on.dedup();
-    let Some(live) = core.workers.live.get(name) else {
+    let Some(status) = core.workers.agents.get(name) else {
         return on;
     };
-    let running = live.report.tasks.iter();
+    let running = status.latest_heartbeat.tasks.iter();
     for task in running.filter(|t| t.state != TaskState::Ended) {
         let Ok(id) = TaskRef::try_from(task.task.as_str()) else {
             continue;
@@ -364,16 +364,16 @@
         return None;
     }
     let kind = core.kind(&record.pool.machine_type)?;
-    let live = core.workers.live.get(name);
-    // Taken by the cloud, or deaf: it takes nothing new, and is no room to count on.
-    if live.is_some_and(|l| l.taken_at.is_some() || l.deaf.is_some()) {
+    let status = core.workers.agents.get(name);
+    // Preempted by the cloud, or unresponsive: it takes nothing new, and is no room to count on.
+    if status.is_some_and(|s| s.preemption_at.is_some() || s.unresponsive_since.is_some()) {
         return None;
     }
-    let ready = live.filter(|l| l.confirmed);
+    let ready = status.filter(|s| s.ownership_acknowledged);
     let up_at = match ready {
         Some(_) => at,
         // Up, but yet to show that it hears us.
-        None if live.is_some() => at + ANY_MOMENT_S,
+        None if status.is_some() => at + ANY_MOMENT_S,
         None => at + (kind.boot_s * BOOT - age_s(record.requested_ms, now_ms)).max(ANY_MOMENT_S),
     };
     let mut free = capacity_of(kind);
@@ -383,13 +383,14 @@
         let spec = spec_of(core, &id.job)?;
         free.sub(&spec.resources());
         busy.push(FreeSlot {
-            at: up_at + remaining(core, spec, &id, live, kind, now),
+            at: up_at + remaining(core, spec, &id, status, kind, now),
             available: spec.resources(),
         });
     }
     let mut images: HashSet<u32> = HashSet::new();
-    if let Some(live) = live {
-        images.extend(live.images.iter().map(|(name, _)| names.intern(name)));
+    if let Some(status) = status {
+        let cached = status.cached_images.iter();
+        images.extend(cached.map(|image| names.intern(&image.name)));
     }
     let view = MachineSnapshot {
         name: name.into(),
@@ -399,7 +400,7 @@
         free_slots: Vec::new(),
         images: images.into_iter().collect(),
         fetch_gb_per_s: kind.fetch_gb_per_s,
-        slowness: live.map_or(1.0, |l| l.slowness),
+        slowness: status.map_or(1.0, |s| s.slowness),
         price: match record.pool.spot {
             true => kind.spot_price,
             false => kind.price,
@@ -416,7 +417,7 @@
         up_at,
         free,
         busy,
-        heard: ready.map(|l| l.heard),
+        heard: ready.map(|s| s.last_heartbeat_at),
     })
 }
 
@@ -425,28 +426,29 @@
     core: &Core,
     spec: &JobSpec,
     id: &TaskId,
-    live: Option<&Live>,
+    status: Option<&AgentStatus>,
     kind: &MachineType,
     now: Instant,
 ) -> f64 {
     if let TaskRecord::Placed { attempt, .. } = core.task_record(&id.job, id.index)
-        && let Some(grace) = core.workers.stops.get(&(id.clone(), *attempt))
+        && let Some(grace) = core.workers.pending_stops.get(&TaskAttempt {
+            task: id.clone(),
+            attempt: *attempt,
+        })
     {
         return STOP_TAKES_S + grace;
     }
-    let slowness = live.map_or(1.0, |l| l.slowness);
+    let slowness = status.map_or(1.0, |s| s.slowness);
     let whole = core.duration(spec) * slowness;
     let fetch = spec.image_gb / kind.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S);
-    let Some(live) = live else {
+    let Some(status) = status else {
         return fetch + whole;
     };
-    if let Some((_, since)) = live.running_since.get(id) {
-        let ran = now.saturating_duration_since(*since).as_secs_f64();
+    if let Some(ran) = status.attempts.running_for(id, now) {
+        let ran = ran.as_secs_f64();
         return (whole - ran).max(1.0 + ran * OVERDUE);
     }
-    let cached = live.seen_since.get(id);
-    let waited = cached.map_or(0.0, |(_, since)| {
-        now.saturating_duration_since(*since).as_secs_f64()
-    });
+    let waited = status.attempts.present_for(id, now);
+    let waited = waited.map_or(0.0, |waited| waited.as_secs_f64());
     (fetch - waited).max(0.0) + whole
 }
--- a/src/renting/decide.rs
+++ b/src/renting/decide.rs
@@ -424,7 +424,9 @@
     let machines = core.replica.fleet.machines.iter();
     machines
         .filter(|(name, m)| {
-            m.pool.machine_type == kind && m.owner == *me && !core.workers.live.contains_key(*name)
+            m.pool.machine_type == kind
+                && m.owner == *me
+                && !core.workers.agents.contains_key(*name)
         })
         .count() as u32
 }
@@ -477,7 +479,8 @@
                 && !mapping.used.contains(name.as_str())
         })
         .filter_map(|(name, m)| {
-            let unused = core.workers.live.get(name)?.used_at.elapsed().as_secs_f64();
+            let status = core.workers.agents.get(name)?;
+            let unused = status.last_used_at.elapsed().as_secs_f64();
             let age = age_s(m.requested_ms, now_ms);
             Some(Held {
                 name: name.clone(),
--- a/src/renting/release.rs
+++ b/src/renting/release.rs
@@ -43,7 +43,7 @@
         let mut core = node.core();
         for name in &now {
             core.rent.closing.remove(name);
-            core.workers.live.remove(name);
+            core.workers.agents.remove(name);
         }
     }
     node.wake_up.notify_one();
@@ -272,7 +272,7 @@
     // take them over before their workers' leases are out.
     let unheard_for = node.settings.worker_lease().mul_f64(0.4).max(report * 2);
     let (mut silent, mut heard) = (0, 0);
-    for (name, (since, _)) in &core.workers.owned {
+    for (name, ownership) in &core.workers.owned {
         let Some(record) = core.replica.fleet.machines.get(name) else {
             continue;
         };
@@ -282,30 +282,30 @@
             close.push((name.clone(), "decided before"));
             continue;
         }
-        match core.workers.live.get(name) {
-            Some(live) => {
-                let quiet = now.saturating_duration_since(live.heard);
+        match core.workers.agents.get(name) {
+            Some(status) => {
+                let quiet = now.saturating_duration_since(status.last_heartbeat_at);
                 match quiet > unheard_for {
                     true => silent += 1,
                     false => heard += 1,
                 }
-                let taken = live
-                    .taken_at
+                let taken = status
+                    .preemption_at
                     .is_some_and(|at| now > at && quiet > report + Duration::from_secs(2));
                 if taken {
                     close.push((name.clone(), "taken by the cloud"));
                 } else if quiet > silence {
                     close.push((name.clone(), "silent"));
-                } else if live
-                    .deaf
+                } else if status
+                    .unresponsive_since
                     .is_some_and(|at| now.saturating_duration_since(at) > silence)
-                    && (live.lapses != 1 || !live.unseen.is_empty())
+                    && (status.expired_leases != 1 || status.attempts.has_unacknowledged_runs())
                 {
                     // What ran on it has ended with its lease, which our answers do not renew.
                     close.push((name.clone(), "does not follow"));
                 } else {
-                    let idle = live
-                        .report
+                    let idle = status
+                        .latest_heartbeat
                         .tasks
                         .iter()
                         .all(|t| t.state == crate::workers::TaskState::Ended);
@@ -321,8 +321,9 @@
                     .find(|k| k.name == record.pool.machine_type);
                 let boot = boot.map_or(60.0, |k| k.boot_s);
                 // In an outage it may also keep them for as long as that lasts (`may_renew_leases`).
-                let known =
-                    now.saturating_duration_since(core.connected_since.unwrap_or(now).max(*since));
+                let known = now.saturating_duration_since(
+                    core.connected_since.unwrap_or(now).max(ownership.since),
+                );
                 let unheard = age_s(record.requested_ms, now_ms) > boot * 3.0 + 15.0;
                 // An owner before us that is cut off from the state service may keep the worker
                 // for as long as it may go without proof; only then does silence mean anything.
@@ -370,11 +371,11 @@
             let core = &mut *core;
             if core.replica.fleet.machines.contains_key(&listed.name) {
                 if listed.has_failed()
-                    && let Some(live) = core.workers.live.get_mut(&listed.name)
+                    && let Some(status) = core.workers.agents.get_mut(&listed.name)
                 {
                     // It stopped by itself: nothing on it can come back, and releasing it
                     // proves that.
-                    live.taken_at = Some(Instant::now() - Duration::from_secs(1));
+                    status.preemption_at = Some(Instant::now() - Duration::from_secs(1));
                     core.pending_changes.mark_machine_changed(&listed.name);
                 }
                 continue;
--- a/src/testing/compatibility/interfaces.rs
+++ b/src/testing/compatibility/interfaces.rs
@@ -14,7 +14,8 @@
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::state::{Operation, rental_key};
-use crate::workers::{Cause, Report, TaskState};
+use crate::workers::wire::{Command, ExitReason, HeartbeatResponse};
+use crate::workers::{Heartbeat, TaskAttempt, TaskState};
 use http_body_util::BodyExt;
 use hyper::Method;
 use rowanmill_cells::CellsConfig;
@@ -548,8 +549,13 @@
         [1, "vm-1", 1]
     ]);
     served.put("r/p/job-1/0", page, 13);
-    let stop = (crate::jobs::TaskId::new("job-1", 1), 1);
-    served.node.core().workers.stops.insert(stop, 10.0);
+    let stopped = TaskAttempt {
+        task: crate::jobs::TaskId::new("job-1", 1),
+        attempt: 1,
+    };
+    let mut core = served.node.core();
+    core.workers.pending_stops.insert(stopped, 10.0);
+    drop(core);
     let sacks = json!([{"sack": "job-1/1", "turn": 1, "stage": "running"},
         {"sack": "job-1/2", "turn": 2, "stage": "pulling"},
         {"sack": "job-1/3", "turn": 1, "stage": "ended", "cause": "done"},
@@ -624,52 +630,52 @@
 /// In the words of the protocol's page.
 fn state_text(state: TaskState) -> &'static str {
     match state {
-        TaskState::Fetching => "waits for its image",
-        TaskState::Waiting => "waits for the other tasks of its attempt",
+        TaskState::PullingImage => "waits for its image",
+        TaskState::AwaitingPeers => "waits for the other tasks of its attempt",
         TaskState::Running => "runs",
-        TaskState::Flushing => "is saving",
+        TaskState::SavingCheckpoint => "is saving",
         TaskState::Ended => "ended",
     }
 }
 
-fn cause_text(cause: Option<Cause>) -> &'static str {
-    match cause {
+fn exit_reason_text(reason: Option<ExitReason>) -> &'static str {
+    match reason {
         None => "no cause",
-        Some(Cause::Done) => "completed",
-        Some(Cause::Stopped) => "stopped by command",
-        Some(Cause::PeersGone) => "another task of the gang is gone",
-        Some(Cause::Alone) => "the gang was not complete in time",
-        Some(Cause::Error) => "failed",
-        Some(Cause::NoRoom) => "not enough free resources",
-        Some(Cause::Busy) => "there with another attempt",
-        Some(Cause::Unknown) => "no such job or task",
-        Some(Cause::Other) => "a cause of no protocol",
+        Some(ExitReason::Completed) => "completed",
+        Some(ExitReason::Stopped) => "stopped by command",
+        Some(ExitReason::PeersGone) => "another task of the gang is gone",
+        Some(ExitReason::GangIncomplete) => "the gang was not complete in time",
+        Some(ExitReason::Failed) => "failed",
+        Some(ExitReason::InsufficientResources) => "not enough free resources",
+        Some(ExitReason::AnotherAttempt) => "there with another attempt",
+        Some(ExitReason::UnknownTask) => "no such job or task",
+        Some(ExitReason::Other) => "a cause of no protocol",
     }
 }
 
-fn report_text(report: &Report) -> String {
-    let notice = report
-        .notice_s
+fn heartbeat_text(heartbeat: &Heartbeat) -> String {
+    let notice = heartbeat
+        .preemption_notice_s
         .map_or("none".to_owned(), |s| format!("{s} s"));
     let mut text = format!(
         "machine {} at {}, type {}, zone {}, spot {}\nsession {}, message {}, token {}, notice {notice}\n",
-        report.machine,
-        report.addr,
-        report.kind,
-        report.zone,
-        report.spot,
-        report.session,
-        report.seq,
-        report.token
+        heartbeat.machine,
+        heartbeat.endpoint,
+        heartbeat.machine_type,
+        heartbeat.zone,
+        heartbeat.spot,
+        heartbeat.incarnation,
+        heartbeat.sequence,
+        heartbeat.fencing_token
     );
-    for task in &report.tasks {
+    for task in &heartbeat.tasks {
         writeln!(
             text,
             "task {} attempt {}: {}, {}",
             task.task,
             task.attempt,
             state_text(task.state),
-            cause_text(task.cause)
+            exit_reason_text(task.exit_reason)
         )
         .unwrap();
     }
@@ -706,8 +712,8 @@
         "yard": "b", "shift": 1, "tally": 1});
     let mut trace = String::new();
     for (what, body) in [("all fields", whole), ("the least", least)] {
-        let report: Report = serde_json::from_str(&body.to_string()).unwrap();
-        writeln!(trace, "== {what}\n> {body}\n{}", report_text(&report)).unwrap();
+        let heartbeat: Heartbeat = serde_json::from_str(&body.to_string()).unwrap();
+        writeln!(trace, "== {what}\n> {body}\n{}", heartbeat_text(&heartbeat)).unwrap();
     }
     insta::assert_snapshot!(trace);
 }
@@ -756,20 +762,19 @@
 /// The token and all orders, as a worker reads them, at the ends of their ranges.
 #[test]
 fn orders_are_written_in_the_workers_words() {
-    use crate::workers::{Order, wire};
-    let answer = wire::Answer {
-        token: u64::MAX,
-        orders: vec![
-            Order::run("job-000412/4", 2),
-            Order::stop("job-000377/1", 1, 10.0),
-            Order::stop("job-000377/1", 1, 2.5),
-            Order::reap("job-000398/0", u64::MAX),
+    let response = HeartbeatResponse {
+        fencing_token: u64::MAX,
+        commands: vec![
+            Command::run("job-000412/4", 2),
+            Command::stop("job-000377/1", 1, 10.0),
+            Command::stop("job-000377/1", 1, 2.5),
+            Command::reap("job-000398/0", u64::MAX),
         ],
     };
-    let none = wire::Answer {
-        token: 0,
-        orders: Vec::new(),
+    let none = HeartbeatResponse {
+        fencing_token: 0,
+        commands: Vec::new(),
     };
-    let texts = [answer, none].map(|answer| serde_json::to_string(&answer).unwrap());
+    let texts = [response, none].map(|response| serde_json::to_string(&response).unwrap());
     insta::assert_snapshot!(texts.join("\n"));
 }
--- a/src/testing/fleet_scale.rs
+++ b/src/testing/fleet_scale.rs
@@ -127,7 +127,7 @@
             let Some(node) = self.node(at) else {
                 continue;
             };
-            let answer = crate::workers::service::hello(&node, body.as_bytes()).await;
+            let answer = crate::workers::service::handle_heartbeat(&node, body.as_bytes()).await;
             if answer.status() == StatusCode::OK {
                 return Some((at, body_of(answer).await));
             }
@@ -286,7 +286,12 @@
     until("all machines are the second's", limit, owns_all).await;
     let confirmed = || {
         let core = second.node.core();
-        core.workers.live.values().filter(|l| l.confirmed).count() == MACHINES
+        core.workers
+            .agents
+            .values()
+            .filter(|s| s.ownership_acknowledged)
+            .count()
+            == MACHINES
     };
     until("all machines heard under the new token", limit, confirmed).await;
     assert_eq!(workers.running(), MACHINES * 2, "none lost its tasks");
--- a/src/testing/load_profile.rs
+++ b/src/testing/load_profile.rs
@@ -292,7 +292,8 @@
             let (node, fleet) = (node.clone(), fleet.clone());
             tokio::spawn(async move {
                 let body = report.to_string();
-                let answer = crate::workers::service::hello(&node, body.as_bytes()).await;
+                let answer =
+                    crate::workers::service::handle_heartbeat(&node, body.as_bytes()).await;
                 if answer.status() != hyper::StatusCode::OK {
                     return;
                 }
--- a/src/workers/service/tests.rs
+++ b/src/workers/service/tests.rs
@@ -1,11 +1,14 @@
-//! Versioned traces of reports as they come, early, late or from a machine that hears nothing.
+//! Traces of heartbeats as they arrive: early, late, or from an agent that receives no response.
 
 use super::*;
 use crate::fleet::{MachinePool, MachineState, Rental, RentedMachine};
+use crate::membership::assignment::Member;
 use crate::membership::schema_versions::FeatureLevel;
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::state::{Operation, rental_key};
+use crate::workers::ingest::record_sign_of_life;
+use crate::workers::wire::HeartbeatResponse;
 use rowanmill_config::ConfigFile;
 use serde_json::{Value, json};
 
@@ -106,30 +109,38 @@
         ));
     }
 
-    fn report(&mut self, at_s: u64, session: u64, seq: u64, token: u64, tasks: Value) {
-        let report: Report = serde_json::from_value(json!({"millstone": "vm-1", "endpoint": "",
+    fn heartbeat(&mut self, at_s: u64, session: u64, seq: u64, token: u64, tasks: Value) {
+        let heartbeat: Heartbeat =
+            serde_json::from_value(json!({"millstone": "vm-1", "endpoint": "",
             "stone": "m", "yard": "a", "shift": session, "tally": seq, "warrant": token,
             "sacks": tasks}))
-        .unwrap();
+            .unwrap();
         let now = self.start + Duration::from_secs(at_s);
         let mut core = self.node.core();
         // Without contact they were read longer ago than starts may go by.
         let age = if self.contact { 0 } else { 4 };
         core.last_read_barrier = now.checked_sub(Duration::from_secs(age));
-        let taken = take(&self.node, &mut core, &Arc::new(report), now);
-        let what = match taken {
-            Taken::NotOurs => "not ours".to_owned(),
-            Taken::Late => "late, changes nothing".to_owned(),
-            Taken::Read { answer, .. } => {
-                let orders = serde_json::to_string(&answer.orders).unwrap();
-                format!("token {} orders {orders}", answer.token)
+        let ingestion = ingest_heartbeat(&self.node, &mut core, &Arc::new(heartbeat), now);
+        let what = match ingestion {
+            Ingestion::NotOwner => "not ours".to_owned(),
+            Ingestion::Stale => "late, changes nothing".to_owned(),
+            Ingestion::Reconciled { response, .. } => {
+                let commands = serde_json::to_string(&response.commands).unwrap();
+                format!("token {} orders {commands}", response.fencing_token)
             }
         };
-        let live = core.workers.live.get("vm-1");
-        let seen = live.map_or("unknown".to_owned(), |l| {
-            let heard = l.heard.saturating_duration_since(self.start).as_secs();
-            let deaf = if l.deaf.is_some() { ", deaf" } else { "" };
-            let ready = if l.confirmed {
+        let status = core.workers.agents.get("vm-1");
+        let seen = status.map_or("unknown".to_owned(), |status| {
+            let heard = status
+                .last_heartbeat_at
+                .saturating_duration_since(self.start);
+            let heard = heard.as_secs();
+            let deaf = if status.unresponsive_since.is_some() {
+                ", deaf"
+            } else {
+                ""
+            };
+            let ready = if status.ownership_acknowledged {
                 ""
             } else {
                 ", not to be placed on"
@@ -152,49 +163,49 @@
 /// Rule `ran_twice`: a copy of a report from before a start would prove the task absent; one from
 /// before a change of owner would bring a dead machine back.
 #[test]
-fn late_copies_prove_nothing() {
+fn stale_heartbeats_prove_nothing() {
     let mut scene = Scene::new();
     scene.owner(true, 7);
-    scene.report(1, 1, 1, 0, json!([]));
-    scene.report(2, 1, 2, 7, json!([]));
+    scene.heartbeat(1, 1, 1, 0, json!([]));
+    scene.heartbeat(2, 1, 2, 7, json!([]));
     scene.placed(1, 1);
-    scene.report(4, 1, 3, 7, json!([]));
-    scene.report(6, 1, 4, 7, running(1));
+    scene.heartbeat(4, 1, 3, 7, json!([]));
+    scene.heartbeat(6, 1, 4, 7, running(1));
     // A copy of #3, and one of #4 itself: no news, and no sign of life.
-    scene.report(9, 1, 3, 7, json!([]));
-    scene.report(10, 1, 4, 7, running(1));
+    scene.heartbeat(9, 1, 3, 7, json!([]));
+    scene.heartbeat(10, 1, 4, 7, running(1));
     // A copy that comes long after the session ended.
-    scene.report(20, 2, 9, 7, json!([]));
-    scene.report(45, 1, 4, 7, running(1));
+    scene.heartbeat(20, 2, 9, 7, json!([]));
+    scene.heartbeat(45, 1, 4, 7, running(1));
     // Another's for a while, then ours again: what was seen before is void, and the copy from
     // then shows a machine that does not know our token.
     scene.owner(false, 8);
-    scene.report(46, 2, 12, 7, json!([]));
+    scene.heartbeat(46, 2, 12, 7, json!([]));
     scene.owner(true, 9);
     scene.placed(2, 2);
-    scene.report(50, 2, 12, 7, json!([]));
-    scene.report(51, 2, 13, 9, running(2));
+    scene.heartbeat(50, 2, 12, 7, json!([]));
+    scene.heartbeat(51, 2, 13, 9, running(2));
     insta::assert_snapshot!(scene.trace);
 }
 
 /// A machine whose reports arrive and which hears nothing: it must not be counted on, and what was
 /// recorded there starts elsewhere only once its lease has provably ended.
 #[test]
-fn a_deaf_machine_is_known_by_what_it_does_not_do() {
+fn an_unresponsive_agent_is_known_by_ignored_commands() {
     let mut scene = Scene::new();
     scene.owner(true, 7);
-    scene.report(1, 1, 1, 0, json!([]));
-    scene.report(2, 1, 2, 7, json!([]));
+    scene.heartbeat(1, 1, 1, 0, json!([]));
+    scene.heartbeat(2, 1, 2, 7, json!([]));
     scene.placed(1, 1);
     for n in 0..8 {
-        scene.report(3 + n * 2, 1, 3 + n, 7, json!([]));
+        scene.heartbeat(3 + n * 2, 1, 3 + n, 7, json!([]));
     }
-    scene.report(19, 2, 12, 7, json!([]));
+    scene.heartbeat(19, 2, 12, 7, json!([]));
     // One that never heard us at all.
     let mut other = Scene::new();
     other.owner(true, 7);
     for n in 0..3 {
-        other.report(1 + n * 5, 1, 1 + n, 0, json!([]));
+        other.heartbeat(1 + n * 5, 1, 1 + n, 0, json!([]));
     }
     insta::assert_snapshot!(format!("{}never heard us\n{}", scene.trace, other.trace));
 }
@@ -203,36 +214,37 @@
 /// that has nothing to tell meanwhile is kept waiting, and it is told at once of work and of a new
 /// owner.
 #[test]
-fn an_idle_machines_answer_waits_for_work() {
+fn the_response_to_an_idle_machine_is_held_until_there_is_work() {
     let mut scene = Scene::new();
     let say = |scene: &mut Scene, what: &str, tasks: Value| {
-        let report: Report = serde_json::from_value(json!({"millstone": "vm-1", "endpoint": "",
+        let heartbeat: Heartbeat =
+            serde_json::from_value(json!({"millstone": "vm-1", "endpoint": "",
             "stone": "m", "yard": "a", "shift": 1, "tally": 1, "warrant": 7, "sacks": tasks}))
-        .unwrap();
-        let answer = wire::Answer {
-            token: 7,
-            orders: Vec::new(),
+            .unwrap();
+        let response = HeartbeatResponse {
+            fencing_token: 7,
+            commands: Vec::new(),
         };
         let mut core = scene.node.core();
-        let wait = idle_wait(&scene.node, &mut core, &report, &answer);
+        let wait = hold_while_idle(&scene.node, &mut core, &heartbeat, &response);
         drop(core);
         let shown = match &wait {
             Some((_, within)) => format!("waits for {} ms", within.as_millis()),
             None => "is answered at once".into(),
         };
         scene.trace.push_str(&format!("{what}: {shown}\n"));
-        wait.map(|(called, _)| called)
+        wait.map(|(released, _)| released)
     };
     scene.owner(true, 7);
-    scene.report(1, 1, 1, 7, json!([]));
+    scene.heartbeat(1, 1, 1, 7, json!([]));
     assert!(say(&mut scene, "with a task", running(1)).is_none());
-    let mut called = say(&mut scene, "idle", json!([])).unwrap();
-    assert!(called.try_recv().is_err());
-    scene.node.core().workers.call("vm-1");
-    assert!(called.try_recv().is_ok());
-    let mut called = say(&mut scene, "idle", json!([])).unwrap();
+    let mut released = say(&mut scene, "idle", json!([])).unwrap();
+    assert!(released.try_recv().is_err());
+    scene.node.core().workers.release_held_response("vm-1");
+    assert!(released.try_recv().is_ok());
+    let mut released = say(&mut scene, "idle", json!([])).unwrap();
     scene.owner(false, 8);
-    assert!(called.try_recv().is_ok(), "it changed hands");
+    assert!(released.try_recv().is_ok(), "it was reassigned");
     scene.owner(true, 9);
     assert!(say(&mut scene, "yet to see our token", json!([])).is_none());
     insta::assert_snapshot!(scene.trace, @r#"
@@ -250,22 +262,22 @@
 /// Rule `ran_cancelled`: a node that the state service refuses alone does not know what another has
 /// confirmed since. It starts nothing by what its records still say, and stops what it is told of.
 #[test]
-fn a_blind_node_starts_nothing_and_stops_what_it_is_told() {
+fn a_node_without_recent_records_starts_nothing_and_stops_what_peers_cancelled() {
     let mut scene = Scene::new();
     scene.owner(true, 7);
-    scene.report(1, 1, 1, 7, json!([]));
+    scene.heartbeat(1, 1, 1, 7, json!([]));
     scene.contact = false;
     scene.placed(1, 1);
-    scene.report(2, 1, 2, 7, json!([]));
+    scene.heartbeat(2, 1, 2, 7, json!([]));
     scene.contact = true;
-    scene.report(3, 1, 3, 7, json!([]));
+    scene.heartbeat(3, 1, 3, 7, json!([]));
     scene.contact = false;
     let runs = json!([{"sack": "job-1/0", "turn": 1, "stage": "running"}]);
-    scene.report(4, 1, 4, 7, runs.clone());
+    scene.heartbeat(4, 1, 4, 7, runs.clone());
     scene.trace.push_str("-- told that it is cancelled\n");
     scene.node.peer_status().record_cancelled("job-1");
-    scene.report(5, 1, 5, 7, runs);
-    scene.report(6, 1, 6, 7, json!([]));
+    scene.heartbeat(5, 1, 5, 7, runs);
+    scene.heartbeat(6, 1, 6, 7, json!([]));
     insta::assert_snapshot!(scene.trace, @r#"
     -- token 7, ours
     1 s session 1 #1 token 7: token 7 orders []; heard at 1 s
@@ -282,18 +294,22 @@
 /// Machines that were given back right after an outage, and controllers that stood back, found on a
 /// recorded day: reports that a node may not answer were no sign of life. A late copy is none.
 #[test]
-fn a_machine_that_may_not_be_answered_is_there() {
+fn a_refused_heartbeat_is_a_sign_of_life() {
     let mut scene = Scene::new();
     scene.owner(true, 7);
-    scene.report(1, 1, 4, 7, json!([]));
+    scene.heartbeat(1, 1, 4, 7, json!([]));
     let mut trace = String::new();
     for (at_s, seq, token) in [(30, 4, 7), (31, 5, 6), (32, 6, 7)] {
-        let report = json!({"millstone": "vm-1", "endpoint": "", "stone": "m", "yard": "a",
+        let heartbeat = json!({"millstone": "vm-1", "endpoint": "", "stone": "m", "yard": "a",
             "shift": 1, "tally": seq, "warrant": token, "sacks": []});
-        let report: Report = serde_json::from_value(report).unwrap();
+        let heartbeat: Heartbeat = serde_json::from_value(heartbeat).unwrap();
         let mut core = scene.node.core();
-        note_there(&mut core, &report, scene.start + Duration::from_secs(at_s));
-        let heard = core.workers.live["vm-1"].heard - scene.start;
+        record_sign_of_life(
+            &mut core,
+            &heartbeat,
+            scene.start + Duration::from_secs(at_s),
+        );
+        let heard = core.workers.agents["vm-1"].last_heartbeat_at - scene.start;
         trace.push_str(&format!(
             "{at_s} s #{seq} token {token}: heard at {} s\n",
             heard.as_secs()
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -1,8 +1,15 @@
-//! Versioned traces: a report in, facts and orders out. Each names the failure that it is about.
+//! Traces of reconciliation: a heartbeat in, exits to be recorded and commands out. Each names the failure that it is about.
 
+use super::agent::AttemptLog;
+use super::reconcile::{DesiredState, reconcile};
+use super::wire::Command;
 use super::*;
+use crate::jobs::pending_changes::PendingChanges;
+use crate::jobs::{TaskId, TaskRecord};
+use crate::state::Replica;
 use rowanmill_state::KeyValue;
 use serde_json::{Value, json};
+use std::collections::BTreeSet;
 
 const TOKEN: u64 = 20;
 
@@ -27,41 +34,47 @@
     replica
 }
 
-fn report(session: u64, token: u64, tasks: Value) -> Report {
+fn heartbeat(incarnation: u64, fencing_token: u64, tasks: Value) -> Heartbeat {
     serde_json::from_value(
         json!({"millstone":"vm-1","endpoint":"h:1","stone":"m","yard":"a",
-        "borrowed":false,"shift":session,"tally":7,"warrant":token,"recallS":null,"sacks":tasks}),
+        "borrowed":false,"shift":incarnation,"tally":7,"warrant":fencing_token,"recallS":null,"sacks":tasks}),
     )
     .unwrap()
 }
 
-fn trace(replica: &Replica, report: Report) -> String {
-    trace_with(replica, report, &Stops::new(), &PendingChanges::default())
+fn trace(replica: &Replica, heartbeat: Heartbeat) -> String {
+    trace_with(
+        replica,
+        heartbeat,
+        &PendingStops::new(),
+        &PendingChanges::default(),
+    )
 }
 
 fn trace_with(
     replica: &Replica,
-    report: Report,
-    stops: &Stops,
-    pending_changes: &PendingChanges,
+    heartbeat: Heartbeat,
+    stops: &PendingStops,
+    plans: &PendingChanges,
 ) -> String {
     let now = Instant::now();
-    let mut live = Live::new(Arc::new(report.clone()), now);
-    let pending = Pending {
-        stops,
-        pending_changes,
-        cancelled: &BTreeSet::new(),
-        may_start: true,
+    let desired = DesiredState {
+        replica,
+        fencing_token: TOKEN,
+        pending_stops: stops,
+        pending_changes: plans,
+        cancelled_jobs: &BTreeSet::new(),
+        starts_permitted: true,
     };
-    let reading = read(&report, &mut live, replica, TOKEN, &pending, now);
+    let reconciliation = reconcile(&heartbeat, &mut AttemptLog::default(), &desired, now);
     let mut text = String::new();
-    for (task, entry) in &reading.facts {
+    for (task, entry) in &reconciliation.exits {
         text.push_str(&format!("record {task} {entry:?}\n"));
     }
-    for order in &reading.orders {
+    for command in &reconciliation.commands {
         text.push_str(&format!(
             "order {}\n",
-            serde_json::to_string(order).unwrap()
+            serde_json::to_string(command).unwrap()
         ));
     }
     if text.is_empty() {
@@ -71,12 +84,12 @@
 }
 
 #[test]
-fn a_recorded_start_is_ordered_and_a_withdrawn_one_stopped() {
+fn a_recorded_start_is_commanded_and_a_withdrawn_one_stopped() {
     let replica = replica(false, json!([[1, "vm-1", 1], [2, "vm-2", 1], true, 3]));
-    let not_begun = trace(&replica, report(1, TOKEN, json!([])));
+    let not_begun = trace(&replica, heartbeat(1, TOKEN, json!([])));
     let on_two = json!([{"sack":"job-1/1","turn":2,"stage":"running"},
         {"sack":"job-1/0","turn":1,"stage":"running"}]);
-    let elsewhere = trace(&replica, report(1, TOKEN, on_two));
+    let elsewhere = trace(&replica, heartbeat(1, TOKEN, on_two));
     insta::assert_snapshot!(format!("not begun\n{not_begun}recorded on another machine\n{elsewhere}"), @r#"
     not begun
     order {"verb":"run","sack":"job-1/0","turn":1}
@@ -91,9 +104,9 @@
     let ended = json!([{"sack":"job-1/0","turn":1,"stage":"ended","cause":"done"}]);
     let before = trace(
         &replica(false, json!([[1, "vm-1", 1]])),
-        report(1, TOKEN, ended.clone()),
+        heartbeat(1, TOKEN, ended.clone()),
     );
-    let after = trace(&replica(false, json!([true])), report(1, TOKEN, ended));
+    let after = trace(&replica(false, json!([true])), heartbeat(1, TOKEN, ended));
     insta::assert_snapshot!(format!("unrecorded\n{before}recorded\n{after}"), @r#"
     unrecorded
     record job-1/0 Done
@@ -104,12 +117,12 @@
 
 /// Rule `ran_cancelled`: a start recorded just before the cancellation, by an owner before us.
 #[test]
-fn a_cancelled_start_counts_as_gone_only_under_our_token() {
+fn a_cancelled_start_counts_as_gone_only_under_our_fencing_token() {
     let replica = replica(true, json!([[1, "vm-1", 1]]));
-    let older = trace(&replica, report(1, TOKEN - 1, json!([])));
-    let ours = trace(&replica, report(1, TOKEN, json!([])));
+    let older = trace(&replica, heartbeat(1, TOKEN - 1, json!([])));
+    let ours = trace(&replica, heartbeat(1, TOKEN, json!([])));
     let running = json!([{"sack":"job-1/0","turn":1,"stage":"running"}]);
-    let there = trace(&replica, report(1, TOKEN, running));
+    let there = trace(&replica, heartbeat(1, TOKEN, running));
     insta::assert_snapshot!(format!("older token\n{older}our token\n{ours}running\n{there}"), @r#"
     older token
     nothing
@@ -120,15 +133,15 @@
     "#);
 }
 
-/// A worker whose lease ended kills all it had; a late report from before proves nothing.
+/// An agent whose lease expired kills all of its tasks; a late heartbeat from before proves nothing.
 #[test]
-fn only_a_higher_session_proves_tasks_gone() {
+fn only_a_higher_incarnation_proves_tasks_gone() {
     let replica = replica(false, json!([[1, "vm-1", 2]]));
     let mut text = String::new();
-    for session in [1, 2, 3] {
-        let seen = trace(&replica, report(session, TOKEN, json!([])));
+    for incarnation in [1, 2, 3] {
+        let seen = trace(&replica, heartbeat(incarnation, TOKEN, json!([])));
         text.push_str(&format!(
-            "recorded in session 2, reported {session}\n{seen}"
+            "recorded in session 2, reported {incarnation}\n{seen}"
         ));
     }
     insta::assert_snapshot!(text, @r#"
@@ -141,21 +154,25 @@
     "#);
 }
 
-/// Rule `ran_twice`, found on a rough day: a start was withdrawn to make room, and before that
-/// was recorded the machine's next report got the `run` after all, while the task was placed
-/// anew.
+/// Rule `ran_twice`, found under injected failures: a start was withdrawn by preemption, and before that was
+/// recorded the response to the machine's next heartbeat carried the `run` after all, while the task
+/// was placed again.
 #[test]
-fn a_withdrawn_start_is_not_ordered_while_its_record_is_under_way() {
+fn a_withdrawn_start_is_not_commanded_while_its_record_is_being_written() {
     let replica = replica(false, json!([[1, "vm-1", 1]]));
     let id = TaskId::new("job-1", 0);
-    let stops = Stops::from([((id.clone(), 1), 0.0)]);
+    let withdrawn = TaskAttempt {
+        task: id.clone(),
+        attempt: 1,
+    };
+    let stops = PendingStops::from([(withdrawn, 0.0)]);
     let none = PendingChanges::default();
-    let empty = || report(1, TOKEN, json!([]));
+    let empty = || heartbeat(1, TOKEN, json!([]));
     let first = trace_with(&replica, empty(), &stops, &none);
-    let mut pending_changes = PendingChanges::default();
+    let mut plans = PendingChanges::default();
     let held = replica.task_record("job-1", 0);
-    pending_changes.record(&id, held, TaskRecord::Waiting { last: 1 });
-    let second = trace_with(&replica, empty(), &Stops::new(), &pending_changes);
+    plans.record(&id, held, TaskRecord::Waiting { last: 1 });
+    let second = trace_with(&replica, empty(), &PendingStops::new(), &plans);
     insta::assert_snapshot!(format!("withdrawn\n{first}not recorded yet\n{second}"), @r#"
     withdrawn
     record job-1/0 Waiting { last: 1 }
@@ -166,7 +183,7 @@
 
 /// A service runs until it is cancelled: a task of it that ends is to be started again.
 #[test]
-fn a_services_task_that_ends_is_no_completion() {
+fn an_ended_task_of_a_service_is_no_completion() {
     let mut replica = Replica::new(crate::jobs::pages::tests::wide(8));
     let mut spec = spec("job-1", 2);
     spec["shape"] = json!("standing");
@@ -179,33 +196,47 @@
     let page = json!([[1, "vm-1", 1]]);
     replica.reload_from_snapshot(vec![pair("r/j/job-1", job), pair("r/p/job-1/0", page)], 10);
     let ended = json!([{"sack":"job-1/0","turn":1,"stage":"ended","cause":"done"}]);
-    insta::assert_snapshot!(trace(&replica, report(1, TOKEN, ended)), @"record job-1/0 Waiting { last: 1 }");
+    insta::assert_snapshot!(trace(&replica, heartbeat(1, TOKEN, ended)), @"record job-1/0 Waiting { last: 1 }");
 }
 
-/// What was known of attempts that had ended stayed for as long as their machine did.
+/// What was known of attempts that had ended was kept for as long as their machine.
 #[test]
-fn a_machine_that_is_kept_for_long_takes_no_more_memory() {
+fn attempts_that_are_no_longer_recorded_are_forgotten() {
     let now = Instant::now();
-    let mut live = Live::new(Arc::new(report(1, TOKEN, json!([]))), now);
-    let (stops, pending_changes, cancelled) =
-        (Stops::new(), PendingChanges::default(), BTreeSet::new());
-    let pending = Pending {
-        stops: &stops,
-        pending_changes: &pending_changes,
-        cancelled: &cancelled,
-        may_start: true,
+    let mut attempts = AttemptLog::default();
+    let (stops, plans, cancelled) = (
+        PendingStops::new(),
+        PendingChanges::default(),
+        BTreeSet::new(),
+    );
+    let empty = Replica::new(crate::jobs::pages::tests::wide(8));
+    let desired = DesiredState {
+        replica: &empty,
+        fencing_token: TOKEN,
+        pending_stops: &stops,
+        pending_changes: &plans,
+        cancelled_jobs: &cancelled,
+        starts_permitted: true,
     };
     let mut largest = 0;
     for attempt in 1..=100 {
         let placed = replica(false, json!([[attempt, "vm-1", 1]]));
-        let starts = report(1, TOKEN, json!([]));
-        let reading = read(&starts, &mut live, &placed, TOKEN, &pending, now);
-        assert_eq!(reading.orders, [Order::run("job-1/0", attempt)]);
+        let starts = heartbeat(1, TOKEN, json!([]));
+        let desired_start = DesiredState {
+            replica: &placed,
+            ..desired
+        };
+        let reconciliation = reconcile(&starts, &mut attempts, &desired_start, now);
+        assert_eq!(reconciliation.commands, [Command::run("job-1/0", attempt)]);
         let ended = json!([{"sack":"job-1/0","turn":attempt,"stage":"ended","cause":"stopped"}]);
         let gone = replica(false, json!([attempt]));
-        let ended = report(1, TOKEN, ended);
-        read(&ended, &mut live, &gone, TOKEN, &pending, now);
-        largest = largest.max(live.sent.len() + live.seen_since.len());
+        let ended = heartbeat(1, TOKEN, ended);
+        let desired_end = DesiredState {
+            replica: &gone,
+            ..desired
+        };
+        reconcile(&ended, &mut attempts, &desired_end, now);
+        largest = largest.max(attempts.len());
     }
     assert!(largest <= 1, "{largest} attempts are remembered");
 }
