--- a/src/placement/forecast.rs
+++ b/src/placement/forecast.rs
@@ -1,76 +1,185 @@
-//! What becomes of all that waits: each task on the machine where it ends first, however long it
-//! waits there (the paper's equation 1). Done once a period, it predicts the misses.
+//! Predicts misses: maps every waiting task to the machine where it would end first, however long it
+//! waits there (the paper's equation 1). Run once a period; nothing is started by it.
 
 use super::gang::gang_slots;
 use super::index::{MachineIndex, StartTimesId, TaskTimes};
+use super::queue::Queues;
 use super::quota_headroom::QuotaHeadroom;
-use super::{
-    END_TOLERANCE, JobSnapshot, MachineSnapshot, SLACK, TasksByZone, batch_order, startup_order,
-};
+use super::{END_TOLERANCE, JobSnapshot, MachineSnapshot, SLACK, TasksByZone};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
 use std::sync::Arc;
 
-/// Counts of a job's mapped tasks.
+/// Counts of a job's waiting tasks.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct JobForecast {
+    /// Tasks that the team's quota permits.
     pub tasks: u32,
-    /// Expected to be late.
+    /// Of these, tasks that are expected to be late.
     pub late: u32,
-    /// Of these, the ones that a machine rented now would start sooner.
+    /// Of the late ones, tasks that a machine rented now would start sooner.
     pub helped: u32,
 }
 
+impl JobForecast {
+    fn add(&mut self, tasks: usize, misses: Misses) {
+        let tasks = tasks as u32;
+        self.tasks += tasks;
+        self.late += if misses.late { tasks } else { 0 };
+        self.helped += if misses.helped { tasks } else { 0 };
+    }
+}
+
+/// What is expected of all waiting tasks.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct Forecast {
-    /// Per job, what was mapped.
-    pub mapped: Vec<JobForecast>,
-    /// Machines that work of their sort was mapped to.
-    pub used: HashSet<Arc<str>>,
+    /// Per job of the snapshot, its counts.
+    pub jobs: Vec<JobForecast>,
+    /// Names of the machines to which work was mapped that needs their type: work without GPUs does not
+    /// count on a machine with GPUs.
+    pub machines_needed: HashSet<Arc<str>>,
+    /// Cost of the forecast, in machines looked at.
     pub machines_examined: u64,
 }
 
 /// Tasks of one job that are mapped one by one; of a larger job the rest is taken to fare as the
 /// last of them did.
-const MOST_OF_A_JOB: usize = 1000;
+const MAX_TASKS_PER_JOB: usize = 1000;
 
-/// Waiting gangs that are mapped one by one; the rest, whose time is later, are taken to fare as the
+/// Waiting gangs that are mapped one by one; the rest, which are due later, are taken to fare as the
 /// last of them did. Each looks at all machines: with some hundreds waiting on a thousand machines
-/// one forecast kept reports waiting for most of a second.
-const MOST_GANGS: usize = 100;
+/// one forecast delayed heartbeats for most of a second.
+const MAX_GANGS: usize = 100;
+
+/// Whether tasks miss their due time.
+#[derive(Debug, Clone, Copy)]
+struct Misses {
+    late: bool,
+    /// A machine rented now would start them sooner.
+    helped: bool,
+}
+
+impl Misses {
+    /// Of tasks that no machine can take.
+    const UNPLACEABLE: Self = Self {
+        late: true,
+        helped: true,
+    };
+    const NONE: Self = Self {
+        late: false,
+        helped: false,
+    };
+}
 
-struct Progress {
-    next: usize,
+struct JobProgress {
+    /// Index into the job's waiting tasks.
+    next_task: usize,
     started: u32,
     zones: TasksByZone,
 }
 
-struct Forecaster<'a> {
-    jobs: &'a [JobSnapshot],
-    progress: Vec<Progress>,
-    /// What limited teams may still start: what their limit keeps waiting takes no machine, is not late
-    /// for want of one, and rents none.
-    headroom: QuotaHeadroom,
-    machines: MachineIndex<'a>,
-    out: Forecast,
-    gangs: usize,
-    /// Whether the gang mapped last is late, and whether a machine rented now would help it.
-    last_gang: (bool, bool),
+impl JobProgress {
+    fn new(job: &JobSnapshot) -> Self {
+        Self {
+            next_task: 0,
+            started: job.started,
+            zones: job.zones.clone(),
+        }
+    }
 }
 
+/// A task on a machine. Times are seconds from now.
 #[derive(Debug, Clone, Copy)]
-struct BestCandidate {
+struct TaskPlacement {
     machine: usize,
     start: f64,
     fetch: f64,
     end: f64,
 }
 
+impl TaskPlacement {
+    fn is_late(&self, job: &JobSnapshot) -> bool {
+        job.is_late(self.start, self.fetch, self.end)
+    }
+}
+
+/// The order among placements of a task: ends in steps that count as equal, then the cheaper and fuller
+/// machine.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct PlacementRank {
+    end_class: u64,
+    /// In millionths.
+    price: u64,
+    machine: usize,
+}
+
+/// The state of one forecast.
+struct Forecaster<'a> {
+    jobs: &'a [JobSnapshot],
+    progress: Vec<JobProgress>,
+    /// What limited teams may still start: what their quota keeps waiting takes no machine, is not late
+    /// for want of one, and rents none.
+    headroom: QuotaHeadroom,
+    machines: MachineIndex<'a>,
+    forecast: Forecast,
+    gangs_placed: usize,
+    last_gang: Misses,
+}
+
+/// Maps all waiting tasks. The first `startup_count` tasks of each job are startup tasks.
+pub fn forecast(
+    jobs: &[JobSnapshot],
+    machines: &[MachineSnapshot],
+    headroom: &QuotaHeadroom,
+    startup_count: u32,
+) -> Forecast {
+    let mut machines = machines.to_vec();
+    let mut forecaster = Forecaster {
+        jobs,
+        progress: jobs.iter().map(JobProgress::new).collect(),
+        headroom: headroom.clone(),
+        machines: MachineIndex::new(&mut machines),
+        forecast: Forecast {
+            jobs: vec![JobForecast::default(); jobs.len()],
+            ..Forecast::default()
+        },
+        gangs_placed: 0,
+        last_gang: Misses::NONE,
+    };
+    let mut queues = Queues::new(jobs);
+    loop {
+        queues.skip_batch_while(|job| forecaster.remaining(job) == 0);
+        queues.skip_startup_while(|job| !forecaster.has_startup_task(job, startup_count));
+        let Some(head) = queues.batch_head() else {
+            break;
+        };
+        if jobs[head].gang {
+            forecaster.place_gang(head);
+        } else if let Some(first) = queues.startup_head().filter(|first| *first != head)
+            && let Some(placement) = forecaster.best_placement(first)
+            && forecaster.startup_may_pass(first, &placement, head)
+        {
+            forecaster.place(first, &placement);
+        } else {
+            forecaster.place_array(head);
+        }
+    }
+    forecaster.forecast
+}
+
 impl Forecaster<'_> {
-    fn left(&self, job: usize) -> usize {
+    /// Tasks of the job that were not mapped yet and that the team's quota permits.
+    fn remaining(&self, job: usize) -> usize {
         let view = &self.jobs[job];
-        let left = view.waiting.len() - self.progress[job].next;
-        left.min(self.headroom.tasks(view))
+        let remaining = view.waiting.len() - self.progress[job].next_task;
+        remaining.min(self.headroom.tasks(view))
+    }
+
+    /// Whether a startup task of the job is yet to be mapped.
+    fn has_startup_task(&self, job: usize, startup_count: u32) -> bool {
+        self.remaining(job) > 0
+            && self.progress[job].started < startup_count
+            && !self.jobs[job].gang
     }
 
     /// When one task of a job could start on each machine.
@@ -78,15 +187,15 @@
         self.machines.start_times(&self.jobs[job].resources, 1)[0]
     }
 
-    fn on(
+    fn placement_on(
         &self,
+        machine: usize,
         start_times: StartTimesId,
         times: &TaskTimes,
-        machine: usize,
-    ) -> Option<BestCandidate> {
+    ) -> Option<TaskPlacement> {
         let start = self.machines.start(start_times, machine)?;
         let fetch = times.fetch(machine);
-        Some(BestCandidate {
+        Some(TaskPlacement {
             machine,
             start,
             fetch,
@@ -94,12 +203,15 @@
         })
     }
 
-    /// Ends in steps that count as equal, then the cheaper and fuller machine.
-    fn rank(&self, job: usize, best: &BestCandidate) -> (u64, u64, usize) {
-        let near = (self.jobs[job].duration * END_TOLERANCE).max(SLACK);
-        let price = self.machines.price(best.machine);
-        let price = ((price + self.machines.emptiness(best.machine)) * 1e6) as u64;
-        ((best.end / near) as u64, price, best.machine)
+    fn rank(&self, job: usize, placement: &TaskPlacement) -> PlacementRank {
+        let tolerance = (self.jobs[job].duration * END_TOLERANCE).max(SLACK);
+        let price = self.machines.price(placement.machine);
+        let price = (price + self.machines.emptiness(placement.machine)) * 1e6;
+        PlacementRank {
+            end_class: (placement.end / tolerance) as u64,
+            price: price as u64,
+            machine: placement.machine,
+        }
     }
 
     fn may_add_in_zone(&self, job: usize, machine: usize) -> bool {
@@ -107,222 +219,167 @@
         self.jobs[job].may_add_in_zone(&self.progress[job].zones, zone)
     }
 
-    fn best(&mut self, job: usize) -> Option<BestCandidate> {
+    /// Where the job's next task would end first.
+    fn best_placement(&mut self, job: usize) -> Option<TaskPlacement> {
         let start_times = self.start_times(job);
         let mut machines_examined = 0;
-        let mut found: Option<((u64, u64, usize), BestCandidate)> = None;
+        let mut best: Option<(PlacementRank, TaskPlacement)> = None;
         let times = self.machines.task_times(&self.jobs[job]);
         for machine in self.machines.usable(&self.jobs[job]) {
             machines_examined += 1;
             if !self.may_add_in_zone(job, machine) {
                 continue;
             }
-            if let Some(best) = self.on(start_times, &times, machine) {
-                let rank = self.rank(job, &best);
-                if found.as_ref().is_none_or(|(least, _)| rank < *least) {
-                    found = Some((rank, best));
+            if let Some(placement) = self.placement_on(machine, start_times, &times) {
+                let rank = self.rank(job, &placement);
+                if best.as_ref().is_none_or(|(least, _)| rank < *least) {
+                    best = Some((rank, placement));
                 }
             }
         }
-        self.out.machines_examined += machines_examined;
-        found.map(|(_, best)| best)
+        self.forecast.machines_examined += machines_examined;
+        best.map(|(_, placement)| placement)
     }
 
-    fn put(&mut self, job: usize, at: &BestCandidate) {
+    /// Maps the job's next task.
+    fn place(&mut self, job: usize, placement: &TaskPlacement) {
         let view = &self.jobs[job];
         let progress = &mut self.progress[job];
-        progress.next += 1;
+        progress.next_task += 1;
         progress.started += 1;
         self.headroom.take(view, 1);
+        let (index, start) = (placement.machine, placement.start);
         self.machines
-            .occupy(at.machine, &view.resources, at.start, at.end);
-        self.machines.use_image(at.machine, view.image);
-        let machine = &self.machines.machines()[at.machine];
+            .occupy(index, &view.resources, start, placement.end);
+        self.machines.use_image(index, view.image);
+        let machine = &self.machines.machines()[index];
         if machine.cpus_per_gpu == 0.0 || view.resources.gpus > 0.0 {
-            self.out.used.insert(machine.name.clone());
+            self.forecast.machines_needed.insert(machine.name.clone());
         }
-        if at.start <= SLACK {
+        if start <= SLACK {
             *progress.zones.entry(machine.zone).or_default() += 1;
         }
-        let mapped = &mut self.out.mapped[job];
-        mapped.tasks += 1;
-        let late = view.is_late(at.start, at.fetch, at.end);
-        mapped.late += u32::from(late);
-        mapped.helped += u32::from(late && at.start > view.provisioning_s);
+        let late = placement.is_late(view);
+        let misses = Misses {
+            late,
+            helped: late && start > view.provisioning_s,
+        };
+        self.forecast.jobs[job].add(1, misses);
     }
 
-    /// All that is left of an array job: the machines in a heap, by where a task would end first.
-    fn run(&mut self, job: usize) {
+    /// Maps all that is left of an array: the machines in a heap, by where a task would end first.
+    fn place_array(&mut self, job: usize) {
         let start_times = self.start_times(job);
-        let times = self.machines.task_times(&self.jobs[job]);
-        let mut ends = Vec::new();
-        let mut machines_examined = 0;
-        for machine in self.machines.usable(&self.jobs[job]) {
-            machines_examined += 1;
-            if self.may_add_in_zone(job, machine)
-                && let Some(best) = self.on(start_times, &times, machine)
-            {
-                ends.push(Reverse(self.rank(job, &best)));
-            }
-        }
-        self.out.machines_examined += machines_examined;
-        let mut heap = BinaryHeap::from(ends);
-        let mut mapped = 0;
-        let mut last_late = true;
-        while self.left(job) > 0 && mapped < MOST_OF_A_JOB {
-            let Some(Reverse((_, _, machine))) = heap.pop() else {
+        let mut heap = BinaryHeap::from(self.ranked_machines(job, start_times));
+        let mut placed = 0;
+        let mut is_last_late = true;
+        while self.remaining(job) > 0 && placed < MAX_TASKS_PER_JOB {
+            let Some(Reverse(PlacementRank { machine, .. })) = heap.pop() else {
                 break;
             };
             if !self.may_add_in_zone(job, machine) {
                 continue;
             }
             let times = self.machines.task_times(&self.jobs[job]);
-            let Some(best) = self.on(start_times, &times, machine) else {
+            let Some(placement) = self.placement_on(machine, start_times, &times) else {
                 continue;
             };
-            let view = &self.jobs[job];
-            last_late = view.is_late(best.start, best.fetch, best.end);
-            self.put(job, &best);
-            mapped += 1;
-            self.out.machines_examined += 1;
+            is_last_late = placement.is_late(&self.jobs[job]);
+            self.place(job, &placement);
+            placed += 1;
+            self.forecast.machines_examined += 1;
             let times = self.machines.task_times(&self.jobs[job]);
-            if let Some(next) = self.on(start_times, &times, machine) {
+            if let Some(next) = self.placement_on(machine, start_times, &times) {
                 heap.push(Reverse(self.rank(job, &next)));
             }
         }
-        self.rest(job, last_late);
+        self.count_rest(job, is_last_late);
     }
 
-    fn gang(&mut self, job: usize) {
-        let size = self.jobs[job].waiting.len();
-        if self.headroom.tasks(&self.jobs[job]) < size {
-            self.progress[job].next = size;
+    fn ranked_machines(
+        &mut self,
+        job: usize,
+        start_times: StartTimesId,
+    ) -> Vec<Reverse<PlacementRank>> {
+        let times = self.machines.task_times(&self.jobs[job]);
+        let mut ranked = Vec::new();
+        let mut machines_examined = 0;
+        for machine in self.machines.usable(&self.jobs[job]) {
+            machines_examined += 1;
+            if self.may_add_in_zone(job, machine)
+                && let Some(placement) = self.placement_on(machine, start_times, &times)
+            {
+                ranked.push(Reverse(self.rank(job, &placement)));
+            }
+        }
+        self.forecast.machines_examined += machines_examined;
+        ranked
+    }
+
+    /// Maps a gang as a whole; one that exceeds its team's quota is passed over.
+    fn place_gang(&mut self, job: usize) {
+        let view = &self.jobs[job];
+        let size = view.waiting.len();
+        if self.headroom.tasks(view) < size {
+            self.progress[job].next_task = size;
             return;
         }
-        if self.gangs >= MOST_GANGS {
-            let (late, helped) = self.last_gang;
-            let count = |yes: bool| if yes { size as u32 } else { 0 };
-            self.headroom.take(&self.jobs[job], size);
-            let mapped = &mut self.out.mapped[job];
-            mapped.tasks += size as u32;
-            mapped.late += count(late);
-            mapped.helped += count(helped);
-            self.progress[job].next = size;
+        if self.gangs_placed >= MAX_GANGS {
+            self.headroom.take(view, size);
+            self.forecast.jobs[job].add(size, self.last_gang);
+            self.progress[job].next_task = size;
             return;
         }
-        self.gangs += 1;
-        let view = &self.jobs[job];
-        let Some(places) = gang_slots(
-            view,
-            size,
-            &mut self.machines,
-            &mut self.out.machines_examined,
-        ) else {
-            self.last_gang = (true, true);
-            self.rest(job, true);
+        self.gangs_placed += 1;
+        let examined = &mut self.forecast.machines_examined;
+        let Some(slots) = gang_slots(view, size, &mut self.machines, examined) else {
+            self.last_gang = Misses::UNPLACEABLE;
+            self.count_rest(job, true);
             return;
         };
-        let start = places.iter().map(|p| p.start).fold(0.0, f64::max);
-        let end = places.iter().map(|p| p.end).fold(0.0, f64::max);
-        for place in places {
-            let at = BestCandidate {
-                machine: place.machine,
+        // The tasks start together and end together.
+        let start = slots.iter().map(|slot| slot.start).fold(0.0, f64::max);
+        let end = slots.iter().map(|slot| slot.end).fold(0.0, f64::max);
+        for slot in slots {
+            let placement = TaskPlacement {
+                machine: slot.machine,
                 start,
-                fetch: place.fetch,
+                fetch: slot.fetch,
                 end,
             };
-            self.put(job, &at);
+            self.place(job, &placement);
         }
-        let mapped = &self.out.mapped[job];
-        self.last_gang = (mapped.late > 0, mapped.helped > 0);
+        let counts = &self.forecast.jobs[job];
+        self.last_gang = Misses {
+            late: counts.late > 0,
+            helped: counts.helped > 0,
+        };
     }
 
-    /// What no machine can take waits, and counts as late.
-    fn rest(&mut self, job: usize, late: bool) {
-        let rest = self.left(job);
+    /// Counts the job's remaining tasks without mapping them.
+    fn count_rest(&mut self, job: usize, late: bool) {
+        let rest = self.remaining(job);
         self.headroom.take(&self.jobs[job], rest);
-        let rest = rest as u32;
-        let mapped = &mut self.out.mapped[job];
-        mapped.tasks += rest;
-        mapped.late += if late { rest } else { 0 };
-        mapped.helped += if late { rest } else { 0 };
-        self.progress[job].next = self.jobs[job].waiting.len();
+        let misses = Misses { late, helped: late };
+        self.forecast.jobs[job].add(rest, misses);
+        self.progress[job].next_task = self.jobs[job].waiting.len();
     }
 
     /// The paper's guard: a startup task goes ahead only if the batch head would still be in time.
-    fn startup_may_pass(&mut self, first: usize, at: &BestCandidate, head: usize) -> bool {
-        let Some(alone) = self.best(head) else {
+    fn startup_may_pass(&mut self, startup: usize, placement: &TaskPlacement, head: usize) -> bool {
+        let Some(undisturbed) = self.best_placement(head) else {
             return true;
         };
-        let late = |at: &BestCandidate| self.jobs[head].is_late(at.start, at.fetch, at.end);
-        if alone.machine != at.machine {
-            return !late(&alone);
+        if undisturbed.machine != placement.machine {
+            return !undisturbed.is_late(&self.jobs[head]);
         }
-        let resources = self.jobs[first].resources;
+        let resources = self.jobs[startup].resources;
+        let (machine, start, end) = (placement.machine, placement.start, placement.end);
         let free_slots = self
             .machines
-            .occupy_for_now(at.machine, &resources, at.start, at.end);
-        let after = self.best(head);
-        self.machines.restore(at.machine, free_slots);
-        after.is_some_and(|after| !self.jobs[head].is_late(after.start, after.fetch, after.end))
-    }
-}
-
-/// Maps all waiting tasks. `startup_count` tasks of each job are startup tasks.
-pub fn forecast(
-    jobs: &[JobSnapshot],
-    machines: &[MachineSnapshot],
-    headroom: &QuotaHeadroom,
-    startup_count: u32,
-) -> Forecast {
-    let mut machines = machines.to_vec();
-    let mut mapper = Forecaster {
-        jobs,
-        progress: jobs
-            .iter()
-            .map(|job| Progress {
-                next: 0,
-                started: job.started,
-                zones: job.zones.clone(),
-            })
-            .collect(),
-        headroom: headroom.clone(),
-        machines: MachineIndex::new(&mut machines),
-        out: Forecast {
-            mapped: vec![JobForecast::default(); jobs.len()],
-            ..Forecast::default()
-        },
-        gangs: 0,
-        last_gang: (false, false),
-    };
-    let batch = batch_order(jobs);
-    let startup = startup_order(jobs);
-    let (mut batch_at, mut startup_at) = (0, 0);
-    loop {
-        while batch_at < jobs.len() && mapper.left(batch[batch_at]) == 0 {
-            batch_at += 1;
-        }
-        let in_startup = |mapper: &Forecaster, job: usize| {
-            mapper.left(job) > 0 && mapper.progress[job].started < startup_count && !jobs[job].gang
-        };
-        while startup_at < jobs.len() && !in_startup(&mapper, startup[startup_at]) {
-            startup_at += 1;
-        }
-        let Some(&head) = batch.get(batch_at) else {
-            break;
-        };
-        if let Some(&first) = startup.get(startup_at)
-            && first != head
-            && !jobs[head].gang
-            && let Some(at) = mapper.best(first)
-            && mapper.startup_may_pass(first, &at, head)
-        {
-            mapper.put(first, &at);
-        } else if jobs[head].gang {
-            mapper.gang(head);
-        } else {
-            mapper.run(head);
-        }
+            .occupy_for_now(machine, &resources, start, end);
+        let delayed = self.best_placement(head);
+        self.machines.restore(machine, free_slots);
+        delayed.is_some_and(|delayed| !delayed.is_late(&self.jobs[head]))
     }
-    mapper.out
 }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -30,7 +30,6 @@
 pub use resources::{Resources, capacity_of};
 
 use machine::MIN_FETCH_GB_PER_S;
-use queue::{PriorityClass, startup_order};
 use resources::SLACK;
 
 /// Ends that differ by less than this share of the run time count as equal: estimates are not exact to
--- a/src/placement/packing/mod.rs
+++ b/src/placement/packing/mod.rs
@@ -5,11 +5,9 @@
 mod whole;
 
 use super::index::MachineIndex;
+use super::queue::Queues;
 use super::quota_headroom::QuotaHeadroom;
-use super::{
-    JobSnapshot, MachineSnapshot, PriorityClass, Resources, SLACK, Start, TasksByZone, batch_order,
-    startup_order,
-};
+use super::{JobSnapshot, MachineSnapshot, Resources, SLACK, Start, TasksByZone};
 use candidates::Candidate;
 use std::collections::HashSet;
 
@@ -101,20 +99,15 @@
     max_starts: usize,
 ) -> PlacementResult {
     let mut packer = Packer::new(jobs, machines, limits);
-    let mut queues = Queues {
-        batch: batch_order(jobs),
-        batch_head: 0,
-        startup: startup_order(jobs),
-        startup_head: 0,
-        startup_count,
-    };
+    let mut queues = Queues::new(jobs);
     let mut starts_seen = 0;
     while packer.result.starts.len() < max_starts {
         if packer.result.starts.len() > starts_seen {
             starts_seen = packer.result.starts.len();
             packer.close_full_machines();
         }
-        queues.advance(&packer);
+        queues.skip_batch_while(|job| packer.remaining(job) == 0);
+        queues.skip_startup_while(|job| !packer.has_startup_task(job, startup_count));
         let Some(head) = queues.batch_head() else {
             break;
         };
@@ -135,63 +128,6 @@
     packer.result
 }
 
-/// The paper's two queues of one packing: job indices and how far each queue has been worked off.
-struct Queues {
-    batch: Vec<usize>,
-    batch_head: usize,
-    startup: Vec<usize>,
-    startup_head: usize,
-    /// Tasks of each job that are startup tasks.
-    startup_count: u32,
-}
-
-impl Queues {
-    fn batch_head(&self) -> Option<usize> {
-        self.batch.get(self.batch_head).copied()
-    }
-
-    fn startup_head(&self) -> Option<usize> {
-        self.startup.get(self.startup_head).copied()
-    }
-
-    /// Skips jobs of which nothing more can start.
-    fn advance(&mut self, packer: &Packer) {
-        while self
-            .batch_head()
-            .is_some_and(|job| packer.remaining(job) == 0)
-        {
-            self.batch_head += 1;
-        }
-        while self
-            .startup_head()
-            .is_some_and(|job| !self.has_startup_task(packer, job))
-        {
-            self.startup_head += 1;
-        }
-    }
-
-    fn has_startup_task(&self, packer: &Packer, job: usize) -> bool {
-        packer.permitted(job) > 0
-            && packer.progress[job].started < self.startup_count
-            && !packer.is_placed_whole(job)
-    }
-
-    /// Moves the head of the batch queue behind all jobs that go before its next due time.
-    fn defer_batch_head(&mut self, jobs: &[JobSnapshot]) {
-        let head = &jobs[self.batch[self.batch_head]];
-        let class = PriorityClass::from(head);
-        let goes_later = |other: &usize| {
-            let other = &jobs[*other];
-            let other_class = PriorityClass::from(other);
-            other_class < class || (other_class == class && other.due > head.next_due)
-        };
-        let rest = &self.batch[self.batch_head + 1..];
-        let jobs_before = rest.iter().position(goes_later).unwrap_or(rest.len());
-        let new_place = self.batch_head + jobs_before;
-        self.batch[self.batch_head..=new_place].rotate_left(1);
-    }
-}
-
 impl<'a> Packer<'a> {
     fn new(
         jobs: &'a [JobSnapshot],
@@ -240,6 +176,13 @@
             .min(self.headroom.tasks(&self.jobs[job]))
     }
 
+    /// Whether a startup task of the job may start.
+    fn has_startup_task(&self, job: usize, startup_count: u32) -> bool {
+        self.permitted(job) > 0
+            && self.progress[job].started < startup_count
+            && !self.is_placed_whole(job)
+    }
+
     /// Starts the job's next task.
     fn start(&mut self, job: usize, candidate: &Candidate) {
         let view = &self.jobs[job];
--- a/src/placement/queue.rs
+++ b/src/placement/queue.rs
@@ -5,7 +5,7 @@
 
 /// What decides between jobs before their due times; the greater goes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct PriorityClass {
+struct PriorityClass {
     /// It has waited too long to begin: it goes before all others.
     is_overdue: bool,
     /// Its team is within its guarantee.
@@ -36,8 +36,67 @@
 }
 
 /// Job indices in the order of the startup queue: by arrival.
-pub(super) fn startup_order(jobs: &[JobSnapshot]) -> Vec<usize> {
+fn startup_order(jobs: &[JobSnapshot]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..jobs.len()).collect();
     order.sort_by(|a, b| jobs[*a].arrived.total_cmp(&jobs[*b].arrived));
     order
 }
+
+/// Both queues, as job indices, with how far each has been worked off.
+pub(super) struct Queues {
+    batch: Vec<usize>,
+    batch_head: usize,
+    startup: Vec<usize>,
+    startup_head: usize,
+}
+
+impl Queues {
+    /// The queues of all jobs, from their heads.
+    pub(super) fn new(jobs: &[JobSnapshot]) -> Self {
+        Self {
+            batch: batch_order(jobs),
+            batch_head: 0,
+            startup: startup_order(jobs),
+            startup_head: 0,
+        }
+    }
+
+    /// The job at the head of the batch queue.
+    pub(super) fn batch_head(&self) -> Option<usize> {
+        self.batch.get(self.batch_head).copied()
+    }
+
+    /// The job at the head of the startup queue.
+    pub(super) fn startup_head(&self) -> Option<usize> {
+        self.startup.get(self.startup_head).copied()
+    }
+
+    /// Drops jobs from the batch queue's head as long as the condition holds for them.
+    pub(super) fn skip_batch_while(&mut self, is_over: impl Fn(usize) -> bool) {
+        while self.batch_head().is_some_and(&is_over) {
+            self.batch_head += 1;
+        }
+    }
+
+    /// Drops jobs from the startup queue's head as long as the condition holds for them.
+    pub(super) fn skip_startup_while(&mut self, is_over: impl Fn(usize) -> bool) {
+        while self.startup_head().is_some_and(&is_over) {
+            self.startup_head += 1;
+        }
+    }
+
+    /// Moves the head of the batch queue behind all jobs that go before its next due time.
+    pub(super) fn defer_batch_head(&mut self, jobs: &[JobSnapshot]) {
+        let head = &jobs[self.batch[self.batch_head]];
+        let class = PriorityClass::from(head);
+        let goes_later = |other: &usize| {
+            let other = &jobs[*other];
+            let other_class = PriorityClass::from(other);
+            other_class < class || (other_class == class && other.due > head.next_due)
+        };
+        let rest = &self.batch[self.batch_head + 1..];
+        let jobs_before = rest.iter().position(goes_later).unwrap_or(rest.len());
+        let new_place = self.batch_head + jobs_before;
+        self.batch[self.batch_head..=new_place].rotate_left(1);
+    }
+}
--- a/src/placement/scale_tests.rs
+++ b/src/placement/scale_tests.rs
@@ -219,15 +219,20 @@
         writeln!(all, "{} {:?} {}", wait.job, wait.start, wait.reserved).unwrap();
     }
     let predicted = forecast(&jobs, &machines, &QuotaHeadroom::default(), 2);
-    let sum = |of: &dyn Fn(&JobForecast) -> u32| -> u32 { predicted.mapped.iter().map(of).sum() };
+    let sum = |of: &dyn Fn(&JobForecast) -> u32| -> u32 { predicted.jobs.iter().map(of).sum() };
     let (tasks, late, helped) = (sum(&|m| m.tasks), sum(&|m| m.late), sum(&|m| m.helped));
     writeln!(
         text,
         "forecast: {tasks} tasks, {late} late, {helped} helped"
     )
     .unwrap();
-    writeln!(text, "machines with work: {}", predicted.used.len()).unwrap();
-    for mapped in &predicted.mapped {
+    writeln!(
+        text,
+        "machines with work: {}",
+        predicted.machines_needed.len()
+    )
+    .unwrap();
+    for mapped in &predicted.jobs {
         let JobForecast {
             tasks,
             late,
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -85,7 +85,7 @@
         ));
     }
     let out = forecast(jobs, machines, &QuotaHeadroom::default(), 2);
-    for (job, mapped) in jobs.iter().zip(&out.mapped) {
+    for (job, mapped) in jobs.iter().zip(&out.jobs) {
         text.push_str(&format!(
             "{}: {} of {} late\n",
             job.id, mapped.late, mapped.tasks
@@ -290,8 +290,8 @@
             })
             .collect();
         let out = super::forecast::forecast(&jobs, &machines, &QuotaHeadroom::default(), 2);
-        let tasks: u32 = out.mapped.iter().map(|m| m.tasks).sum();
-        let late: u32 = out.mapped.iter().map(|m| m.late).sum();
+        let tasks: u32 = out.jobs.iter().map(|m| m.tasks).sum();
+        let late: u32 = out.jobs.iter().map(|m| m.late).sum();
         (out.machines_examined, tasks, late)
     };
     let (some, many) = (foreseen(100), foreseen(600));
@@ -318,6 +318,6 @@
         let mapped = forecast::forecast(&jobs, &machines(), &QuotaHeadroom::default(), 2);
         let expected = if index == 0 { 2 } else { 0 };
         assert_eq!(placed.starts.len(), expected);
-        assert_eq!(mapped.used.len(), expected.min(1));
+        assert_eq!(mapped.machines_needed.len(), expected.min(1));
     }
 }
--- a/src/renting/decide.rs
+++ b/src/renting/decide.rs
@@ -221,7 +221,7 @@
             continue;
         };
         let pool = pools.entry(name.clone()).or_default();
-        let mapped = mapping.mapped[index];
+        let mapped = mapping.jobs[index];
         let waiting = job.waiting.len() as u32;
         let share = job.resources.dominant_share(&capacity_of(kind));
         pool.waiting += waiting;
@@ -476,7 +476,7 @@
                 && m.state == MachineState::Active
                 && !core.rent.closing.contains_key(*name)
                 && !core.runs_intended_work(name, kind)
-                && !mapping.used.contains(name.as_str())
+                && !mapping.machines_needed.contains(name.as_str())
         })
         .filter_map(|(name, m)| {
             let status = core.workers.agents.get(name)?;
