--- /dev/null
+++ b/src/jobs/archive.rs
@@ -0,0 +1,225 @@
+//! Archives jobs that have ended: their terminal state goes to its own key, their record and pages are
+//! deleted. Jobs that become another cell's are relinquished in the same way. Only a job's owner does so.
+
+use super::writer::Unconfirmed;
+use super::{PageId, Relinquished, StoredJob, TaskRecord, TerminalState};
+use crate::metrics::CpuAccount;
+use crate::node::{Core, Node};
+use crate::state::replica::Job;
+use crate::state::{Operation, Precondition, final_key, given_up_key, job_key, page_key};
+use rowanmill_cells::OwnershipVersion;
+use rowanmill_state::WritePriority;
+use std::sync::Arc;
+
+/// Operations that move a job to its terminal key, beside those for its pages: put one, delete the other.
+pub(super) const MOVE_OPERATIONS: usize = 2;
+
+/// From this share of the write quota on that is unused, writes are not scarce.
+const SUFFICIENT_HEADROOM: f64 = 0.5;
+
+/// From this many pages on that a write leaves for the next one, smoothed, writes are scarce.
+const SCARCE_BACKLOG_PAGES: f64 = 0.5;
+
+/// What follows for a job that has ended.
+#[derive(Debug, Clone, Copy, PartialEq)]
+enum Ending {
+    Archived(TerminalState),
+    /// Nothing of it runs here any more, and it becomes another cell's.
+    Relinquished(OwnershipVersion),
+}
+
+/// A job that has ended, as it is to be archived.
+struct EndedJob {
+    id: String,
+    revision: u64,
+    pages: Vec<PageId>,
+    /// `pages` are all its pages.
+    has_all_pages: bool,
+    ending: Ending,
+}
+
+/// How much of an ended job is written.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum ArchiveMode {
+    /// The job is moved to its terminal key, and its pages are deleted.
+    Move,
+    /// The end alone is written at the job's key; the leader moves it later.
+    MarkFinished,
+}
+
+/// One transaction that ends jobs.
+struct ArchiveBatch {
+    preconditions: Vec<Precondition>,
+    operations: Vec<Operation>,
+    /// How many jobs it ends.
+    jobs: usize,
+}
+
+/// Whether writes are scarce: little of the quota is unused, or pages were left for later writes recently.
+/// At the start of a cycle a controller may write again, however much waits for it.
+pub(super) fn writes_are_scarce(node: &Node, core: &Core) -> bool {
+    core.pending_changes.write_backlog() >= SCARCE_BACKLOG_PAGES
+        || node.state.write_headroom() < SUFFICIENT_HEADROOM
+}
+
+/// Archives this controller's jobs that have ended, as many in a transaction as fit.
+pub async fn archive_ended_jobs(node: &Arc<Node>) -> Result<(), Unconfirmed> {
+    let max_operations = node.settings.max_transaction_operations();
+    let mode = archive_mode(node);
+    let mut ended = ended_jobs(node, max_operations - MOVE_OPERATIONS);
+    while !ended.is_empty() {
+        let available = node.state.available_writes(WritePriority::Background);
+        let operations = available.min(max_operations);
+        if operations < MOVE_OPERATIONS {
+            return Ok(());
+        }
+        let batch = ArchiveBatch::build(&ended, mode, operations);
+        let (preconditions, operations) = (&batch.preconditions, &batch.operations);
+        let answer = node.state.compare_and_swap(preconditions, operations).await;
+        let revision = answer.map_err(|_| Unconfirmed)?;
+        let written = ended.drain(..batch.jobs);
+        apply_archived(&mut node.core(), batch.operations, written, revision);
+    }
+    Ok(())
+}
+
+/// Moving a job takes an operation for each of its keys, so that where writes are scarce the move waits.
+/// Only controllers of the present version read the shorter form.
+fn archive_mode(node: &Node) -> ArchiveMode {
+    let core = node.core();
+    if core.replica.is_current_schema_active() && writes_are_scarce(node, &core) {
+        ArchiveMode::MarkFinished
+    } else {
+        ArchiveMode::Move
+    }
+}
+
+fn ended_jobs(node: &Node, max_pages: usize) -> Vec<EndedJob> {
+    let _charge = node.processor_time.charge(CpuAccount::RecordWrites);
+    let core = node.core();
+    let ended = |(id, job): (&String, &Job)| {
+        let ending = ending_of(&core, id, job)?;
+        core.owns_job(&node.identity, id).then(|| EndedJob {
+            id: id.clone(),
+            revision: job.revision,
+            pages: job.pages.keys().copied().take(max_pages).collect(),
+            has_all_pages: job.pages.len() <= max_pages,
+            ending,
+        })
+    };
+    core.replica.jobs.iter().filter_map(ended).collect()
+}
+
+fn apply_archived(
+    core: &mut Core,
+    operations: Vec<Operation>,
+    written: impl ExactSizeIterator<Item = EndedJob>,
+    revision: u64,
+) {
+    core.metrics.ended_jobs += written.len() as u64;
+    core.apply(operations, revision);
+    for job in written {
+        if let Ending::Archived(state) = job.ending {
+            core.replica.record_final_state(&job.id, state);
+        }
+        core.pending_changes.discard_job(&job.id);
+        core.failures.remove(&job.id);
+    }
+}
+
+impl ArchiveBatch {
+    /// Ends as many of the jobs as so many operations allow, and at least one.
+    fn build(ended: &[EndedJob], mode: ArchiveMode, max_operations: usize) -> Self {
+        let mut batch = Self {
+            preconditions: Vec::new(),
+            operations: Vec::new(),
+            jobs: 0,
+        };
+        for job in ended {
+            let needed = match mode {
+                ArchiveMode::MarkFinished => 1,
+                ArchiveMode::Move => MOVE_OPERATIONS + job.pages.len(),
+            };
+            if batch.operations.len() + needed > max_operations && batch.jobs > 0 {
+                break;
+            }
+            batch.add(job, mode);
+        }
+        batch
+    }
+
+    fn add(&mut self, job: &EndedJob, mode: ArchiveMode) {
+        self.jobs += 1;
+        self.preconditions.push(Precondition {
+            key: job_key(&job.id),
+            revision: job.revision,
+        });
+        match job.ending {
+            Ending::Archived(outcome) if mode == ArchiveMode::MarkFinished => {
+                let finished = StoredJob::Finished { outcome };
+                let mark = Operation::put(job_key(&job.id), &finished);
+                self.operations.push(mark);
+                return;
+            }
+            Ending::Archived(state) => {
+                self.move_record(job, Operation::put(final_key(&job.id), &state));
+            }
+            // A page that is left behind, or deleted late, would be taken for a page of the job when it
+            // returns to this cell: so the last pages are deleted with the record, under its revision.
+            Ending::Relinquished(version) if job.has_all_pages => {
+                let relinquished = Relinquished::under(version);
+                self.move_record(job, Operation::put(given_up_key(&job.id), &relinquished));
+            }
+            Ending::Relinquished(_) => {}
+        }
+        let pages = job.pages.iter();
+        let deletions = pages.map(|page| Operation::delete(page_key(&job.id, *page)));
+        self.operations.extend(deletions);
+    }
+
+    fn move_record(&mut self, job: &EndedJob, successor: Operation) {
+        self.operations.push(successor);
+        self.operations.push(Operation::delete(job_key(&job.id)));
+    }
+}
+
+/// How a job has ended, with the pending changes: done once every task is, cancelled once none of its
+/// tasks can be on a machine. Nothing for a job that goes on.
+fn ending_of(core: &Core, id: &str, job: &Job) -> Option<Ending> {
+    if job.record.cancelled {
+        if placed_tasks(core, id, job) != 0 {
+            return None;
+        }
+        let successor = job.record.ledger.filter(|_| job.record.withdrawn);
+        let cancelled = Ending::Archived(TerminalState::Cancelled);
+        return Some(successor.map_or(cancelled, Ending::Relinquished));
+    }
+    // A gang's tasks complete together: one that is done implies that all are.
+    let spec = &job.record.spec;
+    let needed = if spec.is_gang() { 1 } else { spec.tasks };
+    let is_done = done_tasks(core, id, job) >= needed;
+    is_done.then_some(Ending::Archived(TerminalState::Done))
+}
+
+/// Tasks that may be on a machine, with the pending changes.
+fn placed_tasks(core: &Core, id: &str, job: &Job) -> i64 {
+    let is_placed = |record: &TaskRecord| matches!(record, TaskRecord::Placed { .. });
+    let mut placed = i64::from(job.placed);
+    let changes = core.pending_changes.of_job(id);
+    for (task, change) in changes.into_iter().flatten() {
+        placed += i64::from(is_placed(change));
+        placed -= i64::from(is_placed(core.replica.task_record(id, *task)));
+    }
+    placed
+}
+
+/// Tasks that are done, with the pending changes.
+fn done_tasks(core: &Core, id: &str, job: &Job) -> u32 {
+    let is_recorded = |task| *core.replica.task_record(id, task) == TaskRecord::Done;
+    let changes = core.pending_changes.of_job(id);
+    let changes = changes.into_iter().flatten();
+    let completed = changes
+        .filter(|(task, change)| **change == TaskRecord::Done && !is_recorded(**task))
+        .count();
+    job.done + completed as u32
+}
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,6 +1,8 @@
 //! Jobs as users describe them, and the durable records kept of them.
 
-mod ends;
+mod archive;
+pub mod failures;
+mod garbage_collection;
 pub mod pages;
 pub mod pending_changes;
 pub mod runtime_estimate;
--- a/src/jobs/runtime_estimate.rs
+++ b/src/jobs/runtime_estimate.rs
@@ -1,54 +1,40 @@
-//! What is learned of jobs as they run: how long a class takes, and which jobs fail.
+//! How long a class of jobs takes, learned from its tasks that have run.
 
-use std::collections::HashSet;
-use std::time::{Duration, Instant};
+/// Below this many samples, the owners' estimates are taken as they are.
+const MIN_SAMPLES: f64 = 4.0;
 
-/// Run times of a class: actual over the owner's estimate, as mean and deviation.
+/// Actual run times of a class as ratios to the owners' estimates: mean and variance by Welford's method.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RuntimeEstimate {
+    /// Number of samples.
     pub count: f64,
     mean: f64,
-    m2: f64,
+    /// Sum of the squared deviations from the mean.
+    squared_deviations: f64,
 }
 
 impl RuntimeEstimate {
+    /// Adds a sample: a task's run time divided by its owner's estimate.
     pub fn add(&mut self, ratio: f64) {
         self.count += 1.0;
         let delta = ratio - self.mean;
         self.mean += delta / self.count;
-        self.m2 += delta * (ratio - self.mean);
+        self.squared_deviations += delta * (ratio - self.mean);
     }
 
-    /// The paper's estimate, past mean plus one deviation, as a factor on the owner's estimate.
+    /// The paper's estimate, past mean plus one standard deviation, as a factor on the owner's estimate.
     pub fn factor(&self) -> f64 {
-        if self.count < 4.0 {
+        if self.count < MIN_SAMPLES {
             return 1.0;
         }
-        self.mean + (self.m2 / (self.count - 1.0)).sqrt()
+        self.mean + (self.squared_deviations / (self.count - 1.0)).sqrt()
     }
 
+    /// The mean as a factor on the owner's estimate.
     pub fn mean(&self) -> f64 {
-        if self.count < 4.0 { 1.0 } else { self.mean }
-    }
-}
-
-/// How a job's tasks have failed.
-#[derive(Debug, Clone, Default)]
-pub struct Failures {
-    pub machines: HashSet<String>,
-    pub count: u32,
-    pub last: Option<Instant>,
-}
-
-impl Failures {
-    /// Failing wherever it is tried: no machine cures that.
-    pub fn is_everywhere(&self) -> bool {
-        self.machines.len() >= 2
-    }
-
-    /// Not to be tried again before this.
-    pub fn not_before(&self) -> Option<Instant> {
-        let wait = Duration::from_secs(1 << self.count.min(5));
-        self.last.filter(|_| self.is_everywhere()).map(|l| l + wait)
+        if self.count < MIN_SAMPLES {
+            return 1.0;
+        }
+        self.mean
     }
 }
--- a/src/jobs/writer/tests.rs
+++ b/src/jobs/writer/tests.rs
@@ -1,9 +1,13 @@
+use super::batch::atomic_group_len;
+use super::flush_delay::OWN_JOB_DELAY;
 use super::*;
-use crate::jobs::ends::tidying;
-use crate::jobs::{PageLayout, TaskId, TerminalState};
+use crate::jobs::garbage_collection::GarbageBatch;
+use crate::jobs::{PageLayout, TaskId, TaskRecord, TerminalState};
+use crate::membership::assignment::Member;
+use crate::state::{MAX_TRANSACTION_BYTES, Operation, Precondition, page_key};
 use rowanmill_state::KeyValue;
 use serde_json::{Value, json};
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 /// A rental of one machine.
 fn rental(machine: &str, owner: &str, token: u64) -> Value {
@@ -15,16 +19,40 @@
     core.replica.apply_put(key, &data.to_string(), revision);
 }
 
+/// How much of the write quota is unused.
+#[derive(Debug, Clone, Copy, PartialEq)]
+enum Quota {
+    Ample,
+    Scarce,
+}
+
+fn page_writes(
+    core: &Core,
+    me: &Member,
+    max_preconditions: usize,
+    quota: Quota,
+    now: Instant,
+) -> Vec<PendingPageWrite> {
+    select_page_writes(&Selection {
+        core,
+        me,
+        max_preconditions,
+        has_ample_quota: quota == Quota::Ample,
+        now,
+    })
+}
+
 fn show(core: &Core) -> String {
     let me = Member {
         name: "me".into(),
         incarnation: 1,
     };
-    let lines = make_up(core, &me, 96, true, Instant::now() + EXITS_WAIT.1)
+    let now = Instant::now() + OWN_JOB_DELAY.constrained;
+    let lines = page_writes(core, &me, 96, Quota::Ample, now)
         .into_iter()
         .map(|d| {
             let guards: Vec<String> = d
-                .guards
+                .preconditions
                 .iter()
                 .map(|g| format!("{}@{}", g.key, g.revision))
                 .collect();
@@ -113,11 +141,11 @@
         core.record_change(&TaskId::new("job-2", task), start.clone());
     }
     core.record_change(&TaskId::new("job-1", 1), start);
-    let dirty = make_up(&core, &me, 96, true, Instant::now());
+    let dirty = page_writes(&core, &me, 96, Quota::Ample, Instant::now());
     let mut units = Vec::new();
     let mut rest = &dirty[..];
     while !rest.is_empty() {
-        let (unit, others) = rest.split_at(unit_len(rest));
+        let (unit, others) = rest.split_at(atomic_group_len(rest));
         units.push(format!("{} of {}", unit.len(), unit[0].job));
         rest = others;
     }
@@ -146,7 +174,7 @@
     let mut trace = String::new();
     let mut say = |core: &Core, what: &str| {
         let waits = [1, 3, 11].map(|s| {
-            let written = make_up(core, &me, 96, false, start + Duration::from_secs(s));
+            let written = page_writes(core, &me, 96, Quota::Scarce, start + Duration::from_secs(s));
             format!(
                 "{s} s {}",
                 if written.is_empty() {
@@ -222,13 +250,13 @@
             core.record_change(&TaskId::new(id, task), entry);
         }
     }
-    let dirty = make_up(&core, &me, 32, true, Instant::now());
+    let dirty = page_writes(&core, &me, 32, Quota::Ample, Instant::now());
     let mut trace = String::new();
     for page in &dirty {
-        let bytes = text_of(&page.op).len();
-        let (starts, guards) = (page.machines.len(), page.guards.len());
+        let bytes = text_of(&page.operation).len();
+        let (starts, guards) = (page.machines.len(), page.preconditions.len());
         assert!(bytes <= 2048 && guards <= 32);
-        let key = page_key(&page.job, page.number);
+        let key = page_key(&page.job, page.page_id);
         trace.push_str(&format!(
             "{key}: {starts} starts, {guards} guards, {bytes} bytes\n"
         ));
@@ -236,7 +264,7 @@
     let under = dirty
         .iter()
         .filter(|d| d.job == "job-2")
-        .flat_map(|d| &d.guards);
+        .flat_map(|d| &d.preconditions);
     let under: Vec<_> = under.filter(|g| g.key.starts_with("r/p/")).collect();
     trace.push_str(&format!(
         "brought over under {} marks of wide pages\n",
@@ -273,7 +301,8 @@
     assert_eq!(replica.pipelines.ready().count(), 1);
     let mut trace = String::new();
     for most in [1, 2, 8] {
-        let (guards, ops) = tidying(replica, most);
+        let batch = GarbageBatch::build(replica, most);
+        let (guards, ops) = (batch.preconditions, batch.operations);
         let ops: Vec<String> = ops
             .iter()
             .map(|op| match op {
@@ -342,11 +371,11 @@
     core.record_change(&TaskId::new("job-1", 1), start);
     core.record_change(&TaskId::new("job-2", 0), TaskRecord::Waiting { last: 1 });
     let order = |s| {
-        let dirty = make_up(
+        let dirty = page_writes(
             &core,
             &me,
             96,
-            false,
+            Quota::Scarce,
             Instant::now() + Duration::from_secs(s),
         );
         let jobs: Vec<String> = dirty.into_iter().map(|d| d.job).collect();
@@ -493,14 +522,14 @@
         };
         core.record_change(&TaskId::new("job-1", task), entry);
     }
-    let dirty = make_up(&core, &me, 96, true, Instant::now());
-    let largest = dirty.iter().map(|d| match &d.op {
+    let dirty = page_writes(&core, &me, 96, Quota::Ample, Instant::now());
+    let largest = dirty.iter().map(|d| match &d.operation {
         Operation::Put { value, .. } => value.get().len(),
         Operation::Delete { .. } => 0,
     });
     let largest = largest.max().unwrap();
-    let guards = dirty.iter().map(|d| d.guards.len()).max().unwrap();
-    let bytes = dirty.iter().map(Dirty::bytes).max().unwrap();
+    let guards = dirty.iter().map(|d| d.preconditions.len()).max().unwrap();
+    let bytes = dirty.iter().map(PendingPageWrite::bytes).max().unwrap();
     assert!(largest <= settings_value && guards <= 96 && bytes <= MAX_TRANSACTION_BYTES);
     let pages = dirty.len();
     insta::assert_snapshot!(
--- a/src/jobs/writer/withdrawal.rs
+++ b/src/jobs/writer/withdrawal.rs
@@ -1,112 +1,129 @@
-//! Planned changes that no longer follow from the records: taken back or forgotten.
+//! Discards pending changes that no longer follow from the records. Discarding a start makes its task
+//! wait again, so that it is placed anew in the next cycle; nothing is written here.
 
-use super::Dirty;
+use super::page_write::PendingPageWrite;
 use crate::fleet::MachineState;
 use crate::jobs::{TaskId, TaskRecord};
 use crate::membership::assignment::Member;
 use crate::node::Core;
 
-/// Starts planned on machines that take none any more, because they are on their way back, are planned
-/// anew elsewhere. They could never be written, and the machine, which is not empty with them, would
-/// never go.
+fn is_placed(record: &TaskRecord) -> bool {
+    matches!(record, TaskRecord::Placed { .. })
+}
+
+/// Discards starts on machines that take none any more, because they are drained or another
+/// controller's. These starts could never be written, and the machine, which is not empty with them,
+/// would never be released.
 pub(super) fn withdraw_unstartable(core: &mut Core, me: &Member) {
-    let fleet = &core.replica.fleet.machines;
-    let takes = |name: &str| {
-        let machine = fleet.get(name);
+    let machines = &core.replica.fleet.machines;
+    let takes_starts = |name: &str| {
+        let machine = machines.get(name);
         machine.is_some_and(|m| m.owner == *me && m.state == MachineState::Active)
     };
-    let changes = core
-        .pending_changes
-        .iter()
-        .flat_map(|(id, changes)| changes.iter().map(move |(task, entry)| (id, *task, entry)));
-    let lost: Vec<_> = changes
-        .filter(
-            |(_, _, entry)| matches!(entry, TaskRecord::Placed { machine, .. } if !takes(machine)),
-        )
-        .map(|(id, task, _)| TaskId::new(id, task))
-        .collect();
-    for id in lost {
-        core.discard_change(&id);
+    let mut unstartable = Vec::new();
+    for (job, changes) in core.pending_changes.iter() {
+        for (task, change) in changes {
+            if let TaskRecord::Placed { machine, .. } = change
+                && !takes_starts(machine)
+            {
+                unstartable.push(TaskId::new(job, *task));
+            }
+        }
     }
+    discard_all(core, unstartable);
 }
 
-/// A gang whose planned start lost a machine before it was written is planned anew as a whole: the
-/// rest would gather, wait for the missing task and fail.
+/// Discards all starts of a gang of which one was discarded before it was written: the others would
+/// gather, wait for the missing task and fail.
 pub(super) fn withdraw_broken_gangs(core: &mut Core) {
-    let is_placed = |e: &TaskRecord| matches!(e, TaskRecord::Placed { .. });
     let mut broken = Vec::new();
     for (id, changes) in core.pending_changes.iter() {
-        let job = core.replica.jobs.get(id).map(|j| &j.record.spec);
-        let Some(spec) = job.filter(|s| s.is_gang()) else {
+        let spec = core.replica.jobs.get(id).map(|job| &job.record.spec);
+        let Some(spec) = spec.filter(|spec| spec.is_gang()) else {
             continue;
         };
-        let starts = changes.iter().filter(|(_, e)| is_placed(e));
+        let starts = changes.iter().filter(|(_, change)| is_placed(change));
         let starts: Vec<u32> = starts.map(|(task, _)| *task).collect();
-        if !starts.is_empty() && !(0..spec.tasks).all(|t| is_placed(core.task_record(id, t))) {
+        let is_whole = || (0..spec.tasks).all(|task| is_placed(core.task_record(id, task)));
+        if !starts.is_empty() && !is_whole() {
             broken.extend(starts.into_iter().map(|task| TaskId::new(id, task)));
         }
     }
-    for id in broken {
-        core.discard_change(&id);
+    discard_all(core, broken);
+}
+
+/// Discards the starts on all of the pages.
+pub(super) fn withdraw_all_starts(core: &mut Core, writes: &[PendingPageWrite]) {
+    for write in writes {
+        withdraw_starts_on_page(core, write);
     }
 }
 
-/// Takes back planned starts, of all the pages or of those that the failed guards concern.
-pub(super) fn withdraw(core: &mut Core, batch: &[Dirty], failed: Option<&[String]>) {
-    for d in batch {
-        let concerned = failed.is_none_or(|failed| {
-            failed.is_empty() || d.guards.iter().any(|g| failed.contains(&g.key))
-        });
-        if !concerned {
-            continue;
-        }
-        let planned = core.pending_changes.of_job(&d.job).into_iter().flatten();
-        let starts: Vec<u32> = planned
-            .filter(|(task, entry)| {
-                core.replica.page_to_write(**task) == d.number
-                    && matches!(entry, TaskRecord::Placed { .. })
-            })
-            .map(|(task, _)| *task)
-            .collect();
-        for task in starts {
-            core.discard_change(&TaskId::new(&d.job, task));
+/// Discards the starts on the pages that depend on one of the failed keys; on all of them, if the state
+/// service named none.
+pub(super) fn withdraw_conflicting_starts(
+    core: &mut Core,
+    writes: &[PendingPageWrite],
+    failed_keys: &[String],
+) {
+    for write in writes {
+        let mut preconditions = write.preconditions.iter();
+        if failed_keys.is_empty() || preconditions.any(|p| failed_keys.contains(&p.key)) {
+            withdraw_starts_on_page(core, write);
         }
     }
 }
 
-/// Whether a planned change still follows from what the records hold.
-pub(super) fn applies(held: &TaskRecord, planned: &TaskRecord) -> bool {
-    match (held, planned) {
-        (held, planned) if held == planned => false,
+fn withdraw_starts_on_page(core: &mut Core, write: &PendingPageWrite) {
+    let changes = core.pending_changes.of_job(&write.job);
+    let changes = changes.into_iter().flatten();
+    let starts: Vec<u32> = changes
+        .filter(|(task, change)| {
+            core.replica.page_to_write(**task) == write.page_id && is_placed(change)
+        })
+        .map(|(task, _)| *task)
+        .collect();
+    for task in starts {
+        core.discard_change(&TaskId::new(&write.job, task));
+    }
+}
+
+/// Whether a pending change still follows from what the records hold.
+pub(super) fn is_applicable(recorded: &TaskRecord, change: &TaskRecord) -> bool {
+    match (recorded, change) {
+        (recorded, change) if recorded == change => false,
         (TaskRecord::Done, _) => false,
         (_, TaskRecord::Done) => true,
         (TaskRecord::Placed { attempt, .. }, TaskRecord::Waiting { last }) => attempt == last,
         (TaskRecord::Waiting { .. }, TaskRecord::Waiting { .. }) => false,
-        (held, TaskRecord::Placed { attempt, .. }) => held.last_attempt() < *attempt,
+        (recorded, TaskRecord::Placed { attempt, .. }) => recorded.last_attempt() < *attempt,
     }
 }
 
-/// Forgets planned changes that the records now hold, or that no longer apply to them.
-pub(super) fn settle(core: &mut Core) {
+/// Discards the changes that the records now hold, or that no longer apply to them, and forgets the
+/// stops of attempts that the records no longer place.
+pub(super) fn discard_inapplicable(core: &mut Core) {
     let replica = &core.replica;
     core.workers.pending_stops.retain(|stopped, _| {
         let id = &stopped.task;
-        let entry = replica
-            .jobs
-            .contains_key(&id.job)
-            .then(|| replica.task_record(&id.job, id.index));
-        matches!(entry, Some(TaskRecord::Placed { attempt, .. }) if *attempt == stopped.attempt)
+        let is_known = replica.jobs.contains_key(&id.job);
+        let recorded = is_known.then(|| replica.task_record(&id.job, id.index));
+        matches!(recorded, Some(TaskRecord::Placed { attempt, .. }) if *attempt == stopped.attempt)
     });
-    let mut over = Vec::new();
+    let mut inapplicable = Vec::new();
     for (id, changes) in core.pending_changes.iter() {
-        let known = core.replica.jobs.contains_key(id);
-        for (task, entry) in changes {
-            if !known || !applies(core.replica.task_record(id, *task), entry) {
-                over.push(TaskId::new(id, *task));
+        let is_known = replica.jobs.contains_key(id);
+        for (task, change) in changes {
+            if !is_known || !is_applicable(replica.task_record(id, *task), change) {
+                inapplicable.push(TaskId::new(id, *task));
             }
         }
     }
-    for id in over {
-        core.discard_change(&id);
+    discard_all(core, inapplicable);
+}
+
+fn discard_all(core: &mut Core, tasks: Vec<TaskId>) {
+    for task in tasks {
+        core.discard_change(&task);
     }
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,8 +1,9 @@
 //! One controller node: what its slices share, behind one short lock, and how they are started.
 
 use crate::cloud::{CloudClient, MachineType};
+use crate::jobs::failures::Failures;
 use crate::jobs::pending_changes::PendingChanges;
-use crate::jobs::runtime_estimate::{Failures, RuntimeEstimate};
+use crate::jobs::runtime_estimate::RuntimeEstimate;
 use crate::jobs::{JobSpec, PageLayout, TaskId, TaskRecord};
 use crate::limits::TeamQuotas;
 use crate::membership::ElectionState;
--- a/src/state/replica.rs
+++ b/src/state/replica.rs
@@ -385,13 +385,13 @@
     /// overrules all that a wide one says of its tasks.
     fn slots(&self, old: Option<&ProgressPage>, page: PageId, new: usize) -> usize {
         match (old, page) {
-            (None, PageId::Compact(_)) => self.layout.span(page).1,
+            (None, PageId::Compact(_)) => self.layout.tasks_on(page).count,
             (old, _) => old.map_or(0, |o| o.0.len()).max(new),
         }
     }
 
     fn entries(&self, id: &str, page: PageId, slots: usize) -> Vec<TaskRecord> {
-        let first = self.layout.span(page).0;
+        let first = self.layout.tasks_on(page).first;
         let tasks = first..first + slots as u32;
         tasks
             .map(|task| self.task_record(id, task).clone())
@@ -400,7 +400,7 @@
 
     /// Notes what differs from before on a page: which tasks are on which machine, and the counts.
     fn differ(&mut self, id: &str, page: PageId, before: Vec<TaskRecord>) {
-        let first = self.layout.span(page).0;
+        let first = self.layout.tasks_on(page).first;
         for (slot, old) in before.into_iter().enumerate() {
             let task = first + slot as u32;
             let new = self.task_record(id, task);
