--- a/src/placement/quota_headroom.rs
+++ b/src/placement/quota_headroom.rs
@@ -1,138 +1,144 @@
-//! What each limited team's tasks may still use. All jobs of a team draw on the same room: where each was
-//! mapped under the whole of it, several jobs of a team counted the same room several times, and machines
-//! were rented for tasks that their limit kept waiting.
+//! What each limited team's tasks may still use. All jobs of a team draw on the same headroom: where each
+//! was mapped under the whole of it, several jobs of a team counted the same quota several times, and
+//! machines were rented for tasks that their quota kept waiting.
 
 use super::{JobSnapshot, Resources, SLACK};
 
-/// The rooms of one mapping.
+/// The headroom of all limited teams during one packing or forecast.
 #[derive(Debug, Clone, Default)]
 pub struct QuotaHeadroom {
-    headroom: Vec<Room>,
+    teams: Vec<TeamHeadroom>,
 }
 
 #[derive(Debug, Clone)]
-struct Room {
-    left: Resources,
-    /// The team's limit.
-    whole: Resources,
+struct TeamHeadroom {
+    remaining: Resources,
+    /// The team's quota.
+    limit: Resources,
+    /// Nothing more of the team starts for now.
     is_closed: bool,
-    /// A job that has a part of what is left kept for it, and that part.
-    reserved_for: Option<(String, Resources)>,
+    reservation: Option<QuotaReservation>,
+}
+
+/// A part of what remains that only one job may use.
+#[derive(Debug, Clone)]
+struct QuotaReservation {
+    job: String,
+    amount: Resources,
 }
 
 impl QuotaHeadroom {
-    /// No team has a limit.
+    /// The headroom where no team has a quota.
     #[cfg(test)]
     pub const fn none() -> Self {
-        Self {
-            headroom: Vec::new(),
-        }
+        Self { teams: Vec::new() }
     }
 
-    /// Adds a team's room; the number by which its jobs name it.
-    pub fn add(&mut self, left: Resources, whole: Resources) -> usize {
-        self.headroom.push(Room {
-            left,
-            whole,
+    /// Adds a team; returns the index by which its jobs name it.
+    pub fn add(&mut self, remaining: Resources, limit: Resources) -> usize {
+        self.teams.push(TeamHeadroom {
+            remaining,
+            limit,
             is_closed: false,
-            reserved_for: None,
+            reservation: None,
         });
-        self.headroom.len() - 1
+        self.teams.len() - 1
     }
 
-    /// How many more tasks of a job its team's limit allows.
+    /// How many more tasks of a job its team's quota permits.
     pub fn tasks(&self, job: &JobSnapshot) -> usize {
         let Some(team) = job.team else {
             return usize::MAX;
         };
-        let team = &self.headroom[team];
+        let team = &self.teams[team];
         if team.is_closed {
             return 0;
         }
-        let mut available = team.left;
-        if let Some((reserved_for, part)) = &team.reserved_for
-            && *reserved_for != job.id
+        let mut available = team.remaining;
+        if let Some(reservation) = &team.reservation
+            && reservation.job != job.id
         {
-            available.sub(part);
+            available.sub(&reservation.amount);
         }
-        let pairs = [
+        let amounts = [
             (available.cpus, job.resources.cpus),
             (available.gpus, job.resources.gpus),
         ];
-        let limiting = pairs
+        let limiting = amounts
             .iter()
-            .filter(|(available, resources)| available.is_finite() && *resources > 0.0);
-        let tasks = limiting.map(|(available, resources)| {
-            ((available + SLACK) / resources).floor().max(0.0) as usize
+            .filter(|(available, requested)| available.is_finite() && *requested > 0.0);
+        let tasks = limiting.map(|(available, requested)| {
+            ((available + SLACK) / requested).floor().max(0.0) as usize
         });
         tasks.min().unwrap_or(usize::MAX)
     }
 
-    /// So many tasks of a job start.
+    /// Subtracts what `tasks` tasks of a job use.
     pub fn take(&mut self, job: &JobSnapshot, tasks: usize) {
         if let Some(team) = job.team {
-            self.headroom[team]
-                .left
-                .sub(&job.resources.scaled(tasks as f64));
+            let used = job.resources.scaled(tasks as f64);
+            self.teams[team].remaining.sub(&used);
         }
     }
 
-    /// Whether a job has waited for long enough to have what comes free of its team's room kept for it:
-    /// smaller work would take that piece by piece for ever. What needs the whole limit must have waited for
-    /// `reserve_after`, and what needs a part of it for that part of the time.
-    pub fn is_overdue(&self, job: &JobSnapshot, tasks: usize, reserve_after: f64) -> bool {
+    /// Whether a job has waited for long enough to have quota that becomes free reserved for it: smaller
+    /// work would otherwise take it piece by piece for ever. What needs the whole limit must have waited
+    /// for `delay_s`, and what needs a share of it for that share of the time.
+    pub fn is_overdue(&self, job: &JobSnapshot, tasks: usize, delay_s: f64) -> bool {
         let Some(team) = job.team else {
             return false;
         };
-        let part = job
-            .resources
-            .scaled(tasks as f64)
-            .dominant_share(&self.headroom[team].whole);
-        -job.arrived >= reserve_after * part
+        let requested = job.resources.scaled(tasks as f64);
+        let share = requested.dominant_share(&self.teams[team].limit);
+        -job.arrived >= delay_s * share
     }
 
-    /// Keeps a part of what a team has left for one of its jobs: whatever else of it goes first by time
-    /// would take what other controllers gave for that job.
-    pub fn reserve_for(&mut self, team: usize, job: &str, part: Resources) {
-        self.headroom[team].reserved_for = Some((job.to_owned(), part));
+    /// Reserves a part of what a team has left for one of its jobs: otherwise other work of the team that
+    /// goes first by time would take what other controllers transferred for that job.
+    pub fn reserve_for(&mut self, team: usize, job: &str, amount: Resources) {
+        self.teams[team].reservation = Some(QuotaReservation {
+            job: job.to_owned(),
+            amount,
+        });
     }
 
-    /// Whether a part is kept for another job of the team.
+    /// Whether a part is reserved for another job of the team.
     pub fn is_reserved_for_other(&self, job: &JobSnapshot) -> bool {
-        let reserved_for = job
-            .team
-            .and_then(|team| self.headroom[team].reserved_for.as_ref());
-        reserved_for.is_some_and(|(id, _)| *id != job.id)
+        self.reservation_of(job)
+            .is_some_and(|reservation| reservation.job != job.id)
     }
 
-    /// Whether a part is kept for this job.
+    /// Whether a part is reserved for this job.
     pub fn is_reserved_for(&self, job: &JobSnapshot) -> bool {
-        let reserved_for = job
-            .team
-            .and_then(|team| self.headroom[team].reserved_for.as_ref());
-        reserved_for.is_some_and(|(id, _)| *id == job.id)
+        self.reservation_of(job)
+            .is_some_and(|reservation| reservation.job == job.id)
     }
 
-    /// Nothing more of the team starts for now.
+    fn reservation_of(&self, job: &JobSnapshot) -> Option<&QuotaReservation> {
+        self.teams[job.team?].reservation.as_ref()
+    }
+
+    /// Lets nothing more of the team start for now.
     pub fn close(&mut self, team: Option<usize>) {
         if let Some(team) = team {
-            self.headroom[team].is_closed = true;
+            self.teams[team].is_closed = true;
         }
     }
 
-    /// How many of each job's waiting tasks may start now, in the batch's order.
+    /// Per job, how many of its waiting tasks the quotas permit now, if jobs are served in this order.
     pub fn permitted(mut self, jobs: &[JobSnapshot], order: &[usize]) -> Vec<u32> {
         let mut permitted = vec![0; jobs.len()];
-        for at in order {
-            let job = &jobs[*at];
+        for index in order {
+            let job = &jobs[*index];
             let waiting = job.waiting.len();
-            let allowed = self.tasks(job).min(waiting);
-            let allowed = match job.gang && allowed < waiting {
-                true => 0,
-                false => allowed,
+            let tasks = self.tasks(job).min(waiting);
+            let tasks = if job.gang && tasks < waiting {
+                0
+            } else {
+                tasks
             };
-            self.take(job, allowed);
-            permitted[*at] = allowed as u32;
+            self.take(job, tasks);
+            permitted[*index] = tasks as u32;
         }
         permitted
     }
