--- a/src/limits/leader.rs
+++ b/src/limits/leader.rs
@@ -3,7 +3,7 @@
 
 use super::{DividedTeam, refresh_usage};
 use crate::node::{Core, Node};
-use crate::state::{ASSIGNMENT_KEY, LEADER_KEY, Operation, Precondition, allotment_key};
+use crate::state::{ASSIGNMENT_KEY, LEADER_KEY, Operation, Precondition, allocation_key};
 use rowanmill_limits::{AllocationDecision, AllocationRecord, LeaderView, decide_allocation};
 use std::sync::Arc;
 
@@ -85,7 +85,7 @@
             writes: Vec::new(),
         };
         for (team, revision) in obsolete_records(core).take(max_records) {
-            let delete = Operation::delete(allotment_key(team));
+            let delete = Operation::delete(allocation_key(team));
             transaction.add(team, revision, delete);
         }
         let left = max_records - transaction.writes.len();
@@ -94,7 +94,7 @@
             .divided_teams(core)
             .filter_map(|team| Some((next_record(&team)?, team)));
         for (record, team) in records.take(left) {
-            let put = Operation::put(allotment_key(team.name), &record);
+            let put = Operation::put(allocation_key(team.name), &record);
             transaction.add(team.name, team.record_revision(), put);
         }
         transaction
@@ -103,7 +103,7 @@
     /// Adds a write of a team's record on condition that it still has `revision`.
     fn add(&mut self, team: &str, revision: u64, write: Operation) {
         self.preconditions.push(Precondition {
-            key: allotment_key(team),
+            key: allocation_key(team),
             revision,
         });
         self.writes.push(write);
--- a/src/limits/withdrawal.rs
+++ b/src/limits/withdrawal.rs
@@ -25,7 +25,7 @@
     refresh_usage(core);
 }
 
-/// The planned starts of a team that its allocation does not cover, as jobs with the tasks' numbers.
+/// The tasks whose planned starts a team's allocation does not cover.
 fn uncovered_starts(core: &Core, team: &DividedTeam) -> Vec<TaskId> {
     let mut headroom = team.headroom_for_planned();
     let mut uncovered = Vec::new();
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -34,12 +34,15 @@
 pub fn outlook_key(member: &str) -> String {
     format!("r/o/{member}")
 }
-/// The allotments of a team's limit. Keys take no spaces: what is not plain in a name is written in
-/// hexadecimal, so that two names never share a key.
-pub fn allotment_key(team: &str) -> String {
-    format!("{ALLOTMENTS}{}", rowanmill_limits::key::encode_team(team))
-}
-const ALLOTMENTS: &str = "r/a/";
+/// The key of a team's quota allocations. Keys allow no spaces: other bytes of a name than plain ones are written
+/// in hexadecimal, so that two names never share a key.
+pub fn allocation_key(team: &str) -> String {
+    format!(
+        "{QUOTA_ALLOCATIONS}{}",
+        rowanmill_limits::key::encode_team(team)
+    )
+}
+const QUOTA_ALLOCATIONS: &str = "r/a/";
 /// What all controllers can do; see `membership::schema_versions`.
 pub const FORMS_KEY: &str = "r/forms";
 pub const LEADER_KEY: &str = "r/leader";
--- a/src/state/replica.rs
+++ b/src/state/replica.rs
@@ -189,7 +189,7 @@
                     self.incarnations.insert(name.to_owned(), incarnation);
                 }
             }
-            "a" => self.put_allotments(key, name, data, revision),
+            "a" => self.apply_quota_allocations(key, name, data, revision),
             "o" => keep(&mut self.forecast_summaries, key, name, data, revision),
             "shares"
                 if self
@@ -206,7 +206,7 @@
         }
     }
 
-    fn put_allotments(&mut self, key: &str, name: &str, data: &str, revision: u64) {
+    fn apply_quota_allocations(&mut self, key: &str, name: &str, data: &str, revision: u64) {
         let Some(team) = rowanmill_limits::key::decode_team(name) else {
             return;
         };
--- a/src/testing/compatibility/cluster_records.rs
+++ b/src/testing/compatibility/cluster_records.rs
@@ -8,7 +8,7 @@
 use crate::renting::{ForecastSummaryRecord, Held, Outlook};
 use crate::state::replica::{LeaderRecord, PresenceRecord};
 use crate::state::{
-    ASSIGNMENT_KEY, FORMS_KEY, LEADER_KEY, allotment_key, outlook_key, presence_key, rental_key,
+    ASSIGNMENT_KEY, FORMS_KEY, LEADER_KEY, allocation_key, outlook_key, presence_key, rental_key,
 };
 use rowanmill_limits::{AllocationRecord, ResourceAmount, WaitingUnit};
 use serde_json::json;
@@ -195,7 +195,7 @@
         micro_gpus: 8_000_000,
     };
     let frozen = AllocationRecord::frozen(31, limit);
-    trace.add("frozen", allotment_key("film"), &frozen);
+    trace.add("frozen", allocation_key("film"), &frozen);
     let half = ResourceAmount {
         micro_cpus: 32_000_000,
         micro_gpus: 0,
@@ -205,7 +205,7 @@
         allocations: members.map(|(name, part)| (name.to_owned(), part)).into(),
         ..frozen
     };
-    trace.add("divided", allotment_key("film"), &divided);
+    trace.add("divided", allocation_key("film"), &divided);
     insta::assert_snapshot!("allotments_record", trace.0);
 }
 
--- a/src/testing/compatibility/keys.rs
+++ b/src/testing/compatibility/keys.rs
@@ -2,7 +2,7 @@
 
 use crate::jobs::PageId;
 use crate::state::{
-    ASSIGNMENT_KEY, FORMS_KEY, LEADER_KEY, LIVE, allotment_key, final_key, given_up_key, job_key,
+    ASSIGNMENT_KEY, FORMS_KEY, LEADER_KEY, LIVE, allocation_key, final_key, given_up_key, job_key,
     outlook_key, page_key, presence_key, rental_key,
 };
 
@@ -19,8 +19,8 @@
         ("assignment", ASSIGNMENT_KEY.to_owned()),
         ("schema versions", FORMS_KEY.to_owned()),
         ("forecast summary", outlook_key("millstone-0")),
-        ("allotments", allotment_key("film")),
-        ("allotments, escaped", allotment_key("Ö l/~ 1.a_B-")),
+        ("allotments", allocation_key("film")),
+        ("allotments, escaped", allocation_key("Ö l/~ 1.a_B-")),
         ("final state", final_key("job-000412")),
         ("given up", given_up_key("job-000412")),
     ];
--- a/src/testing/compatibility/recorded_run.rs
+++ b/src/testing/compatibility/recorded_run.rs
@@ -5,7 +5,7 @@
 use crate::jobs::{PageId, PageLayout, Relinquished, StoredJob};
 use crate::state::replica::Job;
 use crate::state::{
-    ASSIGNMENT_KEY, FORMS_KEY, LEADER_KEY, LIVE, Replica, allotment_key, final_key, given_up_key,
+    ASSIGNMENT_KEY, FORMS_KEY, LEADER_KEY, LIVE, Replica, allocation_key, final_key, given_up_key,
     job_key, outlook_key, page_key, presence_key, rental_key,
 };
 use rowanmill_state::KeyValue;
@@ -116,7 +116,7 @@
         }
         for (team, kept) in &replica.quota_allocations {
             let record = kept.record.as_ref().unwrap();
-            self.add(allotment_key(team), record, kept.revision);
+            self.add(allocation_key(team), record, kept.revision);
         }
         let forms = replica.schema_versions.as_ref().unwrap();
         self.add(FORMS_KEY.into(), &forms.record, forms.revision);
