--- a/src/membership/assignment.rs
+++ b/src/membership/assignment.rs
@@ -1,397 +1,252 @@
-//! Who places what: each job and each machine belongs to one controller. The leader decides,
-//! from the records alone.
+//! Assignment of jobs to controllers: each job belongs to one, which places its tasks and ends it. The leader decides,
+//! from the durable records alone; this module is the pure decision.
 //!
-//! The first sharing gave each team whole to a controller, so one team's drop kept one controller
-//! busy while the others looked on. Now jobs are parted by their id; only the teams with a limit that
-//! is not divided stay whole, since it must hold exactly and one controller alone can see to that. Gangs
-//! go to few controllers, whose machines are then not parted into pieces too small for them.
+//! Arrays are spread by a hash of their identifier: assigned by team, one team's burst of jobs kept one controller busy while
+//! the others were idle. Only a team with an undivided quota is assigned whole, since the quota must hold exactly and
+//! only a single controller can ensure that. Gangs go to few controllers, so that machines are not
+//! divided into pieces too small for them.
 
-use crate::jobs::{JobRecord, JobSpec, Urgency};
+use crate::jobs::{JobRecord, JobSpec};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A controller process: one that restarted is another.
+/// A controller process: after a restart it is another one.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
     pub name: String,
     pub incarnation: u64,
 }
 
-/// The leader's record of who places which jobs. Controllers are named by their place in
+/// The leader's durable record of which controller owns which jobs. Controllers are denoted by their index in
 /// `members`.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Assignment {
     pub members: Vec<Member>,
-    /// Teams with a limit that is not divided, each whole.
+    /// Owners of the teams with an undivided quota.
     pub teams: BTreeMap<String, usize>,
-    /// Who places gangs, and whether there were any when this was parted.
+    /// Owners of gangs.
     pub gangs: Vec<usize>,
+    /// Whether there have been gangs since the first assignment.
     pub had_gangs: bool,
-    /// Who places the arrays whose id falls on each slot.
+    /// Owners of arrays, by hash slot.
     pub slots: Vec<usize>,
 }
 
-/// Parts into which array jobs are divided: enough that most numbers of controllers divide them.
+/// Hash slots of array jobs: divisible by most numbers of controllers.
 const SLOTS: usize = 60;
-/// What a controller that places gangs takes of the arrays, and what the leader does.
-const GANGS_WEIGHT: f64 = 0.4;
+/// Weight, in slots, of a controller that places gangs, relative to one that does not.
+const GANG_OWNER_WEIGHT: f64 = 0.4;
+/// Weight, in slots, of the leader, which has its own duties.
 const LEADER_WEIGHT: f64 = 0.8;
 /// Controllers for each one that places gangs.
-const PER_GANGS: usize = 4;
-
-/// The same in each process and version: FNV-1a.
+const MEMBERS_PER_GANG_OWNER: usize = 4;
+/// Machines that a team counts for beyond its work, so that teams without work are spread, too.
+const LOAD_PER_TEAM: f64 = 0.1;
+/// Machines less that a controller counts as having for its weight, by which ties between idle ones are broken.
+const LOAD_PER_WEIGHT: f64 = 0.01;
+
+/// FNV-1a's offset basis and prime for 64 bits.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+
+/// Hash of a job's identifier, the same in each process and version: bits 20 and up of its FNV-1a, whose lowest bits
+/// are weak.
 pub fn hash_slot(id: &str) -> usize {
-    let hash = id.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    let hash = id.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
     });
     (hash >> 20) as usize
 }
 
 impl Assignment {
-    /// The controller that places a job and ends it.
+    /// The controller that places a job and ends it; `None` before the first assignment.
     pub fn owner(&self, job: &JobRecord) -> Option<&Member> {
         let spec = &job.spec;
-        let of = |list: &[usize]| list.get(hash_slot(&spec.id) % list.len().max(1)).copied();
-        let named = || {
-            let name = job.placer.as_ref()?;
-            self.members.iter().position(|m| m.name == *name)
-        };
-        let at = match self.teams.get(&spec.team) {
-            Some(at) => Some(*at),
-            None if spec.is_gang() => of(&self.gangs),
-            None => named().or_else(|| of(&self.slots)),
+        let index = match self.teams.get(&spec.team) {
+            Some(index) => Some(*index),
+            None if spec.is_gang() => by_hash(&self.gangs, &spec.id),
+            None => self
+                .chosen_placer(job)
+                .or_else(|| by_hash(&self.slots, &spec.id)),
         };
-        self.members.get(at?)
+        self.members.get(index?)
     }
 
-    /// Whether a job's placer is chosen at its acceptance.
-    pub fn may_choose(&self, spec: &JobSpec) -> bool {
+    /// Whether a job's placer is chosen by load when the job is accepted.
+    pub fn is_placer_chosen(&self, spec: &JobSpec) -> bool {
         !spec.is_gang() && !self.teams.contains_key(&spec.team)
     }
 
-    fn at(&self, member: &Member) -> Option<usize> {
-        self.members.iter().position(|m| m == member)
+    /// The controller that was chosen when the job was accepted, if it is still registered.
+    fn chosen_placer(&self, job: &JobRecord) -> Option<usize> {
+        let name = job.placer.as_ref()?;
+        self.members.iter().position(|m| m.name == *name)
     }
 }
 
-/// What the sharing of jobs depends on.
-pub struct Work<'a> {
-    /// Teams with a limit that is not divided, and the machines that their work would fill.
-    pub whole: &'a BTreeMap<String, f64>,
+fn by_hash(owners: &[usize], id: &str) -> Option<usize> {
+    owners.get(hash_slot(id) % owners.len().max(1)).copied()
+}
+
+/// What the assignment of jobs depends on besides the controllers.
+pub struct Workload<'a> {
+    /// Teams with an undivided quota, and the machines that their work would fill.
+    pub undivided_teams: &'a BTreeMap<String, f64>,
     /// Whether there are gangs to place.
-    pub gangs: bool,
+    pub has_gangs: bool,
 }
 
-/// Parts the work among those present. What belongs to a controller that is still there stays as
-/// far as its part allows; it is only done anew when controllers come or go.
-pub fn part_jobs(
+/// Assigns the jobs to the controllers present. What belongs to one that is still present stays with it as far as
+/// its part allows; the assignment only changes when controllers, teams with an undivided quota or the first gangs
+/// come or go.
+pub fn assign_jobs(
     present: &BTreeSet<Member>,
     leader: &Member,
-    old: &Assignment,
-    work: &Work,
+    previous: &Assignment,
+    workload: &Workload,
 ) -> Assignment {
     if present.is_empty() {
         return Assignment::default();
     }
-    let members: Vec<Member> = present.iter().cloned().collect();
-    let gangs_are_new = work.gangs && !old.had_gangs;
-    if members == old.members && !gangs_are_new && work.whole.keys().eq(old.teams.keys()) {
-        return old.clone();
+    let has_first_gangs = workload.has_gangs && !previous.had_gangs;
+    let has_same_teams = workload.undivided_teams.keys().eq(previous.teams.keys());
+    if present.iter().eq(&previous.members) && !has_first_gangs && has_same_teams {
+        return previous.clone();
     }
-    let mut shares = Assignment {
-        members,
-        had_gangs: work.gangs || old.had_gangs,
-        ..Assignment::default()
+    let assigner = JobAssigner {
+        members: present.iter().cloned().collect(),
+        leader,
+        previous,
+        has_gangs: workload.has_gangs || previous.had_gangs,
     };
-    let count = shares.members.len();
-    let still = |at: usize| old.members.get(at).and_then(|m| shares.at(m));
-    let mut gangs: Vec<usize> = old.gangs.iter().filter_map(|at| still(*at)).collect();
-    gangs.truncate((count / PER_GANGS).max(1));
-    // Not the leader, which has its own duties, if it can be helped.
-    let mut others: Vec<usize> = (0..count).filter(|at| !gangs.contains(at)).collect();
-    others.sort_by_key(|at| shares.members[*at] == *leader);
-    gangs.extend(others.iter().take((count / PER_GANGS).max(1) - gangs.len()));
-    let weight = |at: usize| {
-        let mut weight = 1.0;
-        if shares.had_gangs && gangs.contains(&at) {
-            weight *= GANGS_WEIGHT;
-        }
-        if shares.members[at] == *leader {
-            weight *= LEADER_WEIGHT;
-        }
-        weight
-    };
-    let weights: Vec<f64> = (0..count).map(weight).collect();
-    let slots = part_slots(&weights, |slot| {
-        old.slots.get(slot).and_then(|at| still(*at))
-    });
-    let mut teams: BTreeMap<String, usize> = BTreeMap::new();
-    let mut burden: Vec<f64> = weights.iter().map(|w| -w * 0.01).collect();
-    let mut open = Vec::new();
-    for (team, load) in work.whole {
-        match old.teams.get(team).and_then(|at| still(*at)) {
-            Some(at) => {
-                burden[at] += load + 0.1;
-                teams.insert(team.clone(), at);
-            }
-            None => open.push((team, *load)),
-        }
-    }
-    open.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(b.0)));
-    for (team, load) in open {
-        let least = (0..count).min_by(|a, b| burden[*a].total_cmp(&burden[*b]));
-        let at = least.expect("someone is present");
-        burden[at] += load + 0.1;
-        teams.insert(team.clone(), at);
-    }
-    shares.gangs = gangs;
-    shares.slots = slots;
-    shares.teams = teams;
-    shares
-}
-
-fn part_slots(weights: &[f64], old: impl Fn(usize) -> Option<usize>) -> Vec<usize> {
-    let all: f64 = weights.iter().sum();
-    // Largest remainders.
-    let exact: Vec<f64> = weights.iter().map(|w| w / all * SLOTS as f64).collect();
-    let mut quota: Vec<usize> = exact.iter().map(|e| e.floor() as usize).collect();
-    let mut order: Vec<usize> = (0..weights.len()).collect();
-    order.sort_by(|a, b| exact[*b].fract().total_cmp(&exact[*a].fract()));
-    let short = SLOTS - quota.iter().sum::<usize>();
-    for at in order.into_iter().cycle().take(short) {
-        quota[at] += 1;
-    }
-    let mut slots: Vec<Option<usize>> = vec![None; SLOTS];
-    for (slot, place) in slots.iter_mut().enumerate() {
-        if let Some(at) = old(slot).filter(|at| quota[*at] > 0) {
-            quota[at] -= 1;
-            *place = Some(at);
-        }
-    }
-    let mut left = quota
-        .iter()
-        .enumerate()
-        .flat_map(|(at, quota)| std::iter::repeat_n(at, *quota))
-        .collect::<Vec<_>>()
-        .into_iter();
-    slots
-        .into_iter()
-        .map(|slot| slot.or_else(|| left.next()).unwrap_or(0))
-        .collect()
-}
-
-/// A machine as far as sharing goes.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Shared<'a> {
-    pub name: &'a str,
-    pub kind: &'a str,
-    pub zone: &'a str,
-    pub spot: bool,
-    pub owner: &'a Member,
-    pub tasks: u32,
-}
-
-/// A machine that changes hands takes no work until its worker has found its new owner: for less
-/// than this, in machines, it is not worth it. Of large shares, nor for less than a part of them.
-const LEAST_LACK: f64 = 1.2;
-const LEAST_PART: f64 = 0.04;
-/// An idle machine loses nothing by it. With a part of the share for these too, 39 of 4,000 machines
-/// stood idle at one controller while 78 tasks waited for ever at the other.
-const LEAST_LACK_IDLE: f64 = 0.6;
-/// One that its owner has to spare as a whole goes for far less: two tasks that fill half a machine waited
-/// for ever at a controller without one, while the other was given each that was rented for them. What is
-/// spared and what is lacked are above 1 together in either case, or a machine would go to and fro.
-const SPARE_IDLE: f64 = 0.95;
-const LEAST_LACK_OF_SPARE: f64 = 0.1;
-
-fn least_in_use(target: f64) -> f64 {
-    LEAST_LACK.max(target * LEAST_PART)
-}
-
-/// Whether a machine should go from one that has so many too many to one that has so many too few.
-fn is_worth_moving(machine: &Shared, spare: (f64, f64), lack: (f64, f64)) -> bool {
-    let ((surplus, owners_target), (lack, takers_target)) = (spare, lack);
-    if machine.tasks > 0 {
-        return surplus >= least_in_use(owners_target) && lack >= least_in_use(takers_target);
-    }
-    (surplus >= LEAST_LACK_IDLE && lack >= LEAST_LACK_IDLE)
-        || (surplus >= SPARE_IDLE && lack >= LEAST_LACK_OF_SPARE)
-}
-
-/// Machines that work would fill: any, and only such as are not spot machines.
-#[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Wanted {
-    pub any: f64,
-    pub ordinary: f64,
-}
-
-/// Machines that each controller's work would fill, by kind and urgency.
-pub type Demand = BTreeMap<(Member, String), BTreeMap<Urgency, Wanted>>;
-
-/// How many machines of a kind each should have, spot ones and others.
-#[derive(Debug, Default)]
-pub struct Targets {
-    pub spot: BTreeMap<Member, f64>,
-    pub ordinary: BTreeMap<Member, f64>,
-}
-
-impl Targets {
-    pub fn of(&self, spot: bool) -> &BTreeMap<Member, f64> {
-        if spot { &self.spot } else { &self.ordinary }
+    let gangs = assigner.assign_gangs();
+    let weights = assigner.weights(&gangs);
+    let slots = assigner.assign_slots(&weights);
+    let teams = assigner.assign_teams(&weights, workload.undivided_teams);
+    Assignment {
+        members: assigner.members,
+        teams,
+        gangs,
+        had_gangs: assigner.has_gangs,
+        slots,
+    }
+}
+
+/// An assignment in the making.
+struct JobAssigner<'a> {
+    members: Vec<Member>,
+    leader: &'a Member,
+    previous: &'a Assignment,
+    has_gangs: bool,
+}
+
+impl JobAssigner<'_> {
+    /// The present index of a controller by its previous one, if it is still present.
+    fn retained(&self, previous_index: usize) -> Option<usize> {
+        let member = self.previous.members.get(previous_index)?;
+        self.members.iter().position(|m| m == member)
     }
-}
 
-/// More urgent work first, in proportion where it lacks machines. What nobody's work would fill
-/// stays where it is: moving it would only begin its hold anew. Spot machines go to work that may
-/// use them, which leaves the others to work that may not.
-pub fn targets(
-    present: &BTreeSet<Member>,
-    kind: &str,
-    demand: &Demand,
-    spot: f64,
-    ordinary: f64,
-) -> Targets {
-    let wants = |m: &Member| demand.get(&(m.clone(), kind.to_owned()));
-    let none: BTreeMap<Member, f64> = present.iter().map(|m| (m.clone(), 0.0)).collect();
-    let mut targets = Targets {
-        spot: none.clone(),
-        ordinary: none,
-    };
-    let (mut spot, mut ordinary) = (spot, ordinary);
-    let levels: BTreeSet<Urgency> = present
-        .iter()
-        .filter_map(wants)
-        .flat_map(|d| d.keys().copied())
-        .collect();
-    for level in levels.into_iter().rev() {
-        let at = |m: &Member| wants(m).and_then(|d| d.get(&level)).copied();
-        let at = |m: &Member| at(m).unwrap_or_default();
-        let any: f64 = present.iter().map(|m| at(m).any).sum();
-        let spot_part = if any > 0.0 {
-            (spot / any).min(1.0)
-        } else {
-            0.0
-        };
-        let rest = |m: &Member| at(m).ordinary + at(m).any * (1.0 - spot_part);
-        let all: f64 = present.iter().map(rest).sum();
-        let part = if all > 0.0 {
-            (ordinary / all).min(1.0)
-        } else {
-            0.0
+    fn is_leader(&self, index: usize) -> bool {
+        self.members[index] == *self.leader
+    }
+
+    /// Owners of gangs: the previous ones, then others, the leader last because of its own duties.
+    fn assign_gangs(&self) -> Vec<usize> {
+        let wanted = (self.members.len() / MEMBERS_PER_GANG_OWNER).max(1);
+        let previous = self.previous.gangs.iter();
+        let mut owners: Vec<usize> = previous
+            .filter_map(|index| self.retained(*index))
+            .take(wanted)
+            .collect();
+        let mut others: Vec<usize> = (0..self.members.len())
+            .filter(|index| !owners.contains(index))
+            .collect();
+        others.sort_by_key(|index| self.is_leader(*index));
+        owners.extend(others.iter().take(wanted - owners.len()));
+        owners
+    }
+
+    /// Relative parts of the arrays, by controller.
+    fn weights(&self, gang_owners: &[usize]) -> Vec<f64> {
+        let weight = |index: usize| {
+            let mut weight = 1.0;
+            if self.has_gangs && gang_owners.contains(&index) {
+                weight *= GANG_OWNER_WEIGHT;
+            }
+            if self.is_leader(index) {
+                weight *= LEADER_WEIGHT;
+            }
+            weight
         };
-        for member in present {
-            *targets.spot.get_mut(member).expect("present") += at(member).any * spot_part;
-            *targets.ordinary.get_mut(member).expect("present") += rest(member) * part;
+        (0..self.members.len()).map(weight).collect()
+    }
+
+    /// Owners of the hash slots: each controller keeps its slots up to its part, the others fill the rest.
+    fn assign_slots(&self, weights: &[f64]) -> Vec<usize> {
+        let mut slots_left = apportion(weights);
+        let mut slots: Vec<Option<usize>> = vec![None; SLOTS];
+        for (slot, owner) in slots.iter_mut().enumerate() {
+            let previous = self.previous.slots.get(slot);
+            let retained = previous.and_then(|index| self.retained(*index));
+            if let Some(index) = retained.filter(|index| slots_left[*index] > 0) {
+                slots_left[index] -= 1;
+                *owner = Some(index);
+            }
         }
-        spot -= any * spot_part;
-        ordinary -= all * part;
-    }
-    targets
-}
-
-/// What one kind's machines are shared by, while it is worked out.
-struct Sharing<'a> {
-    targets: BTreeMap<Member, f64>,
-    have: BTreeMap<Member, f64>,
-    by_zone: BTreeMap<(Member, &'a str), u32>,
-}
-
-impl<'a> Sharing<'a> {
-    fn lack(&self, member: &Member) -> f64 {
-        self.targets[member] - self.have[member]
-    }
-
-    /// Of those who lack a machine, who has most in the zone already, then who lacks most. Whole
-    /// zones keep room for gangs in one piece.
-    fn neediest(&self, zone: &'a str) -> Option<(f64, Member)> {
-        let most = self
-            .have
-            .keys()
-            .map(|m| self.lack(m))
-            .max_by(f64::total_cmp)?;
-        let near = |m: &&Member| self.lack(m) >= most.min(1.0) - 1e-9;
-        let in_zone = |m: &Member| self.by_zone.get(&(m.clone(), zone)).copied().unwrap_or(0);
-        let best = self.have.keys().filter(near).max_by(|a, b| {
-            let zones = in_zone(a).cmp(&in_zone(b));
-            zones.then(self.lack(a).total_cmp(&self.lack(b)))
-        })?;
-        Some((self.lack(best), best.clone()))
-    }
-
-    fn moves(&mut self, from: Option<&Member>, to: &Member, zone: &'a str) {
-        if let Some(from) = from {
-            *self.have.get_mut(from).expect("present") -= 1.0;
-            *self.by_zone.entry((from.clone(), zone)).or_default() -= 1;
+        let mut rest = slots_left
+            .iter()
+            .enumerate()
+            .flat_map(|(index, left)| std::iter::repeat_n(index, *left));
+        slots
+            .into_iter()
+            .map(|owner| owner.or_else(|| rest.next()).unwrap_or(0))
+            .collect()
+    }
+
+    /// Owners of the teams with an undivided quota: the previous ones, then for the largest team first the
+    /// controller with the least work of such teams.
+    fn assign_teams(
+        &self,
+        weights: &[f64],
+        teams: &BTreeMap<String, f64>,
+    ) -> BTreeMap<String, usize> {
+        let mut owners = BTreeMap::new();
+        let mut load: Vec<f64> = weights.iter().map(|w| -w * LOAD_PER_WEIGHT).collect();
+        let mut unassigned = Vec::new();
+        for (team, machines) in teams {
+            let previous = self.previous.teams.get(team);
+            match previous.and_then(|index| self.retained(*index)) {
+                Some(index) => {
+                    load[index] += machines + LOAD_PER_TEAM;
+                    owners.insert(team.clone(), index);
+                }
+                None => unassigned.push((team, *machines)),
+            }
         }
-        *self.have.get_mut(to).expect("present") += 1.0;
-        *self.by_zone.entry((to.clone(), zone)).or_default() += 1;
+        unassigned.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(b.0)));
+        for (team, machines) in unassigned {
+            let least_loaded = (0..load.len()).min_by(|a, b| load[*a].total_cmp(&load[*b]));
+            let index = least_loaded.expect("a controller is present");
+            load[index] += machines + LOAD_PER_TEAM;
+            owners.insert(team.clone(), index);
+        }
+        owners
     }
 }
 
-/// Which machines change hands, and to whom. Those whose owner is gone go where most is lacking.
-/// Beyond that, as many of each kind as each one's work would fill, in proportion where there are
-/// too few; emptiest machines first, and of those in use no more than `most` at a time.
-pub fn part_machines(
-    machines: &[Shared],
-    present: &BTreeSet<Member>,
-    demand: &Demand,
-    most: usize,
-) -> Vec<(String, Member)> {
-    let mut moves = Vec::new();
-    if present.is_empty() {
-        return moves;
-    }
-    let kinds: BTreeSet<(&str, bool)> = machines.iter().map(|m| (m.kind, m.spot)).collect();
-    for (kind, spot) in kinds {
-        let of_kind = || machines.iter().filter(|m| m.kind == kind);
-        let count = |spot| of_kind().filter(|m| m.spot == spot).count() as f64;
-        let all = targets(present, kind, demand, count(true), count(false));
-        let mut ours: Vec<&Shared> = of_kind().filter(|m| m.spot == spot).collect();
-        ours.sort_by_key(|m| (m.zone, m.name));
-        let mut sharing = Sharing {
-            targets: all.of(spot).clone(),
-            have: present.iter().map(|m| (m.clone(), 0.0)).collect(),
-            by_zone: BTreeMap::new(),
-        };
-        for machine in &ours {
-            if present.contains(machine.owner) {
-                sharing.moves(None, machine.owner, machine.zone);
-            }
-        }
-        for machine in ours.iter().filter(|m| !present.contains(m.owner)) {
-            let Some((_, taker)) = sharing.neediest(machine.zone) else {
-                return moves;
-            };
-            sharing.moves(None, &taker, machine.zone);
-            moves.push((machine.name.to_owned(), taker));
-        }
-        if !demand.keys().any(|(_, k)| k == kind) {
-            continue; // nobody needs any: moving them about helps nobody
-        }
-        ours.sort_by_key(|m| m.tasks);
-        let mut moved = 0;
-        for machine in ours.iter().filter(|m| present.contains(m.owner)) {
-            if moved >= most && machine.tasks > 0 {
-                break;
-            }
-            let surplus = -sharing.lack(machine.owner);
-            if surplus <= 0.0 {
-                continue;
-            }
-            let Some((lack, taker)) = sharing.neediest(machine.zone) else {
-                break;
-            };
-            let spare = (surplus, sharing.targets[machine.owner]);
-            let lack = (lack, sharing.targets[&taker]);
-            if taker == *machine.owner || !is_worth_moving(machine, spare, lack) {
-                continue;
-            }
-            sharing.moves(Some(machine.owner), &taker, machine.zone);
-            moves.push((machine.name.to_owned(), taker));
-            moved += usize::from(machine.tasks > 0);
-        }
+/// Divides the hash slots in proportion to the weights, by the method of largest remainders.
+fn apportion(weights: &[f64]) -> Vec<usize> {
+    let total: f64 = weights.iter().sum();
+    let exact: Vec<f64> = weights.iter().map(|w| w / total * SLOTS as f64).collect();
+    let mut slots: Vec<usize> = exact.iter().map(|e| e.floor() as usize).collect();
+    let mut by_remainder: Vec<usize> = (0..weights.len()).collect();
+    by_remainder.sort_by(|a, b| exact[*b].fract().total_cmp(&exact[*a].fract()));
+    let missing = SLOTS - slots.iter().sum::<usize>();
+    for index in by_remainder.into_iter().cycle().take(missing) {
+        slots[index] += 1;
     }
-    moves
+    slots
 }
 
 #[cfg(test)]
--- a/src/membership/assignment/tests.rs
+++ b/src/membership/assignment/tests.rs
@@ -7,20 +7,13 @@
     }
 }
 
-fn any(n: f64) -> Wanted {
-    Wanted {
-        any: n,
-        ordinary: 0.0,
-    }
-}
-
-fn show(shares: &Assignment) -> String {
+fn show(assignment: &Assignment) -> String {
     let mut text = String::new();
-    for (at, member) in shares.members.iter().enumerate() {
-        let slots = shares.slots.iter().filter(|s| **s == at).count();
-        let teams = shares.teams.iter().filter(|t| *t.1 == at);
+    for (at, member) in assignment.members.iter().enumerate() {
+        let slots = assignment.slots.iter().filter(|s| **s == at).count();
+        let teams = assignment.teams.iter().filter(|t| *t.1 == at);
         let teams: Vec<&str> = teams.map(|t| t.0.as_str()).collect();
-        let gangs = if shares.gangs.contains(&at) {
+        let gangs = if assignment.gangs.contains(&at) {
             ", gangs"
         } else {
             ""
@@ -34,21 +27,21 @@
 }
 
 #[test]
-fn work_stays_unless_its_controller_is_gone_and_limited_teams_stay_whole() {
+fn jobs_are_reassigned_only_if_their_controller_left_and_teams_with_undivided_quotas_stay_whole() {
     let limited = BTreeMap::from([("plans".to_string(), 5.0), ("scores".to_string(), 3.0)]);
-    let work = Work {
-        whole: &limited,
-        gangs: true,
+    let workload = Workload {
+        undivided_teams: &limited,
+        has_gangs: true,
     };
     let a = member("a", 1);
     let three: BTreeSet<Member> = ["a", "b", "c"].map(|n| member(n, 1)).into();
-    let first = part_jobs(&three, &a, &Assignment::default(), &work);
+    let first = assign_jobs(&three, &a, &Assignment::default(), &workload);
     let two: BTreeSet<Member> = [member("a", 1), member("b", 1)].into();
-    let after_end = part_jobs(&two, &a, &first, &work);
+    let after_end = assign_jobs(&two, &a, &first, &workload);
     // c is back within a moment: another incarnation, which owns nothing by right.
     let mut back = two.clone();
     back.insert(member("c", 2));
-    let after_return = part_jobs(&back, &a, &after_end, &work);
+    let after_return = assign_jobs(&back, &a, &after_end, &workload);
     let kept = (0..SLOTS).filter(|s| {
         after_end.members[after_end.slots[*s]] == after_return.members[after_return.slots[*s]]
     });
@@ -73,121 +66,3 @@
     slots that stayed: 33
     "#);
 }
-
-#[test]
-fn machines_follow_the_work_and_leave_the_dead() {
-    let (a, b, gone) = (member("a", 1), member("b", 1), member("c", 1));
-    let shared = |name: &'static str, owner, tasks| Shared {
-        name,
-        kind: "m",
-        zone: "z",
-        spot: false,
-        owner,
-        tasks,
-    };
-    let machines = vec![
-        shared("vm-1", &a, 3),
-        shared("vm-2", &a, 0),
-        shared("vm-3", &a, 1),
-        shared("vm-4", &b, 2),
-        shared("vm-5", &gone, 2),
-    ];
-    let present = BTreeSet::from([a.clone(), b.clone()]);
-    let wants = |member: &Member, urgency, n: f64| {
-        (
-            (member.clone(), "m".to_string()),
-            BTreeMap::from([(urgency, any(n))]),
-        )
-    };
-    let show = |demand: &Demand| -> String {
-        part_machines(&machines, &present, demand, 4)
-            .iter()
-            .map(|(m, to)| format!("{m} to {}\n", to.name))
-            .collect()
-    };
-    let (low, high) = (Urgency::BestEffort, Urgency::Standard);
-    let alike = show(&BTreeMap::from([wants(&a, low, 1.0), wants(&b, low, 4.0)]));
-    let urgent = show(&BTreeMap::from([
-        wants(&a, high, 4.0),
-        wants(&b, low, 40.0),
-    ]));
-    insta::assert_snapshot!(format!("alike\n{alike}a's is more urgent\n{urgent}"), @r"
-    alike
-    vm-5 to b
-    vm-2 to b
-    a's is more urgent
-    vm-5 to a
-    ");
-}
-
-/// Gangs in one zone need whole zones: three controllers take over two zones' machines.
-#[test]
-fn machines_of_a_zone_stay_together() {
-    let gone = member("gone", 1);
-    let names: Vec<String> = (0..60).map(|n| format!("vm-{n:02}")).collect();
-    let machines: Vec<Shared> = names
-        .iter()
-        .enumerate()
-        .map(|(n, name)| Shared {
-            name,
-            kind: "m",
-            zone: if n % 2 == 0 { "east" } else { "west" },
-            spot: false,
-            owner: &gone,
-            tasks: 1,
-        })
-        .collect();
-    let present: BTreeSet<Member> = ["a", "b", "c"].map(|n| member(n, 1)).into();
-    let level = |n: f64| BTreeMap::from([(Urgency::Standard, any(n))]);
-    let demand: Demand = present
-        .iter()
-        .map(|m| ((m.clone(), "m".to_string()), level(20.0)))
-        .collect();
-    let moves = part_machines(&machines, &present, &demand, 0);
-    let mut counts: BTreeMap<(&str, &str), u32> = BTreeMap::new();
-    for (name, to) in &moves {
-        let machine = machines.iter().find(|m| m.name == name).unwrap();
-        *counts.entry((&to.name, machine.zone)).or_default() += 1;
-    }
-    insta::assert_snapshot!(format!("{counts:?}"), @r#"{("a", "west"): 20, ("b", "east"): 10, ("b", "west"): 10, ("c", "east"): 20}"#);
-}
-
-/// Found by a takeover of a cell: two tasks that filled half a machine waited for ever at a controller
-/// without one, beside idle machines of the other; and before that, of 4,000 machines 39 stood idle.
-#[test]
-fn an_idle_machine_goes_to_whoever_lacks_a_part_of_one_and_stays_there() {
-    let (a, b) = (member("a", 1), member("b", 1));
-    let present: BTreeSet<Member> = [a.clone(), b.clone()].into();
-    let wants = |m: &Member, n: f64| {
-        let levels = BTreeMap::from([(Urgency::Standard, any(n))]);
-        ((m.clone(), "m".to_owned()), levels)
-    };
-    let moves = |machines: usize, of_a: usize, wanted: (f64, f64)| {
-        let names: Vec<String> = (0..machines).map(|n| format!("vm-{n:05}")).collect();
-        let demand: Demand = [wants(&a, wanted.0), wants(&b, wanted.1)].into();
-        let machines: Vec<Shared> = names
-            .iter()
-            .enumerate()
-            .map(|(n, name)| Shared {
-                name,
-                kind: "m",
-                zone: "z",
-                spot: false,
-                owner: if n < of_a { &a } else { &b },
-                tasks: 0,
-            })
-            .collect();
-        let moves = part_machines(&machines, &present, &demand, 10);
-        let to_b = moves.iter().filter(|(_, to)| *to == b).count();
-        (to_b, moves.len() - to_b)
-    };
-    assert_eq!(moves(4, 4, (1.5, 0.5)), (1, 0));
-    assert_eq!(moves(4, 3, (1.5, 0.5)), (0, 0), "it does not go back");
-    assert_eq!(
-        moves(2, 2, (1.5, 0.5)),
-        (0, 0),
-        "a part of one is not spared"
-    );
-    assert_eq!(moves(4_000, 2_039, (2_000.0, 2_000.0)), (39, 0));
-    assert_eq!(moves(4_000, 2_000, (2_000.0, 2_000.0)), (0, 0));
-}
--- /dev/null
+++ b/src/membership/election.rs
@@ -0,0 +1,182 @@
+//! Election of the leader among the controllers: each controller's state in it, and every transition.
+//!
+//! A controller registers by a presence record on a lease. A registered controller is a [`Role::Candidate`] while
+//! there is no leader record, the [`Role::Leader`] if the record names this very process, and a
+//! [`Role::Follower`] otherwise. The leader record is on the leader's presence lease, so leadership ends with
+//! it. A controller that cannot reach most of its machines steps down: it gives up the lease, and with it its
+//! jobs, machines and leadership, and registers again some time later.
+//!
+//! Agreement is the state service's alone: nothing here decides who leads from what controllers say.
+
+use super::assignment::Member;
+use crate::node::Node;
+use crate::state::Replica;
+use crate::state::replica::LeaderRecord;
+use crate::state::{LEADER_KEY, Operation, Precondition, TransactionError};
+use std::sync::Arc;
+use std::time::Instant;
+
+/// A controller's part in the election, by the leader record as last read.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Role {
+    /// Nobody leads; a registered controller stands for election.
+    Candidate,
+    /// Another process leads, or an earlier process of this controller's name.
+    Follower,
+    /// This process leads. `revision` is the leader record's, which guards every write of the leader.
+    Leader { revision: u64 },
+}
+
+impl Role {
+    /// The part of the process `identity`.
+    pub fn of(identity: &Member, replica: &Replica) -> Self {
+        let Some(leader) = replica.leader.as_ref() else {
+            return Self::Candidate;
+        };
+        let is_own = leader.record.member == identity.name
+            && leader.record.incarnation == identity.incarnation;
+        if is_own {
+            let revision = leader.revision;
+            Self::Leader { revision }
+        } else {
+            Self::Follower
+        }
+    }
+}
+
+/// What a controller's membership loop has to do next.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Phase {
+    /// It has no presence lease and must obtain one.
+    Unregistered,
+    /// It has a presence lease, which must be renewed.
+    Registered { lease: u64 },
+    /// It stepped down and has yet to give up its presence lease.
+    SteppingDown { lease: u64 },
+    /// It stepped down and has no presence lease.
+    SteppedDown,
+}
+
+/// A term of leadership of this process.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Leadership {
+    /// Revision of the leader record.
+    pub revision: u64,
+    /// When this process first acted under it.
+    pub since: Instant,
+}
+
+/// This controller's state in the election.
+#[derive(Debug, Default)]
+pub struct ElectionState {
+    lease: Option<u64>,
+    lease_renewed_at: Option<Instant>,
+    leadership: Option<Leadership>,
+    stepped_down_until: Option<Instant>,
+}
+
+impl ElectionState {
+    pub fn phase(&self) -> Phase {
+        match (self.lease, self.stepped_down_until) {
+            (None, None) => Phase::Unregistered,
+            (Some(lease), None) => Phase::Registered { lease },
+            (Some(lease), Some(_)) => Phase::SteppingDown { lease },
+            (None, Some(_)) => Phase::SteppedDown,
+        }
+    }
+
+    /// When the last request was sent that renewed the presence lease; it outlives the lease.
+    pub fn lease_renewed_at(&self) -> Option<Instant> {
+        self.lease_renewed_at
+    }
+
+    /// The term that this process last acted under as the leader.
+    pub fn leadership(&self) -> Option<Leadership> {
+        self.leadership
+    }
+
+    pub fn is_stepped_down(&self) -> bool {
+        self.stepped_down_until.is_some()
+    }
+
+    /// Takes over a presence lease that was granted by a request sent at `requested_at`.
+    pub(super) fn register(&mut self, lease: u64, requested_at: Instant) {
+        self.lease_renewed_at = Some(requested_at);
+        self.lease = Some(lease);
+    }
+
+    /// Records a renewal of the presence lease by a request sent at `requested_at`.
+    pub(super) fn record_renewal(&mut self, requested_at: Instant) {
+        self.lease_renewed_at = Some(requested_at);
+    }
+
+    /// Forgets a presence lease that expired or was given up.
+    pub(super) fn unregister(&mut self) {
+        self.lease = None;
+    }
+
+    /// Leaves leadership, jobs and machines to the other controllers until then.
+    pub fn step_down(&mut self, until: Instant) {
+        self.stepped_down_until = Some(until);
+    }
+
+    /// Registers again from the next turn of the membership loop on, if the time is up or no controller is
+    /// registered: if all stepped down at once, the machines are gone rather than the network paths to them.
+    pub(super) fn resume_candidacy(&mut self, is_any_registered: bool, now: Instant) {
+        let is_over = self.stepped_down_until.is_some_and(|until| until <= now);
+        if is_over || !is_any_registered {
+            self.stepped_down_until = None;
+        }
+    }
+
+    /// Starts or ends a term: `revision` is the leader record's if this process leads.
+    fn record_leadership(&mut self, revision: Option<u64>, now: Instant) {
+        let previous = self.leadership.map(|leadership| leadership.revision);
+        if previous != revision {
+            tracing::info!(?revision, "leadership changed");
+            self.leadership = revision.map(|revision| Leadership {
+                revision,
+                since: now,
+            });
+        }
+    }
+}
+
+/// Revision of the leader record if this very process leads.
+pub fn leader_revision(node: &Node) -> Option<u64> {
+    match Role::of(&node.identity, &node.core().replica) {
+        Role::Leader { revision } => Some(revision),
+        Role::Candidate | Role::Follower => None,
+    }
+}
+
+/// Records whether this process leads, and since when; `revision` as from [`leader_revision`].
+pub fn record_leadership(node: &Node, revision: Option<u64>) {
+    let mut core = node.core();
+    let election = &mut core.membership.election;
+    election.record_leadership(revision, Instant::now());
+}
+
+/// Stands for election if nobody leads. The winner is whose record is written first; who fails or loses stands
+/// again at the next turn if there is still no leader.
+pub(super) async fn campaign(node: &Arc<Node>, lease: u64) {
+    if Role::of(&node.identity, &node.core().replica) != Role::Candidate {
+        return;
+    }
+    let record = LeaderRecord {
+        member: node.identity.name.clone(),
+        incarnation: node.identity.incarnation,
+        lease,
+    };
+    let no_leader = Precondition {
+        key: LEADER_KEY.into(),
+        revision: 0,
+    };
+    let put = Operation::put(LEADER_KEY.into(), &record).with_lease(lease);
+    match node.state.compare_and_swap(&[no_leader], &[put]).await {
+        Ok(_) => tracing::info!("elected leader"),
+        Err(TransactionError::LeaseExpired) => node.core().membership.election.unregister(),
+        Err(_) => {}
+    }
+    node.read_barrier().await;
+}
--- a/src/membership/sharing/tests.rs
+++ b/src/membership/load/tests.rs
@@ -6,10 +6,10 @@
 use rowanmill_config::ConfigFile;
 use serde_json::json;
 
-/// Users that come back together, after an outage: who has most room is worked out once for all
-/// of them, and they are parted all the same.
+/// Users that return together after an outage: the load is estimated once for all of their submissions, and these are
+/// spread all the same.
 #[test]
-fn many_submissions_at_once_are_parted_by_one_look_at_the_fleet() {
+fn many_submissions_at_once_are_spread_by_one_estimate_of_the_load() {
     let settings = json!({"member": "n-0", "site": "a", "api_addr": "127.0.0.1:1",
         "mesh_addr": "127.0.0.1:2", "known": [],
         "endpoints": {"cloud": "127.0.0.1:3", "state": "127.0.0.1:4"},
@@ -29,8 +29,10 @@
     let kind = json!({"sku":"m","cpus":4.0,"memGb":16.0,"hourly":1.0,"yards":["a"]});
     core.kinds = vec![serde_json::from_value::<MachineType>(kind).unwrap()];
     let members = json!([{"name":"n-0","incarnation":1},{"name":"n-1","incarnation":1}]);
-    let shares = json!({"members":members,"teams":{},"gangs":[0],"had_gangs":false,"slots":[0]});
-    core.replica.apply_put("r/shares", &shares.to_string(), 5);
+    let assignment =
+        json!({"members":members,"teams":{},"gangs":[0],"had_gangs":false,"slots":[0]});
+    core.replica
+        .apply_put("r/shares", &assignment.to_string(), 5);
     let job = |tasks: u32| -> JobRecord {
         let spec = json!({"nameId":"job-1","grist":"c","crew":"t","shape":"array",
             "urgency":"standard","sacks":tasks,"cpus":1.0,"cards":0.0,"memGb":1.0,"mould":"i",
@@ -42,9 +44,12 @@
         let name = choose_placer(&node, &mut core, &job(tasks)).unwrap();
         format!("{tasks} tasks to {name}")
     });
-    let looked_at = core.election.spoken.as_ref().map(|s| s.at);
+    let estimated_at = core.membership.load.as_ref().map(|e| e.estimated_at);
     choose_placer(&node, &mut core, &job(1)).unwrap();
-    assert_eq!(core.election.spoken.as_ref().map(|s| s.at), looked_at);
+    assert_eq!(
+        core.membership.load.as_ref().map(|e| e.estimated_at),
+        estimated_at
+    );
     insta::assert_snapshot!(chosen.join("\n"), @r#"
     40 tasks to n-0
     4 tasks to n-1
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,128 +1,136 @@
-//! Who is there and who leads: a leased presence key for each node, a leased key for the leader,
-//! and the takeover of every machine by a new leader.
+//! Membership of the controllers: presence records on leases, the election of a leader, and the assignment of
+//! jobs and machines to the controllers that are registered.
+//!
+//! Nothing here talks to workers or starts tasks; whoever owns a job or a machine does.
 
 pub mod assignment;
+pub mod election;
+mod load;
+pub mod machine_assignment;
 pub mod probe;
+mod rebalance;
 pub mod schema_versions;
-mod sharing;
 
-pub use sharing::{choose_placer, demand, rebalance};
+pub use election::{leader_revision, record_leadership};
+pub use load::{WorkloadEstimate, choose_placer};
+pub use rebalance::rebalance;
 
 use crate::node::Node;
-use crate::state::replica::{LeaderRecord, PresenceRecord};
-use crate::state::{LEADER_KEY, Operation, Precondition, TransactionError, presence_key};
-use assignment::Member;
+use crate::state::replica::PresenceRecord;
+use crate::state::{Operation, Precondition, TransactionError, presence_key};
+use election::{ElectionState, Phase, campaign};
+use load::LoadEstimate;
 use probe::Probe;
+use rebalance::RebalanceState;
 use rowanmill_state::ReadError;
-use sharing::Spoken;
-use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How this node stands among the controllers.
+/// What membership keeps in memory.
 #[derive(Debug, Default)]
-pub struct ElectionState {
-    pub lease: Option<u64>,
-    /// When the last call was sent that renewed the presence lease.
-    pub lease_renewed_at: Option<Instant>,
-    /// Mark of the leader key under which this node did the leader's duties last, and since when.
-    pub leading: Option<(u64, Instant)>,
-    /// When the leader shared out last, and among whom.
-    shared_at: Option<Instant>,
-    shared_among: BTreeSet<Member>,
-    /// This node cannot hear most workers and leaves the lead to others until then.
-    pub stepped_down_until: Option<Instant>,
+pub struct MembershipState {
+    pub election: ElectionState,
     pub probe: Probe,
-    spoken: Option<Spoken>,
+    rebalance: RebalanceState,
+    load: Option<LoadEstimate>,
 }
 
-/// Keeps the presence lease, and stands for the lead whenever nobody holds it.
+/// Renewals that are tried within the length of a presence lease.
+const RENEWALS_PER_LEASE: u32 = 4;
+
+/// Keeps this controller registered, and stands for election whenever nobody leads.
 pub async fn run(node: Arc<Node>) {
-    let ttl = node.settings.presence_ttl();
-    let pause = ttl / 4;
+    let lease_length = node.settings.presence_ttl();
+    let interval = lease_length / RENEWALS_PER_LEASE;
     loop {
         if node.core().loaded {
-            step(&node, ttl).await;
+            advance(&node, lease_length).await;
         }
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(interval).await;
     }
 }
 
-async fn step(node: &Arc<Node>, ttl: Duration) {
-    let (lease, stands_back) = {
-        let core = node.core();
-        (
-            core.election.lease,
-            core.election.stepped_down_until.is_some(),
-        )
-    };
-    if let Some(lease) = lease
-        && stands_back
-    {
-        // Its teams and machines, and the lead if it has it, go to others with the lease.
-        if node.state.revoke_lease(lease).await.is_ok() {
-            node.core().election.lease = None;
-        }
-        return;
-    }
-    match lease {
-        None if stands_back => end_standing_back(node),
-        None => join(node, ttl).await,
-        Some(lease) => match extend(node, lease).await {
-            Err(ReadError::LeaseExpired) => {
-                tracing::info!("the presence lease is over");
-                node.core().election.lease = None;
-            }
-            Ok(()) => {
-                if announce(node, lease).await {
-                    campaign(node, lease).await;
-                    schema_versions::update_record(node).await;
-                }
-            }
-            Err(_) => {}
-        },
+async fn advance(node: &Arc<Node>, lease_length: Duration) {
+    let phase = node.core().membership.election.phase();
+    match phase {
+        Phase::Unregistered => register(node, lease_length).await,
+        Phase::Registered { lease } => renew(node, lease).await,
+        Phase::SteppingDown { lease } => give_up_presence(node, lease).await,
+        Phase::SteppedDown => resume_candidacy(node),
     }
 }
 
-async fn extend(node: &Node, lease: u64) -> Result<(), ReadError> {
-    let sent = Instant::now();
-    node.state.extend_lease(lease).await?;
-    node.core().election.lease_renewed_at = Some(sent);
-    Ok(())
+/// Obtains a presence lease, publishes the presence record on it and stands for election.
+async fn register(node: &Arc<Node>, lease_length: Duration) {
+    revoke_predecessor(node).await;
+    let requested_at = Instant::now();
+    let Ok(lease) = node.state.create_lease(lease_length).await else {
+        return;
+    };
+    node.core()
+        .membership
+        .election
+        .register(lease, requested_at);
+    if publish_presence(node, lease).await && node.read_barrier().await {
+        campaign(node, lease).await;
+    }
 }
 
-async fn join(node: &Arc<Node>, ttl: Duration) {
-    let me = &node.identity.name;
-    let old = {
+/// Revokes the presence lease of an earlier process of this name, which would only keep the others waiting.
+async fn revoke_predecessor(node: &Node) {
+    let previous = {
         let core = node.core();
-        let old = core.replica.presence.get(me);
-        old.map(|p| (p.record.incarnation, p.record.lease))
+        let presence = core.replica.presence.get(&node.identity.name);
+        presence.map(|presence| presence.record.clone())
     };
-    if let Some((incarnation, lease)) = old
-        && incarnation != node.identity.incarnation
+    if let Some(previous) = previous
+        && previous.incarnation != node.identity.incarnation
     {
-        // A process of the same name that ended: its lease would only keep others waiting.
-        let _ = node.state.revoke_lease(lease).await;
+        // A failure costs time alone: the lease expires by itself.
+        let _ = node.state.revoke_lease(previous.lease).await;
     }
-    let sent = Instant::now();
-    let Ok(lease) = node.state.create_lease(ttl).await else {
-        return;
-    };
-    {
-        let mut core = node.core();
-        core.election.lease_renewed_at = Some(sent);
-        core.election.lease = Some(lease);
+}
+
+/// Renews the presence lease, and then sees to all that a registered controller keeps up to date.
+async fn renew(node: &Arc<Node>, lease: u64) {
+    let requested_at = Instant::now();
+    match node.state.extend_lease(lease).await {
+        Ok(()) => {}
+        Err(ReadError::LeaseExpired) => {
+            tracing::info!("presence lease expired");
+            node.core().membership.election.unregister();
+            return;
+        }
+        // Tried again at the next turn.
+        Err(_) => return,
     }
-    if announce(node, lease).await && node.read_barrier().await {
+    node.core().membership.election.record_renewal(requested_at);
+    if publish_presence(node, lease).await {
         campaign(node, lease).await;
+        schema_versions::update_record(node).await;
+    }
+}
+
+/// Ends the presence lease, with which this controller's jobs, machines and leadership go to others.
+async fn give_up_presence(node: &Node, lease: u64) {
+    if node.state.revoke_lease(lease).await.is_ok() {
+        node.core().membership.election.unregister();
     }
 }
 
-/// Sees to it that this node's presence is there, on its lease of now; whether it is. One put
-/// without an answer may be carried out seconds later, after the next: it would take the key to a
-/// lease that nobody extends, with which it ends, and the node would be nobody's for good. So each
-/// is guarded by the revision before, and what the records tell is compared at each turn.
-async fn announce(node: &Node, lease: u64) -> bool {
+fn resume_candidacy(node: &Node) {
+    let mut core = node.core();
+    let is_any_registered = !core.replica.presence.is_empty();
+    let election = &mut core.membership.election;
+    election.resume_candidacy(is_any_registered, Instant::now());
+}
+
+/// Ensures that this controller's presence record is on its current lease; whether it is.
+///
+/// A put without an answer may be carried out seconds later, after the next one: it would move the record to a
+/// lease that nobody extends, with which it expires, and the controller would own nothing for good. So each
+/// put is guarded by the revision before it, and the record as read is compared at each turn.
+async fn publish_presence(node: &Node, lease: u64) -> bool {
     let record = PresenceRecord {
         incarnation: node.identity.incarnation,
         lease,
@@ -131,91 +139,32 @@
     let key = presence_key(&node.identity.name);
     let revision = {
         let core = node.core();
-        let held = core.replica.presence.get(&node.identity.name);
-        if held.is_some_and(|held| held.record == record) {
+        let current = core.replica.presence.get(&node.identity.name);
+        if current.is_some_and(|current| current.record == record) {
             return true;
         }
-        held.map_or(0, |held| held.revision)
+        current.map_or(0, |current| current.revision)
     };
-    let guard = Precondition {
+    let precondition = Precondition {
         key: key.clone(),
         revision,
     };
-    let put = leased(key, &record, lease);
-    match node
+    let put = Operation::put(key, &record).with_lease(lease);
+    let written = node
         .state
-        .compare_and_swap(&[guard], std::slice::from_ref(&put))
-        .await
-    {
+        .compare_and_swap(&[precondition], std::slice::from_ref(&put))
+        .await;
+    match written {
         Ok(revision) => {
             node.core().apply(vec![put], revision);
             true
         }
         Err(error) => {
             if matches!(error, TransactionError::LeaseExpired) {
-                node.core().election.lease = None;
+                node.core().membership.election.unregister();
             }
             node.read_barrier().await;
             false
         }
     }
 }
-
-fn leased(key: String, record: &impl serde::Serialize, lease: u64) -> Operation {
-    Operation::put(key, record).with_lease(lease)
-}
-
-async fn campaign(node: &Arc<Node>, lease: u64) {
-    if node.core().replica.leader.is_some() {
-        return;
-    }
-    let record = LeaderRecord {
-        member: node.identity.name.clone(),
-        incarnation: node.identity.incarnation,
-        lease,
-    };
-    let guard = Precondition {
-        key: LEADER_KEY.into(),
-        revision: 0,
-    };
-    let put = leased(LEADER_KEY.into(), &record, lease);
-    match node.state.compare_and_swap(&[guard], &[put]).await {
-        Ok(_) => tracing::info!("elected"),
-        Err(TransactionError::LeaseExpired) => node.core().election.lease = None,
-        Err(_) => {}
-    }
-    node.read_barrier().await;
-}
-
-/// Whether the leader record is this very process's; its revision.
-pub fn leader_revision(node: &Node) -> Option<u64> {
-    let core = node.core();
-    let leader = core.replica.leader.as_ref()?;
-    let ours = leader.record.member == node.identity.name
-        && leader.record.incarnation == node.identity.incarnation;
-    ours.then_some(leader.revision)
-}
-
-/// Notes whether this node leads, and since when.
-pub fn record_leadership(node: &Node, revision: Option<u64>) {
-    let mut core = node.core();
-    let before = core.election.leading.map(|(revision, _)| revision);
-    if before != revision {
-        tracing::info!(?revision, "the lead changed hands");
-        core.election.leading = revision.map(|revision| (revision, Instant::now()));
-    }
-}
-
-fn end_standing_back(node: &Node) {
-    let mut core = node.core();
-    // If all stand back at once, the machines are gone rather than the ways to them.
-    let alone = core.replica.presence.is_empty();
-    if alone
-        || core
-            .election
-            .stepped_down_until
-            .is_some_and(|until| until <= Instant::now())
-    {
-        core.election.stepped_down_until = None;
-    }
-}
--- a/src/membership/schema_versions/tests.rs
+++ b/src/membership/schema_versions/tests.rs
@@ -12,22 +12,22 @@
     Versioned { record, revision }
 }
 
-/// Rule `too_early`: a node of the version before runs a job that waits as soon as it sees it. So
-/// one that is merely absent keeps the new forms from beginning, one that was seen new does not.
+/// Rule `too_early`: a controller of the previous version runs a job with dependencies as soon as it sees it. So
+/// one that is merely absent prevents the activation, unless it was last seen with the present version.
 #[test]
-fn new_forms_begin_when_every_node_was_seen_new_and_stay() {
+fn new_encodings_are_activated_for_good_once_every_controller_was_seen_upgraded() {
     let members = ["a", "b", "c"];
     let mut replica = Replica::new(wide(8));
     let mut revision = 100;
     let mut trace = String::new();
     let mut step = |what: &str, replica: &mut Replica| {
-        if let Some(forms) = next_record(&members, &wide(8), replica) {
+        if let Some(record) = next_record(&members, &wide(8), replica) {
             revision += 1;
-            let text = serde_json::to_string(&forms).unwrap();
+            let text = serde_json::to_string(&record).unwrap();
             replica.apply_put("r/forms", &text, revision);
         }
-        let forms = replica.schema_versions.as_ref().map(|f| &f.record);
-        let seen: Vec<_> = forms.iter().flat_map(|f| &f.upgraded_members).collect();
+        let record = replica.schema_versions.as_ref().map(|f| &f.record);
+        let seen: Vec<_> = record.iter().flat_map(|f| &f.upgraded_members).collect();
         let begun = replica.is_current_schema_active();
         trace.push_str(&format!("{what}: seen {seen:?}, begun {begun}\n"));
     };
--- a/src/node.rs
+++ b/src/node.rs
@@ -6,7 +6,7 @@
 use crate::jobs::runtime_estimate::RuntimeEstimate;
 use crate::jobs::{JobSpec, PageLayout, TaskId, TaskRecord};
 use crate::limits::TeamQuotas;
-use crate::membership::ElectionState;
+use crate::membership::MembershipState;
 use crate::membership::assignment::Member;
 use crate::membership::schema_versions::FeatureLevel;
 use crate::mesh::attestation::PeerStatus;
@@ -34,7 +34,7 @@
     /// Since when it has had contact without a longer break.
     pub connected_since: Option<Instant>,
     pub loaded: bool,
-    pub election: ElectionState,
+    pub membership: MembershipState,
     pub pending_changes: PendingChanges,
     pub limits: TeamQuotas,
     pub workers: Workers,
@@ -169,7 +169,7 @@
     pub fn is_partitioned(&self) -> bool {
         let others = self.peer_status().state_service_reached_at;
         let ttl = self.settings.presence_ttl();
-        let proof = self.core().election.lease_renewed_at;
+        let proof = self.core().membership.election.lease_renewed_at();
         proof.is_none_or(|p| p.elapsed() > ttl)
             && others.is_some_and(|at| at.elapsed() < Duration::from_secs(4))
     }
@@ -183,15 +183,16 @@
         let silent = |last: Option<Instant>| last.is_none_or(|at| at.elapsed() > PEERS_SILENT);
         let lost_for = |d| {
             self.core()
+                .membership
                 .election
-                .lease_renewed_at
+                .lease_renewed_at()
                 .is_none_or(|p| p.elapsed() > d)
         };
         let alone = self.settings.params.size > 1
             && lost_for(self.settings.presence_ttl() + PEERS_SILENT)
             && silent(self.peer_status().any);
         let mut core = self.core();
-        core.election
+        core.membership
             .probe
             .redirects(machine, alone, Instant::now())
     }
@@ -227,7 +228,7 @@
             last_read_barrier: None,
             connected_since: None,
             loaded: false,
-            election: ElectionState::default(),
+            membership: MembershipState::default(),
             pending_changes: PendingChanges::default(),
             limits: TeamQuotas::default(),
             workers: Workers::default(),
--- a/src/renting/provision.rs
+++ b/src/renting/provision.rs
@@ -4,8 +4,9 @@
 use super::service::guard;
 use crate::cloud::{self, CloudError};
 use crate::fleet::{MachinePool, MachineState, Rental, RentedMachine, max_machines_per_rental};
-use crate::membership;
-use crate::membership::assignment::{Member, targets};
+use crate::membership::WorkloadEstimate;
+use crate::membership::assignment::Member;
+use crate::membership::machine_assignment::{MachineCounts, machine_targets};
 use crate::node::{Core, Node, age_s, wall_ms};
 use crate::state::{Operation, Precondition, rental_key};
 use std::collections::BTreeMap;
@@ -246,10 +247,14 @@
     };
     let fleet = &core.replica.fleet.machines;
     let of_kind = || fleet.values().filter(|m| m.pool.machine_type == *kind);
-    let (demand, ..) = membership::demand(node, core, &shares.record);
+    let demand = WorkloadEstimate::new(node, core, &shares.record).by_member;
     let now = |spot: bool| of_kind().filter(|m| m.pool.spot == spot).count();
     let count_with = |s: bool| (now(s) + if s == spot { count } else { 0 }) as f64;
-    let targets = targets(&present, kind, &demand, count_with(true), count_with(false));
+    let counts = MachineCounts {
+        spot: count_with(true),
+        on_demand: count_with(false),
+    };
+    let targets = machine_targets(&present, kind, &demand, counts);
     let targets = targets.of(spot);
     let mut have: BTreeMap<&Member, (f64, u32)> = present.iter().map(|m| (m, (0.0, 0))).collect();
     for machine in of_kind().filter(|m| m.pool.spot == spot) {
--- a/src/renting/release.rs
+++ b/src/renting/release.rs
@@ -249,7 +249,7 @@
 const MOST_MARKED: usize = 3;
 
 /// How long a node that cannot hear its workers leaves them to others.
-const STAND_BACK: Duration = Duration::from_secs(20);
+const STEP_DOWN_DURATION: Duration = Duration::from_secs(20);
 
 /// Machines to be released now.
 fn to_close(node: &Node) -> Vec<String> {
@@ -261,7 +261,7 @@
         return Vec::new();
     }
     let mut core = node.core();
-    if core.election.stepped_down_until.is_some() {
+    if core.membership.election.is_stepped_down() {
         return Vec::new();
     }
     let core = &mut *core;
@@ -334,11 +334,11 @@
         }
     }
     let others = core.replica.presence.len() > 1;
-    if others && silent >= 3 && silent > heard && core.election.stepped_down_until.is_none() {
+    if others && silent >= 3 && silent > heard && !core.membership.election.is_stepped_down() {
         // Most machines fell silent at once: more likely this node cannot hear them. Others may;
         // releasing them all would throw their work away.
-        tracing::info!(silent, heard, "cannot hear most machines: standing back");
-        core.election.stepped_down_until = Some(now + STAND_BACK);
+        tracing::info!(silent, heard, "stepped down: most machines unresponsive");
+        core.membership.election.step_down(now + STEP_DOWN_DURATION);
         return Vec::new();
     }
     close.truncate(MAX_RELEASE_BATCH);
@@ -361,8 +361,8 @@
     let lag = Duration::from_secs_f64(node.settings.params.cloud.list_lag_s * 2.0 + 5.0);
     let settled = {
         let core = node.core();
-        let leading = core.election.leading;
-        leading.is_some_and(|(_, since)| since.elapsed() > lag)
+        let leadership = core.membership.election.leadership();
+        leadership.is_some_and(|leadership| leadership.since.elapsed() > lag)
             && core.replica.fleet.unconfirmed_rentals().next().is_none()
     };
     for listed in list {
