--- /dev/null
+++ b/src/api/admission.rs
@@ -0,0 +1,142 @@
+//! Whether a new job is admitted. Decides only: [`super::submit`] acts, and so do the cells on jobs of others.
+
+use crate::http::{HttpResponse, error_response, retry_later};
+use crate::jobs::{JobRecord, JobSpec, StoredJob};
+use crate::metrics::{CpuAccount, memory};
+use crate::node::{Core, Node};
+use crate::placement::capacity_of;
+use crate::placement::snapshot::eligible_machine_types;
+use crate::settings::Team;
+use hyper::StatusCode;
+use rowanmill_limits::{ResourceAmount, TeamLimit};
+use std::collections::BTreeSet;
+
+/// Bytes that a job's record may gain later: who places it, when it was released, that it was cancelled.
+const RECORD_GROWTH_BYTES: usize = 160;
+
+/// The decision on a new job.
+#[derive(Debug, PartialEq)]
+pub enum Admission {
+    Admitted,
+    /// It can never run, for this reason.
+    Ineligible(&'static str),
+    /// Its record would exceed what the state service takes as a value.
+    RecordTooLarge,
+    /// The cloud's catalogue of machine types is not known yet.
+    CatalogueUnknown,
+    MemoryShort,
+    /// It depends on others, which not all controllers support yet.
+    DependenciesUnsupported,
+}
+
+impl Admission {
+    /// The response to a job that is not admitted.
+    pub fn refusal(&self) -> HttpResponse {
+        let unavailable = StatusCode::SERVICE_UNAVAILABLE;
+        match self {
+            Admission::Ineligible(reason) => {
+                error_response(StatusCode::UNPROCESSABLE_ENTITY, reason)
+            }
+            Admission::RecordTooLarge => {
+                let reason = "the job is more than a record takes";
+                error_response(StatusCode::BAD_REQUEST, reason)
+            }
+            Admission::CatalogueUnknown => retry_later(unavailable, 1, "no catalogue yet"),
+            Admission::MemoryShort => {
+                retry_later(unavailable, 2, "too little memory for more work")
+            }
+            Admission::DependenciesUnsupported => {
+                let reason = "jobs that wait for others are taken once all controllers can";
+                retry_later(unavailable, 3, reason)
+            }
+            Admission::Admitted => retry_later(unavailable, 1, "to be taken"),
+        }
+    }
+}
+
+/// Decides on a job that a user submitted.
+pub fn admit(node: &Node, record: &JobRecord, depends_on: &[String]) -> Admission {
+    let admission = check_eligibility(node, &record.spec, depends_on);
+    if !record_fits(node, record, depends_on) {
+        return Admission::RecordTooLarge;
+    }
+    // A process that ends for lack of memory answers none of its machines any more.
+    if admission == Admission::Admitted && node.memory.update(memory::allocated()) {
+        return Admission::MemoryShort;
+    }
+    admission
+}
+
+/// Whether a job's record fits a value for as long as it is kept, whichever limit holds by then.
+pub fn record_fits(node: &Node, record: &JobRecord, depends_on: &[String]) -> bool {
+    let blocked = StoredJob::Blocked {
+        record: record.clone(),
+        awaits: depends_on.to_vec(),
+    };
+    let bytes = serde_json::to_vec(&blocked).map_or(usize::MAX, |text| text.len());
+    bytes + RECORD_GROWTH_BYTES <= node.settings.max_value_bytes()
+}
+
+/// Whether a job can run with these teams and machine types, and is understood by all controllers.
+pub fn check_eligibility(node: &Node, spec: &JobSpec, depends_on: &[String]) -> Admission {
+    let _charge = node.processor_time.charge(CpuAccount::UserRequests);
+    if depends_on.contains(&spec.id) {
+        return Admission::Ineligible("`awaits` names the job itself");
+    }
+    let teams = &node.settings.params.teams;
+    let Some(team) = teams.iter().find(|team| team.name == spec.team) else {
+        return Admission::Ineligible("unknown team");
+    };
+    if !fits_team_limit(team, spec) {
+        return Admission::Ineligible("more than the team's limit");
+    }
+    let core = node.core();
+    if core.kinds.is_empty() {
+        return Admission::CatalogueUnknown;
+    }
+    if let Some(reason) = machine_ineligibility(&core, spec) {
+        return Admission::Ineligible(reason);
+    }
+    // A controller of the version before would run it at once.
+    if !depends_on.is_empty() && !core.replica.is_current_schema_active() {
+        return Admission::DependenciesUnsupported;
+    }
+    Admission::Admitted
+}
+
+/// Why no machine type takes a job's tasks, if that is so.
+fn machine_ineligibility(core: &Core, spec: &JobSpec) -> Option<&'static str> {
+    let machine_types = eligible_machine_types(core, spec);
+    if machine_types.is_empty() {
+        let mut catalogue = core.kinds.iter();
+        let fits_any = catalogue.any(|offer| spec.resources().fits(&capacity_of(offer)));
+        return Some(if fits_any {
+            "no allowed machine type takes a task of it"
+        } else {
+            "no machine type takes a task of it"
+        });
+    }
+    if spec.is_parted() && !has_two_zones(core, spec, &machine_types) {
+        return Some("no two zones for tasks that may not all be in one");
+    }
+    None
+}
+
+/// Whether the least that a job can start with fits its team's limit, in the units in which limits are
+/// counted: what is admitted must be able to start.
+fn fits_team_limit(team: &Team, spec: &JobSpec) -> bool {
+    let limit = TeamLimit::from_settings(team.max_cpus, team.max_gpus).unwrap_or_default();
+    if !limit.is_limited() {
+        return true;
+    }
+    let tasks_at_once = if spec.is_gang() { spec.tasks } else { 1 };
+    let amount = ResourceAmount::for_tasks(spec.cpus, spec.gpus, tasks_at_once);
+    amount.is_ok_and(|amount| limit.limited_part_of(amount).fits_within(limit.as_amount()))
+}
+
+/// Whether a job whose tasks must not all be in one zone may use two.
+fn has_two_zones(core: &Core, spec: &JobSpec, machine_types: &[String]) -> bool {
+    let machine_types = machine_types.iter().filter_map(|name| core.kind(name));
+    let zones: BTreeSet<&String> = machine_types.flat_map(|kind| &kind.zones).collect();
+    !spec.one_zone && spec.zone.is_none() && zones.len() > 1
+}
--- /dev/null
+++ b/src/api/dependencies.rs
@@ -0,0 +1,98 @@
+//! The state of the jobs that a new one depends on. Decides only, by reads of the records.
+
+use super::responses::state_unavailable;
+use crate::http::{HttpResponse, error_response};
+use crate::jobs::TerminalState;
+use crate::node::{Core, Node};
+use crate::pipelines::service::look_up_needs;
+use crate::state::final_key;
+use hyper::StatusCode;
+use std::sync::Arc;
+
+/// The state of one dependency, or of several together: the greatest of theirs.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum DependencyState {
+    Completed,
+    Unfinished,
+    Cancelled,
+}
+
+/// Why the state of a dependency cannot be told.
+#[derive(Debug, thiserror::Error)]
+pub enum DependencyError {
+    #[error("`awaits` names a job that was never accepted")]
+    NeverAccepted,
+    #[error("no state service")]
+    StateUnavailable,
+}
+
+impl DependencyError {
+    pub fn refusal(&self) -> HttpResponse {
+        match self {
+            DependencyError::NeverAccepted => {
+                error_response(StatusCode::UNPROCESSABLE_ENTITY, &self.to_string())
+            }
+            DependencyError::StateUnavailable => state_unavailable(),
+        }
+    }
+}
+
+/// The state of all that a new job depends on. Whatever becomes of them afterwards, what the job's record says
+/// stays true: that one of them is done or cancelled is final, and all else follows from the records when it is
+/// asked for.
+pub async fn resolve_dependencies(
+    node: &Arc<Node>,
+    depends_on: &[String],
+) -> Result<DependencyState, DependencyError> {
+    if depends_on.is_empty() {
+        return Ok(DependencyState::Completed);
+    }
+    if !node.read_barrier().await {
+        return Err(DependencyError::StateUnavailable);
+    }
+    let mut combined = DependencyState::Completed;
+    for id in depends_on {
+        check_accepted(node, id).await?;
+        let unknown = node.core().replica.unknown_ancestors(id);
+        if !unknown.is_empty() && !look_up_needs(node, unknown).await {
+            return Err(DependencyError::StateUnavailable);
+        }
+        combined = combined.max(state_of(&node.core(), id));
+    }
+    Ok(combined)
+}
+
+/// Checks that a job was accepted. Its final state is read if the replica does not know it.
+async fn check_accepted(node: &Node, id: &str) -> Result<(), DependencyError> {
+    let is_known = {
+        let core = node.core();
+        if core.replica.is_unreadable(id) {
+            return Err(DependencyError::StateUnavailable);
+        }
+        core.replica.is_known(id)
+    };
+    if is_known {
+        return Ok(());
+    }
+    // With a read of its own: a job is in one of the two places from its acceptance on.
+    let value = node.state.get(&final_key(id)).await;
+    let value = value.map_err(|_| DependencyError::StateUnavailable)?;
+    let value = value.ok_or(DependencyError::NeverAccepted)?;
+    let final_state = serde_json::from_value::<TerminalState>(value)
+        .map_err(|_| DependencyError::StateUnavailable)?;
+    node.core().replica.record_final_state(id, final_state);
+    Ok(())
+}
+
+fn state_of(core: &Core, id: &str) -> DependencyState {
+    let replica = &core.replica;
+    let job = replica.jobs.get(id);
+    let is_cancelled =
+        replica.pipelines.is_doomed(id) || job.is_some_and(|job| job.record.cancelled);
+    match replica.final_state(id) {
+        Some(TerminalState::Cancelled) => DependencyState::Cancelled,
+        _ if is_cancelled => DependencyState::Cancelled,
+        Some(TerminalState::Done) => DependencyState::Completed,
+        None => DependencyState::Unfinished,
+    }
+}
--- a/src/api/limit/tests.rs
+++ b/src/api/limit/tests.rs
@@ -2,23 +2,23 @@
 
 #[test]
 fn a_burst_shrinks_the_limit_and_calm_restores_it() {
-    let limit = Limit::new();
+    let limit = ConcurrencyLimit::new();
     let mut trace = String::new();
     let mut round = |what: &str, offered: u32, took_ms: u64| {
-        let mut let_in = 0;
+        let mut admitted = 0;
         for _ in 0..offered {
-            if let Some(permit) = limit.enter(1.0) {
+            if let Some(permit) = limit.try_acquire(1.0) {
                 std::mem::forget(permit);
-                let_in += 1;
+                admitted += 1;
             }
         }
-        for _ in 0..let_in {
-            limit.finish(Duration::from_millis(took_ms));
+        for _ in 0..admitted {
+            limit.record_response(Duration::from_millis(took_ms));
         }
         let now = limit.state.lock().unwrap().limit;
         trace.push_str(&format!(
-            "{what}: offered {offered}, let in {let_in}, refused {}, then limit {now:.0}\n",
-            offered - let_in
+            "{what}: offered {offered}, let in {admitted}, refused {}, then limit {now:.0}\n",
+            offered - admitted
         ));
     };
     round("calm", 10, 20);
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,7 +1,13 @@
-//! The HTTP server for users, workers and the load balancer.
+//! The HTTP server for users, workers and the load balancer: reads requests and routes them. What a request does
+//! is in the modules below and in [`crate::workers`].
 
+pub mod admission;
+pub mod cancel;
+mod dependencies;
 pub mod limit;
-pub mod users;
+pub mod responses;
+pub mod status;
+pub mod submit;
 
 use crate::http::{HttpResponse, error_response, json_response, retry_later};
 use crate::node::Node;
@@ -13,56 +19,74 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use limit::Limit;
+use limit::ConcurrencyLimit;
 use std::convert::Infallible;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Largest request body that is read.
-const MOST_BODY: usize = 64 << 10;
-/// A request's head must be complete within this, and so must its body.
-const READ_LIMIT: Duration = Duration::from_secs(10);
-/// Sockets kept for our own calls and for other nodes.
-pub const OWN_SOCKETS: usize = 24;
+/// Largest request body that is read, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 10;
+/// Room for a request's head in a connection's buffer, beyond that for the body, in bytes.
+const MAX_HEAD_BYTES: usize = 8192;
+/// A request's body must be complete within this time.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// A connection may be idle for this time until the head of its next request is complete.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(75);
+/// Sockets reserved for our own calls and for other nodes.
+pub const RESERVED_SOCKETS: usize = 24;
+/// Connections that are served however few sockets there are.
+const MIN_CONNECTIONS: usize = 8;
+/// Pause after a connection could not be accepted.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// A controller counts as without the state service after this time without an answer of it.
+const UNHEALTHY_AFTER: Duration = Duration::from_millis(3500);
+/// Others count as having the state service for this time after one of them said so.
+const PEERS_HEALTHY_FOR: Duration = Duration::from_secs(3);
 
+/// What the handlers of all requests share.
 pub struct Server {
     pub node: Arc<Node>,
-    pub limit: Limit,
+    pub limit: ConcurrencyLimit,
 }
 
+/// Serves connections until the process ends.
 pub async fn run(node: Arc<Node>, listener: TcpListener) {
     let sockets = node.settings.params.limits.sockets;
-    let most = sockets.saturating_sub(OWN_SOCKETS).max(8);
+    let max_connections = sockets
+        .saturating_sub(RESERVED_SOCKETS)
+        .max(MIN_CONNECTIONS);
     let open = Arc::new(AtomicUsize::new(0));
     let server = Arc::new(Server {
-        limit: Limit::new(),
+        limit: ConcurrencyLimit::new(),
         node,
     });
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                // The socket table is full, or the peer is gone already: neither ends us.
-                tracing::debug!(%error, "a connection was not accepted");
-                tokio::time::sleep(Duration::from_millis(50)).await;
+                // The socket table is full, or the peer has disconnected already: neither ends the server.
+                tracing::debug!(%error, "connection not accepted");
+                tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
-        if open.load(Ordering::Relaxed) >= most {
+        if open.load(Ordering::Relaxed) >= max_connections {
             drop(stream); // beyond the limit our own calls would find no socket
             continue;
         }
         open.fetch_add(1, Ordering::Relaxed);
+        // Without it responses are only slower.
         let _ = stream.set_nodelay(true);
         let (server, open) = (server.clone(), open.clone());
         tokio::spawn(async move {
             let service = service_fn(|request| handle(server.clone(), request));
+            // A connection that breaks off is its client's affair.
             let _ = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(Duration::from_secs(75))
-                .max_buf_size(MOST_BODY + 8192)
+                .header_read_timeout(HEAD_TIMEOUT)
+                .max_buf_size(MAX_BODY_BYTES + MAX_HEAD_BYTES)
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
             open.fetch_sub(1, Ordering::Relaxed);
@@ -101,16 +125,16 @@
     };
     match parts.as_slice() {
         ["hello"] => handle_heartbeat(&server.node, &body).await,
-        ["v1", "jobs"] => users::submit(server, &body).await,
-        ["v1", "jobs", id] => users::poll(server, id).await,
-        ["v1", "jobs", id, _] => users::abort(server, id).await,
+        ["v1", "jobs"] => submit::submit(server, &body).await,
+        ["v1", "jobs", id] => status::poll(server, id).await,
+        ["v1", "jobs", id, _] => cancel::cancel(server, id).await,
         _ => error_response(StatusCode::NOT_FOUND, "no such path"),
     }
 }
 
 async fn read_body(request: Request<Incoming>) -> Result<Bytes, HttpResponse> {
-    let body = Limited::new(request.into_body(), MOST_BODY);
-    match tokio::time::timeout(READ_LIMIT, body.collect()).await {
+    let body = Limited::new(request.into_body(), MAX_BODY_BYTES);
+    match tokio::time::timeout(BODY_TIMEOUT, body.collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(problem)) if problem.is::<http_body_util::LengthLimitError>() => Err(
             error_response(StatusCode::BAD_REQUEST, "the body is over 64 KiB"),
@@ -129,11 +153,10 @@
 /// Without the state service nothing can be accepted; but while all nodes are without it, taking
 /// them all away from users helps nobody. So this fails only when others have it.
 fn health(node: &Node) -> HttpResponse {
-    let blind = Duration::from_millis(3500);
     let ready = node.core().loaded && !node.core().kinds.is_empty();
-    if !node.is_connected_within(blind) || !ready {
+    if !node.is_connected_within(UNHEALTHY_AFTER) || !ready {
         let others = node.peer_status().state_service_reached_at;
-        let others_have = others.is_some_and(|at| at.elapsed() < Duration::from_secs(3));
+        let others_have = others.is_some_and(|at| at.elapsed() < PEERS_HEALTHY_FOR);
         if others_have || node.core().last_read_barrier.is_none() {
             return retry_later(StatusCode::SERVICE_UNAVAILABLE, 2, "no state service");
         }
--- /dev/null
+++ b/src/api/status.rs
@@ -0,0 +1,159 @@
+//! What is known of a job: the polls, and the status by which other requests answer. Writes nothing.
+
+use super::Server;
+use super::responses::{overloaded, progress_response, stage_response, state_unavailable};
+use crate::cells::requests;
+use crate::http::{HttpResponse, error_response};
+use crate::jobs::{Stage, TerminalState, is_job_id};
+use crate::node::{Core, Node};
+use crate::pipelines::service::look_up_needs;
+use crate::state::final_key;
+use hyper::StatusCode;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// If the state service has not answered for this time, which is longer than a call takes, a refusal at once is
+/// better than one after a wait.
+pub const STATE_TIMEOUT: Duration = Duration::from_millis(3000);
+/// Part of the requests in progress from which on polls are refused: they give way to cancellations.
+const POLL_SHARE: f64 = 0.9;
+
+/// What is known of a job, as of no earlier than the call.
+pub enum JobStatus {
+    /// It has not ended, as far as users are told.
+    Unfinished {
+        stage: Stage,
+        /// Tasks that are done.
+        completed: u32,
+        /// Tasks that are placed on machines.
+        placed: u32,
+    },
+    Ended(TerminalState),
+    NeverAccepted,
+    /// The state service cannot be read, or not all that it takes.
+    Indeterminate,
+}
+
+impl JobStatus {
+    /// Nothing of the job runs.
+    fn without_tasks(stage: Stage) -> Self {
+        JobStatus::Unfinished {
+            stage,
+            completed: 0,
+            placed: 0,
+        }
+    }
+}
+
+/// Answers a poll.
+pub async fn poll(server: &Server, id: &str) -> HttpResponse {
+    if !is_job_id(id) {
+        return error_response(StatusCode::NOT_FOUND, "no such job");
+    }
+    let node = &server.node;
+    node.core().metrics.status_polls += 1;
+    if let Some(final_state) = final_state_in_memory(node, id) {
+        return stage_response(StatusCode::OK, id, final_state.into());
+    }
+    let Some(_permit) = server.limit.try_acquire(POLL_SHARE) else {
+        return overloaded();
+    };
+    if let Some(cells) = &node.cells {
+        return requests::poll(node, cells, id).await;
+    }
+    match current_status(node, id).await {
+        JobStatus::Unfinished {
+            stage,
+            completed,
+            placed,
+        } => progress_response(id, stage, completed, placed),
+        JobStatus::Ended(final_state) => stage_response(StatusCode::OK, id, final_state.into()),
+        JobStatus::NeverAccepted => error_response(StatusCode::NOT_FOUND, "no such job"),
+        JobStatus::Indeterminate => state_unavailable(),
+    }
+}
+
+/// How a job ended, if that is in memory: final states never change. Where there are cells, users learn only
+/// what the ledger holds.
+pub fn final_state_in_memory(node: &Node, id: &str) -> Option<TerminalState> {
+    match &node.cells {
+        Some(cells) => cells.final_state(id).map(TerminalState::from),
+        None => node.core().replica.final_state(id),
+    }
+}
+
+/// The response to a repeated submission of a job, or that its status cannot be told; `None` if it was never
+/// accepted.
+pub async fn respond_if_accepted(node: &Arc<Node>, id: &str) -> Option<HttpResponse> {
+    match current_status(node, id).await {
+        JobStatus::Unfinished { stage, .. } => Some(stage_response(StatusCode::OK, id, stage)),
+        JobStatus::Ended(final_state) => {
+            Some(stage_response(StatusCode::OK, id, final_state.into()))
+        }
+        JobStatus::Indeterminate => Some(state_unavailable()),
+        JobStatus::NeverAccepted => None,
+    }
+}
+
+/// The status of a job, by a read of the state service that begins after the call, unless it is final.
+pub async fn current_status(node: &Arc<Node>, id: &str) -> JobStatus {
+    // A final state never changes, so that memory may answer it at any time.
+    if let Some(final_state) = node.core().replica.final_state(id) {
+        return JobStatus::Ended(final_state);
+    }
+    // Nor does a cancellation that another node confirmed, whether it is in the records here or not.
+    if node.peer_status().cancelled.contains(id) {
+        return JobStatus::without_tasks(Stage::Cancelled);
+    }
+    if !node.is_connected_within(STATE_TIMEOUT) || !node.read_barrier().await {
+        return JobStatus::Indeterminate;
+    }
+    // A blocked job may be cancelled by what ended before this process started.
+    let unknown = node.core().replica.unknown_ancestors(id);
+    if !unknown.is_empty() && !look_up_needs(node, unknown).await {
+        return JobStatus::Indeterminate;
+    }
+    if let Some(status) = status_in_replica(&node.core(), id) {
+        return status;
+    }
+    read_final_state(node, id).await
+}
+
+fn status_in_replica(core: &Core, id: &str) -> Option<JobStatus> {
+    if core.replica.pipelines.get(id).is_some() {
+        // Cancelled with what it depends on, whether that is in its own record yet or not.
+        let is_cancelled = core.replica.pipelines.is_doomed(id);
+        let stage = if is_cancelled {
+            Stage::Cancelled
+        } else {
+            Stage::Queued
+        };
+        return Some(JobStatus::without_tasks(stage));
+    }
+    if let Some(job) = core.replica.jobs.get(id) {
+        return Some(JobStatus::Unfinished {
+            stage: job.stage(),
+            completed: job.done,
+            placed: job.placed,
+        });
+    }
+    if let Some(final_state) = core.replica.final_state(id) {
+        return Some(JobStatus::Ended(final_state));
+    }
+    let is_unreadable = core.replica.is_unreadable(id);
+    is_unreadable.then_some(JobStatus::Indeterminate)
+}
+
+async fn read_final_state(node: &Node, id: &str) -> JobStatus {
+    let Ok(value) = node.state.get(&final_key(id)).await else {
+        return JobStatus::Indeterminate;
+    };
+    let Some(value) = value else {
+        return JobStatus::NeverAccepted;
+    };
+    let Ok(final_state) = serde_json::from_value::<TerminalState>(value) else {
+        return JobStatus::Indeterminate;
+    };
+    node.core().replica.record_final_state(id, final_state);
+    JobStatus::Ended(final_state)
+}
--- /dev/null
+++ b/src/api/submit.rs
@@ -0,0 +1,185 @@
+//! Submissions by users: a job is accepted by one guarded write. Whether it is admitted is decided in
+//! [`super::admission`].
+
+use super::Server;
+use super::admission::{Admission, admit};
+use super::dependencies::{DependencyState, resolve_dependencies};
+use super::responses::{overloaded, stage_response, state_unavailable};
+use super::status::{STATE_TIMEOUT, final_state_in_memory, respond_if_accepted};
+use crate::cells::requests;
+use crate::http::{HttpResponse, error_response};
+use crate::jobs::{JobRecord, JobSpec, SpecError, Stage, StoredJob, Submission, TerminalState};
+use crate::membership;
+use crate::metrics::CpuAccount;
+use crate::node::{Node, wall_ms};
+use crate::state::{Operation, Precondition, TransactionError, final_key, job_key};
+use hyper::StatusCode;
+use rowanmill_state::WritePriority;
+use std::sync::Arc;
+
+/// Part of the requests in progress from which on submissions are refused: they give way to polls and to
+/// cancellations.
+const SUBMISSION_SHARE: f64 = 0.8;
+/// The revision of a key without a value.
+const ABSENT: u64 = 0;
+
+/// Answers a submission. One of a job that was accepted before gets the job's stage.
+pub async fn submit(server: &Server, body: &[u8]) -> HttpResponse {
+    let node = &server.node;
+    let Submission {
+        spec,
+        awaits: depends_on,
+    } = match parse(node, body) {
+        Ok(submission) => submission,
+        Err(problem) => return refuse_unreadable(server, body, &problem).await,
+    };
+    let id = spec.id.clone();
+    node.core().metrics.submissions += 1;
+    if let Some(final_state) = final_state_in_memory(node, &id) {
+        return stage_response(StatusCode::OK, &id, final_state.into());
+    }
+    let Some(_permit) = server.limit.try_acquire(SUBMISSION_SHARE) else {
+        return overloaded();
+    };
+    if !node.is_connected_within(STATE_TIMEOUT) {
+        return state_unavailable();
+    }
+    // A known job's status must be read after the request; for a new one the preconditions of its
+    // record say the same.
+    let seems_known = node.core().replica.is_known(&id);
+    let record = new_record(spec);
+    let mut admission = admit(node, &record, &depends_on);
+    if let Some(cells) = &node.cells {
+        let (job, depends_on) = (record.clone(), depends_on.clone());
+        match requests::submit(server, cells, job, depends_on, admission).await {
+            Some(response) => return response,
+            // Only this cell knows the job.
+            None => admission = Admission::Admitted,
+        }
+    }
+    if (seems_known || admission != Admission::Admitted)
+        && let Some(response) = respond_if_accepted(node, &id).await
+    {
+        return response;
+    }
+    if admission != Admission::Admitted {
+        return admission.refusal();
+    }
+    accept(node, record, depends_on).await
+}
+
+fn parse(node: &Node, body: &[u8]) -> Result<Submission, SpecError> {
+    let _charge = node.processor_time.charge(CpuAccount::UserRequests);
+    Submission::read(body)
+}
+
+fn new_record(spec: JobSpec) -> JobRecord {
+    JobRecord {
+        spec,
+        accepted_ms: wall_ms(),
+        cancelled: false,
+        placer: None,
+        released_ms: None,
+        ledger: None,
+        foreign: false,
+        withdrawn: false,
+    }
+}
+
+/// Refuses a body that cannot be read as a submission. A job that was accepted is known whatever a repeat of
+/// it carries: a 400 would tell its user that it is not.
+async fn refuse_unreadable(server: &Server, body: &[u8], problem: &SpecError) -> HttpResponse {
+    let refusal = || error_response(StatusCode::BAD_REQUEST, &problem.to_string());
+    let Some(id) = Submission::names(body) else {
+        return refusal();
+    };
+    let Some(_permit) = server.limit.try_acquire(SUBMISSION_SHARE) else {
+        return overloaded();
+    };
+    if let Some(cells) = &server.node.cells
+        && let Some(response) = requests::answer_if_known(&server.node, cells, &id).await
+    {
+        return response;
+    }
+    let response = respond_if_accepted(&server.node, &id).await;
+    response.unwrap_or_else(refusal)
+}
+
+/// Accepts an admitted job: writes its record, on condition that there is none.
+async fn accept(node: &Arc<Node>, mut record: JobRecord, depends_on: Vec<String>) -> HttpResponse {
+    let dependencies = match resolve_dependencies(node, &depends_on).await {
+        Ok(dependencies) => dependencies,
+        Err(problem) => return problem.refusal(),
+    };
+    if node.state.available_writes(WritePriority::UserFacing) == 0 {
+        return overloaded();
+    }
+    if dependencies == DependencyState::Completed {
+        record.placer = membership::choose_placer(node, &mut node.core(), &record);
+    }
+    let id = record.spec.id.clone();
+    let preconditions = [job_key(&id), final_key(&id)].map(|key| Precondition {
+        key,
+        revision: ABSENT,
+    });
+    let (put, stage) = first_record(record, depends_on, dependencies);
+    let written = node
+        .state
+        .compare_and_swap(&preconditions, std::slice::from_ref(&put))
+        .await;
+    match written {
+        Ok(revision) => {
+            apply_acceptance(node, &id, dependencies, put, revision);
+            stage_response(StatusCode::CREATED, &id, stage)
+        }
+        Err(TransactionError::Conflict(_)) => respond_if_accepted(node, &id)
+            .await
+            .unwrap_or_else(state_unavailable),
+        Err(_) => state_unavailable(),
+    }
+}
+
+/// The record of a job as it is accepted, and the stage that its user is told.
+fn first_record(
+    record: JobRecord,
+    depends_on: Vec<String>,
+    dependencies: DependencyState,
+) -> (Operation, Stage) {
+    let id = record.spec.id.clone();
+    match dependencies {
+        DependencyState::Completed => {
+            let open = StoredJob::Open(record);
+            (Operation::put(job_key(&id), &open), Stage::Queued)
+        }
+        DependencyState::Unfinished => {
+            let blocked = StoredJob::Blocked {
+                record,
+                awaits: depends_on,
+            };
+            (Operation::put(job_key(&id), &blocked), Stage::Queued)
+        }
+        // It depends on a cancelled job, and so it has ended: it is accepted all the same.
+        DependencyState::Cancelled => {
+            let put = Operation::put(final_key(&id), &TerminalState::Cancelled);
+            (put, Stage::Cancelled)
+        }
+    }
+}
+
+fn apply_acceptance(
+    node: &Node,
+    id: &str,
+    dependencies: DependencyState,
+    put: Operation,
+    revision: u64,
+) {
+    let mut core = node.core();
+    if dependencies == DependencyState::Cancelled {
+        core.replica
+            .record_final_state(id, TerminalState::Cancelled);
+    } else {
+        core.apply(vec![put], revision);
+    }
+    drop(core);
+    node.wake_up.notify_one();
+}
--- a/src/cells/requests/mod.rs
+++ b/src/cells/requests/mod.rs
@@ -9,8 +9,9 @@
 pub use cancel::cancel;
 pub use submit::submit;
 
-use crate::api::users::{Known, current_state, told, told_progress};
-use crate::http::{HttpResponse, error_response, json_response, retry_later};
+use crate::api::responses::{progress_response, stage_response};
+use crate::api::status::{JobStatus, current_status};
+use crate::http::{HttpResponse, error_response, retry_later};
 use crate::jobs::{Stage, TerminalState};
 use crate::node::Node;
 use hyper::StatusCode;
@@ -32,7 +33,7 @@
 }
 
 fn in_stage(id: &str, stage: Stage) -> HttpResponse {
-    json_response(StatusCode::OK, &told(id, stage))
+    stage_response(StatusCode::OK, id, stage)
 }
 
 fn ended(id: &str, final_state: impl Into<TerminalState>) -> HttpResponse {
@@ -41,7 +42,7 @@
 
 /// A stage in which no task counts as running or done.
 fn without_tasks(id: &str, stage: Stage) -> HttpResponse {
-    told_progress(id, stage, 0, 0)
+    progress_response(id, stage, 0, 0)
 }
 
 /// Answers a poll.
@@ -90,7 +91,7 @@
         0 => Stage::Queued,
         _ => Stage::Running,
     };
-    told_progress(id, stage, job.done, job.placed)
+    progress_response(id, stage, job.done, job.placed)
 }
 
 /// Answers a poll of a job that the ledger never had. If this cell has it from the ledger all the same, the
@@ -108,11 +109,15 @@
 }
 
 async fn poll_local(node: &Arc<Node>, id: &str) -> HttpResponse {
-    match current_state(node, id).await {
-        Known::Live(stage, done, placed) => told_progress(id, stage, done, placed),
-        Known::Over(final_state) => ended(id, final_state),
-        Known::Never => error_response(StatusCode::NOT_FOUND, "no such job"),
-        Known::Unclear => ledger_unavailable(),
+    match current_status(node, id).await {
+        JobStatus::Unfinished {
+            stage,
+            completed,
+            placed,
+        } => progress_response(id, stage, completed, placed),
+        JobStatus::Ended(final_state) => ended(id, final_state),
+        JobStatus::NeverAccepted => error_response(StatusCode::NOT_FOUND, "no such job"),
+        JobStatus::Indeterminate => ledger_unavailable(),
     }
 }
 
--- a/src/cells/requests/submit.rs
+++ b/src/cells/requests/submit.rs
@@ -2,10 +2,12 @@
 
 use super::{RETRY_AFTER_S, answer_if_known, ended, in_stage, is_local, ledger_unavailable};
 use crate::api::Server;
-use crate::api::users::{Known, Verdict, current_state, refuse_for, told};
+use crate::api::admission::Admission;
+use crate::api::responses::stage_response;
+use crate::api::status::{JobStatus, current_status};
 use crate::cells::CellScheduler;
 use crate::cells::scheduler::NO_REVISION;
-use crate::http::{HttpResponse, error_response, json_response, retry_later};
+use crate::http::{HttpResponse, error_response, retry_later};
 use crate::jobs::{JobRecord, Stage};
 use crate::node::Node;
 use hyper::StatusCode;
@@ -27,13 +29,13 @@
     cells: &Arc<CellCoordinator>,
     record: JobRecord,
     depends_on: Vec<String>,
-    verdict: Verdict,
+    admission: Admission,
 ) -> Option<HttpResponse> {
     let node = &server.node;
     if is_local(node, &record.spec.id) {
         return None;
     }
-    let answered = match check(node, cells, &record.spec.id, &depends_on, &verdict).await {
+    let answered = match check(node, cells, &record.spec.id, &depends_on, &admission).await {
         Ok(()) => publish(node, cells, record, depends_on).await,
         Err(answer) => answer,
     };
@@ -46,19 +48,19 @@
     cells: &CellCoordinator,
     id: &str,
     depends_on: &[String],
-    verdict: &Verdict,
+    admission: &Admission,
 ) -> Result<(), HttpResponse> {
     if !cells.ledger_responded_within(LEDGER_TIMEOUT) {
         return Err(ledger_unavailable());
     }
-    let is_acceptable = *verdict == Verdict::Takes;
+    let is_acceptable = *admission == Admission::Admitted;
     if !is_acceptable || cells.is_cached(id) {
         // A job that was accepted is known whatever a repeat of it looks like.
         if let Some(answer) = answer_if_known(node, cells, id).await {
             return Err(answer);
         }
         if !is_acceptable {
-            return Err(refuse_for(verdict));
+            return Err(admission.refusal());
         }
     }
     check_dependencies(cells, depends_on).await?;
@@ -94,11 +96,11 @@
     cells: &CellCoordinator,
     id: &str,
 ) -> Result<(), HttpResponse> {
-    match current_state(node, id).await {
-        Known::Live(stage, ..) if is_local(node, id) => Err(in_stage(id, stage)),
-        Known::Over(final_state) if !cells.is_cached(id) => Err(ended(id, final_state)),
-        Known::Unclear => Err(ledger_unavailable()),
-        Known::Never | Known::Live(..) | Known::Over(_) => Ok(()),
+    match current_status(node, id).await {
+        JobStatus::Unfinished { stage, .. } if is_local(node, id) => Err(in_stage(id, stage)),
+        JobStatus::Ended(final_state) if !cells.is_cached(id) => Err(ended(id, final_state)),
+        JobStatus::Indeterminate => Err(ledger_unavailable()),
+        JobStatus::NeverAccepted | JobStatus::Unfinished { .. } | JobStatus::Ended(_) => Ok(()),
     }
 }
 
@@ -114,14 +116,14 @@
     let job = LedgerJob::accepted_by(cell, record.accepted_ms, depends_on, description);
     let bytes = serde_json::to_vec(&job).map_or(usize::MAX, |text| text.len());
     if bytes + RECORD_GROWTH_BYTES > cells.config().value_bytes() {
-        return refuse_for(&Verdict::TooLarge);
+        return Admission::RecordTooLarge.refusal();
     }
     match cells.publish(&id, &job).await {
         PublishOutcome::Accepted(ownership) => {
             if job.depends_on.is_empty() {
                 adopt_in_background(node, cells, record, ownership);
             }
-            json_response(StatusCode::CREATED, &told(&id, Stage::Queued))
+            stage_response(StatusCode::CREATED, &id, Stage::Queued)
         }
         PublishOutcome::AlreadyKnown => answer_if_known(node, cells, &id)
             .await
--- a/src/cells/scheduler.rs
+++ b/src/cells/scheduler.rs
@@ -4,7 +4,7 @@
 use super::attestation;
 use super::local_state::{capacity_summary, local_job_state, tracked_jobs};
 use super::protection::{self, ProtectionExclusion};
-use crate::api::users::{Verdict, check_acceptance, fits};
+use crate::api::admission::{Admission, check_eligibility, record_fits};
 use crate::jobs::{JobRecord, Relinquished, SpecError, StoredJob, Submission};
 use crate::membership;
 use crate::node::{Core, Node, wall_ms};
@@ -78,19 +78,23 @@
         if let Some(exclusion) = self.exclusion_of(&record) {
             return Err(Refusal::Ineligible(exclusion.to_string()));
         }
-        match self.verdict_on(&record) {
-            Verdict::Takes => Ok(record),
-            Verdict::Never(reason) => Err(Refusal::Ineligible(reason.to_owned())),
-            Verdict::TooLarge => Err(Refusal::Ineligible("more than a record takes".to_owned())),
-            Verdict::Undecided | Verdict::NoMemory | Verdict::NotYet => Err(Refusal::Undetermined),
+        match self.admission_of(&record) {
+            Admission::Admitted => Ok(record),
+            Admission::Ineligible(reason) => Err(Refusal::Ineligible(reason.to_owned())),
+            Admission::RecordTooLarge => {
+                Err(Refusal::Ineligible("more than a record takes".to_owned()))
+            }
+            Admission::CatalogueUnknown
+            | Admission::MemoryShort
+            | Admission::DependenciesUnsupported => Err(Refusal::Undetermined),
         }
     }
 
-    fn verdict_on(&self, record: &JobRecord) -> Verdict {
-        if fits(&self.node, record, &[]) {
-            check_acceptance(&self.node, &record.spec, &[])
+    fn admission_of(&self, record: &JobRecord) -> Admission {
+        if record_fits(&self.node, record, &[]) {
+            check_eligibility(&self.node, &record.spec, &[])
         } else {
-            Verdict::TooLarge
+            Admission::RecordTooLarge
         }
     }
 
--- a/src/renting/service.rs
+++ b/src/renting/service.rs
@@ -78,7 +78,7 @@
 
 const PAUSE: Duration = Duration::from_millis(500);
 
-/// Fetches the catalogue on every node, which needs it to check_acceptance submissions, and does the
+/// Fetches the catalogue on every node, which needs it to admit submissions, and does the
 /// leader's business with the cloud.
 pub async fn run(node: Arc<Node>) {
     let mut catalog_at: Option<Instant> = None;
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -29,7 +29,7 @@
         let records = machines.div_ceil(max_machines_per_rental(s.max_value_bytes()));
         // The leader writes ten records at a time and waits for each answer.
         let takeover = s.presence_ttl() + Duration::from_millis(700) * records.div_ceil(10) as u32;
-        assert!(machines + 200 < sockets - crate::api::OWN_SOCKETS);
+        assert!(machines + 200 < sockets - crate::api::RESERVED_SOCKETS);
         assert!(takeover < s.worker_lease());
         assert!(
             s.disconnected_lease_limit() + s.worker_lease() < Duration::from_secs_f64(cancel_s)
--- a/src/testing/compatibility/interfaces.rs
+++ b/src/testing/compatibility/interfaces.rs
@@ -1,8 +1,11 @@
 //! What users, workers and the load balancer are answered, byte for byte, and what is read of what they
 //! send. A controller's HTTP server runs as in production; its records are put there by the test.
 
-use crate::api::users::{Verdict, abort, poll, refuse_for, submit};
-use crate::api::{self, Server, limit::Limit};
+use crate::api::admission::Admission;
+use crate::api::cancel::cancel;
+use crate::api::status::poll;
+use crate::api::submit::submit;
+use crate::api::{self, Server, limit::ConcurrencyLimit};
 use crate::background::BackgroundTasks;
 use crate::cloud::MachineType;
 use crate::fleet::{MachinePool, MachineState, Rental, RentedMachine};
@@ -165,7 +168,7 @@
         self.ask(what, "GET", &format!("/v1/jobs/{id}"), "");
     }
 
-    fn abort(&mut self, what: &str, id: &str) {
+    fn cancel(&mut self, what: &str, id: &str) {
         self.ask(what, "POST", &format!("/v1/jobs/{id}/abort"), "");
     }
 
@@ -235,21 +238,21 @@
     store(state, "r/p/job-1/0", json!([[1, "vm-1", 1], true])).await;
     served.poll("one task runs and one is done", "job-1");
     served.submit("a repeat while it runs", &job("job-1"));
-    served.abort("its user cancels it", "job-1");
-    served.abort("and again", "job-1");
+    served.cancel("its user cancels it", "job-1");
+    served.cancel("and again", "job-1");
     served.poll("it is cancelled", "job-1");
     served.submit("a repeat of a cancelled job", &job("job-1"));
     store(state, "e/job-2", json!("done")).await;
     served.poll("a job that is done", "job-2");
-    served.abort("its user cancels it too late", "job-2");
+    served.cancel("its user cancels it too late", "job-2");
     served.submit("a repeat of a job that is done", &job("job-2"));
     store(state, "e/job-3", json!("cancelled")).await;
     served.poll("a job that ended cancelled", "job-3");
     served.submit("a repeat of that", &job("job-3"));
     served.poll("a job that nobody submitted", "job-99");
-    served.abort("its cancellation", "job-99");
+    served.cancel("its cancellation", "job-99");
     served.poll("no id", "train-1");
-    served.abort("cancellation of no id", "train-1");
+    served.cancel("cancellation of no id", "train-1");
     let needs = |id, needed| with(job(id), json!({"awaits": [needed]}));
     served.submit(
         "one that waits, before all controllers can",
@@ -274,7 +277,7 @@
     served.poll("it is cancelled with it", "job-6");
     served.submit("one that waits for none", &needs("job-7", "job-98"));
     served.submit("one that waits for itself", &needs("job-7", "job-7"));
-    served.abort("cancellation of what is waited for", "job-4");
+    served.cancel("cancellation of what is waited for", "job-4");
     served.poll("what waited for it is cancelled", "job-5");
     served.node.core().kinds.clear();
     served.submit("a new job before the catalogue is known", &job("job-8"));
@@ -342,16 +345,19 @@
 #[tokio::test]
 async fn each_verdict_on_a_new_job_has_its_answer() {
     let verdicts = [
-        ("it can never run", Verdict::Never("unknown team")),
-        ("more than a record takes", Verdict::TooLarge),
-        ("not decided yet", Verdict::Undecided),
-        ("memory is short", Verdict::NoMemory),
-        ("it waits, and not all controllers can", Verdict::NotYet),
-        ("to be taken", Verdict::Takes),
+        ("it can never run", Admission::Ineligible("unknown team")),
+        ("more than a record takes", Admission::RecordTooLarge),
+        ("not decided yet", Admission::CatalogueUnknown),
+        ("memory is short", Admission::MemoryShort),
+        (
+            "it waits, and not all controllers can",
+            Admission::DependenciesUnsupported,
+        ),
+        ("to be taken", Admission::Admitted),
     ];
     let mut trace = String::new();
-    for (what, verdict) in verdicts {
-        let answer = answer_text(refuse_for(&verdict)).await;
+    for (what, admission) in verdicts {
+        let answer = answer_text(admission.refusal()).await;
         writeln!(trace, "== {what}\n{answer}").unwrap();
     }
     insta::assert_snapshot!(trace);
@@ -362,16 +368,16 @@
     let served = Served::by_hand().await;
     let server = Server {
         node: served.node.clone(),
-        limit: Limit::new(),
+        limit: ConcurrencyLimit::new(),
     };
     let mut permits = Vec::new();
-    while let Some(permit) = server.limit.enter(1.0) {
+    while let Some(permit) = server.limit.try_acquire(1.0) {
         permits.push(permit);
     }
     let body = job("job-1").to_string();
     let submitted = answer_text(submit(&server, body.as_bytes()).await).await;
     let polled = answer_text(poll(&server, "job-1").await).await;
-    let aborted = answer_text(abort(&server, "job-1").await).await;
+    let aborted = answer_text(cancel(&server, "job-1").await).await;
     let broken = answer_text(submit(&server, br#"{"nameId":"job-1"}"#).await).await;
     insta::assert_snapshot!(format!(
         "submitted\n{submitted}polled\n{polled}cancelled\n{aborted}a body that is none\n{broken}"
@@ -385,7 +391,7 @@
     served.submit("submitted", &job("job-1"));
     served.submit("a body that is none", &json!({"nameId": "job-1"}));
     served.poll("polled", "job-1");
-    served.abort("cancelled", "job-1");
+    served.cancel("cancelled", "job-1");
     served.poll("no id is answered all the same", "train-1");
     insta::assert_snapshot!(served.trace);
 }
@@ -427,7 +433,7 @@
     served.submit("submitted", &job("job-1"));
     served.submit("a body that is none", &json!({"nameId": "job-1"}));
     served.poll("polled", "job-1");
-    served.abort("cancelled", "job-1");
+    served.cancel("cancelled", "job-1");
     insta::assert_snapshot!(served.trace);
 }
 
@@ -473,10 +479,10 @@
     served.submit("a repeat of it", &job("job-3"));
     served.poll("a job that is done", "job-4");
     served.submit("a repeat of it", &job("job-4"));
-    served.abort("its cancellation", "job-4");
+    served.cancel("its cancellation", "job-4");
     served.poll("a job that ended cancelled", "job-5");
     served.poll("a job that nobody submitted", "job-99");
-    served.abort("its cancellation", "job-99");
+    served.cancel("its cancellation", "job-99");
     let needs = with(job("job-6"), json!({"awaits": ["job-98"]}));
     store(state_addr, "r/forms", begun(&served)).await;
     let node = served.node.clone();
--- a/src/testing/fleet_scale.rs
+++ b/src/testing/fleet_scale.rs
@@ -4,8 +4,8 @@
 
 use super::load_profile::{Cloud, Fleet, Kind, Load, body_of, serve_apart};
 use crate::api::Server;
-use crate::api::limit::Limit;
-use crate::api::users;
+use crate::api::limit::ConcurrencyLimit;
+use crate::api::submit;
 use crate::background::BackgroundTasks;
 use crate::membership::{leader_revision, schema_versions};
 use crate::metrics::memory;
@@ -206,11 +206,11 @@
 }
 
 async fn submit_all(node: Arc<Node>) {
-    let limit = Limit::new();
+    let limit = ConcurrencyLimit::new();
     let server = Server { node, limit };
     for number in 0..JOBS {
         let body = job(number).to_string();
-        while !users::submit(&server, body.as_bytes())
+        while !submit::submit(&server, body.as_bytes())
             .await
             .status()
             .is_success()
--- a/src/testing/load_profile.rs
+++ b/src/testing/load_profile.rs
@@ -3,8 +3,8 @@
 //! are the stand-ins. `docs/design.md` says how to start it.
 
 use crate::api::Server;
-use crate::api::limit::Limit;
-use crate::api::users;
+use crate::api::limit::ConcurrencyLimit;
+use crate::api::submit;
 use crate::background::BackgroundTasks;
 use crate::metrics::CpuAccount;
 use crate::node::Node;
@@ -311,7 +311,7 @@
 async fn submit(load: &'static Load, node: Arc<Node>) {
     let server = Arc::new(Server {
         node,
-        limit: Limit::new(),
+        limit: ConcurrencyLimit::new(),
     });
     let mut rng = StdRng::seed_from_u64(1);
     let began = Instant::now();
@@ -326,7 +326,7 @@
         }
         let number = if gang { gangs * 2 } else { arrays * 2 + 1 };
         let body = job(load, number, gang, &mut rng).to_string();
-        let answer = users::submit(&server, body.as_bytes()).await;
+        let answer = submit::submit(&server, body.as_bytes()).await;
         if !answer.status().is_success() {
             tokio::time::sleep(Duration::from_millis(100)).await;
             continue;
