--- a/crates/rowanmill-cells/src/service/requests.rs
+++ b/crates/rowanmill-cells/src/service/requests.rs
@@ -137,7 +137,7 @@
         let Some(value) = self.ledger.get(&final_key(id)).await? else {
             return Ok(None);
         };
-        let final_state = serde_json::from_value(value).map_err(|_| ReadError::Failed)?;
+        let final_state = serde_json::from_value(value)?;
         self.view().replica.record_final_state(id, final_state);
         Ok(Some(final_state))
     }
--- a/crates/rowanmill-cells/src/service/watch.rs
+++ b/crates/rowanmill-cells/src/service/watch.rs
@@ -162,7 +162,7 @@
         match coordinator.read_log(scheduler, hold).await {
             Ok(()) => tokio::time::sleep(coordinator.ledger.watch_interval()).await,
             Err(ReadError::Compacted | ReadError::LeaseExpired) => return,
-            Err(ReadError::Failed) => {
+            Err(ReadError::Failed(_)) => {
                 coordinator.obtain_attestations(scheduler).await;
                 tokio::time::sleep(RETRY_DELAY).await;
             }
--- a/crates/rowanmill-state/src/client/tests.rs
+++ b/crates/rowanmill-state/src/client/tests.rs
@@ -17,19 +17,19 @@
         trace.push_str(&format!("{what}: {left} now, {rate} a second\n"));
     };
     say("at first", &client);
-    client.note_refusal();
+    client.record_refusal();
     say("one refusal", &client);
-    client.note_refusal();
-    client.note_refusal();
+    client.record_refusal();
+    client.record_refusal();
     say("three", &client);
     let unchanging = StateClient::new(addr, quota(10.0), quota(10.0));
-    (0..5).for_each(|_| unchanging.note_refusal());
+    (0..5).for_each(|_| unchanging.record_refusal());
     assert!(!unchanging.has_lower_quota());
     let told = StateClient::new(addr, quota(10.0), quota(7.0));
     told.adopt_lower_quota();
     say("told by another", &told);
     told.set_peers_short_of_writes(true);
-    assert!(told.write_headroom() <= LEFT_TO_OTHERS);
+    assert!(told.write_headroom() <= MAX_HEADROOM_WHILE_PEERS_SHORT);
     insta::assert_snapshot!(trace, @r#"
     at first: 8 now, 10 a second
     one refusal: 0 now, 10 a second
--- a/crates/rowanmill-state/src/http.rs
+++ b/crates/rowanmill-state/src/http.rs
@@ -1,5 +1,7 @@
-//! A small HTTP/1.1 client over hyper: kept connections to one address, and a limit on time.
+//! A small HTTP/1.1 client over hyper: kept connections to one address, and a timeout on each call. It
+//! repeats nothing.
 
+use crate::sync::lock;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::client::conn::http1::{SendRequest, handshake};
@@ -10,15 +12,35 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Why a call has no answer.
+/// Why a call has no answer, by what may have become of the request.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// The connection never came up: the request was not executed.
     #[error("no connection")]
-    Unconnected,
+    Unconnected(#[source] TransportError),
     /// The request may have left: it may have been executed, or may be executed yet.
     #[error("no answer")]
-    Unanswered,
+    Unanswered(#[source] TransportError),
+}
+
+/// What failed below the call.
+#[derive(Debug, thiserror::Error)]
+pub enum TransportError {
+    /// The connection could not be made.
+    #[error("connect")]
+    Connect(#[from] std::io::Error),
+    /// The exchange of HTTP messages failed.
+    #[error("exchange")]
+    Http(#[from] hyper::Error),
+    /// The request cannot be expressed in HTTP.
+    #[error("request")]
+    Request(#[from] hyper::http::Error),
+    /// The response's body broke off or is too long.
+    #[error("body")]
+    Body(#[source] Box<dyn std::error::Error + Send + Sync>),
+    /// No complete response within this time.
+    #[error("timeout after {0:?}")]
+    Timeout(Duration),
 }
 
 /// Calls to one address over kept connections.
@@ -26,24 +48,25 @@
     addr: SocketAddr,
     host: String,
     idle: Mutex<Vec<SendRequest<Full<Bytes>>>>,
-    most_idle: usize,
+    max_idle: usize,
 }
 
-const MOST_BODY: usize = 64 << 20;
+/// The longest body of a response that is read.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
 impl Client {
-    /// A client that keeps at most so many idle connections.
-    pub fn new(addr: SocketAddr, most_idle: usize) -> Self {
+    /// A client that keeps at most `max_idle` idle connections.
+    pub fn new(addr: SocketAddr, max_idle: usize) -> Self {
         Self {
             addr,
             host: addr.to_string(),
             idle: Mutex::default(),
-            most_idle,
+            max_idle,
         }
     }
 
     fn take_idle(&self) -> Option<SendRequest<Full<Bytes>>> {
-        let mut idle = self.idle.lock().unwrap();
+        let mut idle = lock(&self.idle);
         while let Some(sender) = idle.pop() {
             if sender.is_ready() {
                 return Some(sender);
@@ -53,32 +76,34 @@
     }
 
     fn put_idle(&self, sender: SendRequest<Full<Bytes>>) {
-        let mut idle = self.idle.lock().unwrap();
-        if idle.len() < self.most_idle {
+        let mut idle = lock(&self.idle);
+        if idle.len() < self.max_idle {
             idle.push(sender);
         }
     }
 
     async fn connect(&self) -> Result<SendRequest<Full<Bytes>>, CallError> {
         let stream = TcpStream::connect(self.addr).await;
-        let stream = stream.map_err(|_| CallError::Unconnected)?;
+        let stream = stream.map_err(|error| CallError::Unconnected(error.into()))?;
+        // Without it calls are slower, and as right.
         let _ = stream.set_nodelay(true);
         let (sender, connection) = handshake(TokioIo::new(stream))
             .await
-            .map_err(|_| CallError::Unconnected)?;
+            .map_err(|error| CallError::Unconnected(error.into()))?;
         tokio::spawn(async move {
+            // Whoever waits for an answer on the connection is told of its error.
             let _ = connection.await;
         });
         Ok(sender)
     }
 
-    /// One request, answered within the limit or not at all.
+    /// One request, answered within `timeout` or not at all.
     pub async fn call(
         &self,
         method: Method,
         path: &str,
         body: Bytes,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(StatusCode, Bytes), CallError> {
         let request = Request::builder()
             .method(method)
@@ -86,7 +111,7 @@
             .header("host", &self.host)
             .header("content-type", "application/json")
             .body(Full::new(body))
-            .map_err(|_| CallError::Unconnected)?;
+            .map_err(|error| CallError::Unconnected(error.into()))?;
         let mut connected = false;
         let exchange = async {
             let mut sender = match self.take_idle() {
@@ -95,22 +120,24 @@
             };
             connected = true;
             let response = sender.send_request(request).await;
-            let response = response.map_err(|_| CallError::Unanswered)?;
+            let response = response.map_err(|error| CallError::Unanswered(error.into()))?;
             let status = response.status();
-            let body = Limited::new(response.into_body(), MOST_BODY)
+            let body = Limited::new(response.into_body(), MAX_BODY_BYTES)
                 .collect()
                 .await;
-            let body = body.map_err(|_| CallError::Unanswered)?.to_bytes();
+            let body = body
+                .map_err(|error| CallError::Unanswered(TransportError::Body(error)))?
+                .to_bytes();
             if sender.ready().await.is_ok() {
                 self.put_idle(sender);
             }
             Ok((status, body))
         };
-        let outcome = tokio::time::timeout(limit, exchange).await;
+        let outcome = tokio::time::timeout(timeout, exchange).await;
         match outcome {
             Ok(outcome) => outcome,
-            Err(_) if connected => Err(CallError::Unanswered),
-            Err(_) => Err(CallError::Unconnected),
+            Err(_) if connected => Err(CallError::Unanswered(TransportError::Timeout(timeout))),
+            Err(_) => Err(CallError::Unconnected(TransportError::Timeout(timeout))),
         }
     }
 }
--- a/crates/rowanmill-state/src/lib.rs
+++ b/crates/rowanmill-state/src/lib.rs
@@ -1,13 +1,19 @@
-//! The state service's client: transactions, leases and the log, within a node's share of the
-//! service's limits. What is stored under which key is the caller's own matter.
+//! The state service's client: transactions, reads, the watch and leases, within one controller's quota
+//! of the service's limits. What is stored under which key is the caller's own matter.
 #![deny(missing_docs)]
 
 pub mod client;
+pub mod counters;
+pub mod error;
 pub mod http;
+pub mod messages;
+pub mod quota;
 pub mod rate_limit;
+mod sync;
 
-pub use client::{
-    KeyValue, Listing, Operation, Precondition, ReadError, RequestCounters, ServiceQuota,
-    StateClient, TransactionError, WatchEvent, WatchResponse,
-};
+pub use client::StateClient;
+pub use counters::RequestCounters;
+pub use error::{ReadError, RequestError, TransactionError};
+pub use messages::{KeyValue, Listing, Operation, Precondition, WatchEvent, WatchResponse};
+pub use quota::ServiceQuota;
 pub use rate_limit::{RateLimiter, WritePriority};
--- a/crates/rowanmill-state/tests/protocol.rs
+++ b/crates/rowanmill-state/tests/protocol.rs
@@ -50,10 +50,10 @@
     match outcome {
         Ok(revision) => format!("applied at revision {revision}"),
         Err(TransactionError::Conflict(keys)) => format!("guards failed: {}", keys.join(", ")),
-        Err(TransactionError::Refused) => "not executed, may be sent again".to_owned(),
+        Err(TransactionError::Refused(_)) => "not executed, may be sent again".to_owned(),
         Err(TransactionError::Malformed) => "refused for good".to_owned(),
         Err(TransactionError::LeaseExpired) => "its lease is over".to_owned(),
-        Err(TransactionError::Unknown) => "may have been executed, or may be yet".to_owned(),
+        Err(TransactionError::Unknown(_)) => "may have been executed, or may be yet".to_owned(),
     }
 }
 
@@ -61,7 +61,7 @@
     match problem {
         ReadError::Compacted => "the log does not go back that far".to_owned(),
         ReadError::LeaseExpired => "the lease is over".to_owned(),
-        ReadError::Failed => "nothing is known".to_owned(),
+        ReadError::Failed(_) => "nothing is known".to_owned(),
     }
 }
 
@@ -88,7 +88,7 @@
     )
 }
 
-fn guards() -> Vec<Precondition> {
+fn preconditions() -> Vec<Precondition> {
     vec![
         Precondition::absent("a/new".to_owned()),
         Precondition {
@@ -98,7 +98,7 @@
     ]
 }
 
-fn changes() -> Vec<Operation> {
+fn operations() -> Vec<Operation> {
     vec![
         Operation::put("a/b".to_owned(), &json!({"count": 1, "share": 0.5})),
         Operation::put("a/new".to_owned(), &json!([1, "x", null])).with_lease(7),
@@ -130,12 +130,17 @@
     ];
     for (what, reply) in replies {
         let call = async |client: StateClient| {
-            transaction_text(client.compare_and_swap(&guards(), &changes()).await)
+            transaction_text(
+                client
+                    .compare_and_swap(&preconditions(), &operations())
+                    .await,
+            )
         };
         trace.call(what, &[reply], call).await;
     }
-    let compare =
-        async |client: StateClient| transaction_text(client.compare_and_swap(&guards(), &[]).await);
+    let compare = async |client: StateClient| {
+        transaction_text(client.compare_and_swap(&preconditions(), &[]).await)
+    };
     let reply = answer(200, r#"{"ledger":432}"#);
     trace.call("a comparison alone", &[reply], compare).await;
     let none =
@@ -151,8 +156,10 @@
     let addr = closed.local_addr().unwrap();
     drop(closed);
     let client = StateClient::new(addr, SHARE, SHARE);
-    let outcome = client.compare_and_swap(&guards(), &changes()).await;
-    assert!(matches!(outcome, Err(TransactionError::Refused)));
+    let outcome = client
+        .compare_and_swap(&preconditions(), &operations())
+        .await;
+    assert!(matches!(outcome, Err(TransactionError::Refused(_))));
 }
 
 #[tokio::test]
--- a/src/cells/scheduler.rs
+++ b/src/cells/scheduler.rs
@@ -184,7 +184,7 @@
                 Ok(())
             }
             Err(error) => {
-                if !matches!(error, TransactionError::Refused) {
+                if !matches!(error, TransactionError::Refused(_)) {
                     // The records in memory may be outdated.
                     node.read_barrier().await;
                 }
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -128,8 +128,8 @@
 impl From<CallError> for CloudError {
     fn from(error: CallError) -> Self {
         match error {
-            CallError::Unconnected => CloudError::NotExecuted,
-            CallError::Unanswered => CloudError::OutcomeUnknown,
+            CallError::Unconnected(_) => CloudError::NotExecuted,
+            CallError::Unanswered(_) => CloudError::OutcomeUnknown,
         }
     }
 }
--- a/src/jobs/writer/outcome.rs
+++ b/src/jobs/writer/outcome.rs
@@ -89,7 +89,7 @@
 /// Not executed, or unknown: starts are decided again from the records as they then are. A write that is
 /// still in flight carries the page's old revision, and loses to the next one.
 fn apply_unavailable(core: &mut Core, writes: &[PendingPageWrite], error: &TransactionError) {
-    if matches!(error, TransactionError::Unknown) {
+    if matches!(error, TransactionError::Unknown(_)) {
         for charge in writes.iter().filter_map(|write| write.charge.as_ref()) {
             core.limits.record_in_doubt(charge);
         }
--- a/src/jobs/writer/tests.rs
+++ b/src/jobs/writer/tests.rs
@@ -434,9 +434,9 @@
         revision: 20,
     };
     core.replica.apply(vec![drop], 20);
-    core.apply(vec![Operation::put("r/m/r-1".into(), &record)], 12);
+    core.apply(vec![Operation::put("r/m/r-1", &record)], 12);
     assert!(core.replica.fleet.rentals.is_empty());
-    core.apply(vec![Operation::put("r/m/r-3".into(), &record)], 21);
+    core.apply(vec![Operation::put("r/m/r-3", &record)], 21);
     assert!(core.replica.fleet.rentals.contains_key("r-3"));
 }
 
--- a/src/limits/transfer.rs
+++ b/src/limits/transfer.rs
@@ -63,7 +63,7 @@
         }
         Err(error) => {
             tracing::debug!(%error, team, "quota allocation change failed");
-            if matches!(error, TransactionError::Unknown) {
+            if matches!(error, TransactionError::Unknown(_)) {
                 record_in_doubt(&mut core, team, &change);
             }
         }
--- a/src/membership/election.rs
+++ b/src/membership/election.rs
@@ -172,7 +172,7 @@
         key: LEADER_KEY.into(),
         revision: 0,
     };
-    let put = Operation::put(LEADER_KEY.into(), &record).with_lease(lease);
+    let put = Operation::put(LEADER_KEY, &record).with_lease(lease);
     match node.state.compare_and_swap(&[no_leader], &[put]).await {
         Ok(_) => tracing::info!("elected leader"),
         Err(TransactionError::LeaseExpired) => node.core().membership.election.unregister(),
--- a/src/membership/rebalance.rs
+++ b/src/membership/rebalance.rs
@@ -188,7 +188,7 @@
             key: ASSIGNMENT_KEY.into(),
             revision: *revision,
         });
-        let put = Operation::put(ASSIGNMENT_KEY.into(), assignment);
+        let put = Operation::put(ASSIGNMENT_KEY, assignment);
         transaction.operations.push(put);
     }
     let max_records = max_rental_records(node, trigger);
--- a/src/membership/schema_versions.rs
+++ b/src/membership/schema_versions.rs
@@ -104,7 +104,7 @@
     let Some((record, preconditions)) = prepare_update(node) else {
         return;
     };
-    let put = Operation::put(FORMS_KEY.into(), &record);
+    let put = Operation::put(FORMS_KEY, &record);
     let written = node
         .state
         .compare_and_swap(&preconditions, std::slice::from_ref(&put))
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -275,7 +275,7 @@
 }
 
 fn written(value: &impl serde::Serialize) -> String {
-    text(Operation::put("k".into(), value))
+    text(Operation::put("k", value))
 }
 
 #[test]
--- a/src/state/watch.rs
+++ b/src/state/watch.rs
@@ -20,7 +20,7 @@
             continue;
         }
         node.core().loaded = true;
-        while let Ok(()) | Err(ReadError::Failed) = turn(&node, hold).await {
+        while let Ok(()) | Err(ReadError::Failed(_)) = turn(&node, hold).await {
             tokio::time::sleep(node.state.watch_interval()).await;
         }
         node.core().loaded = false;
