--- a/src/placement/index.rs
+++ b/src/placement/index.rs
@@ -1,6 +1,6 @@
-//! The machines of one mapping, parted by kind, zone and rental, with the answers that a mapping asks
-//! for again and again: when so much is free, and how empty a machine is. An answer is kept until its
-//! machine changes, so that a job costs a look at the machines that it may use and no more.
+//! The machines of one packing or forecast, grouped by pool, with memoized answers: when a request is
+//! free on a machine, and how empty it is. An answer is kept until its machine changes, so that a job
+//! costs a look at the machines that it may use and no more.
 
 use super::{
     FreeSlot, JobSnapshot, MIN_FETCH_GB_PER_S, MachineSnapshot, PoolId, Reservation, Resources,
@@ -18,8 +18,8 @@
     open: Vec<usize>,
 }
 
-/// What a search asks of every machine, side by side: a view itself is several cache lines, and reading
-/// them for each question took most of a mapping's time.
+/// What a search reads of every machine, side by side: a snapshot itself is several cache lines, and
+/// reading them for each question took most of a packing's time.
 #[derive(Debug, Clone, Copy)]
 struct Summary {
     zone: u32,
@@ -62,8 +62,8 @@
 
 const WORD_BITS: usize = u64::BITS as usize;
 
-/// What a job's tasks take on each machine beside the time for which they wait: the image's fetch and
-/// the run.
+/// How long a job's tasks take on each machine once they have capacity there: the image's fetch and the
+/// run.
 #[derive(Debug, Clone, Copy)]
 pub struct TaskTimes<'a> {
     job: &'a JobSnapshot,
@@ -72,6 +72,7 @@
 }
 
 impl TaskTimes<'_> {
+    /// Seconds of the image's fetch; 0 where the image is there.
     pub fn fetch(&self, machine: usize) -> f64 {
         if self.with_image.is_some_and(|set| set.contains(machine)) {
             return 0.0;
@@ -82,28 +83,30 @@
                 .max(MIN_FETCH_GB_PER_S)
     }
 
+    /// Seconds of the run.
     pub fn run(&self, machine: usize) -> f64 {
         self.job.duration * self.summaries[machine].slowness
     }
 }
 
-/// When a need is free on each machine: NaN where that is yet to be worked out, infinity for never.
+/// When a request is free on each machine: NaN where that is yet to be worked out, infinity for never.
 #[derive(Debug)]
 struct StartTimes {
     resources: Resources,
     times: Vec<Cell<f64>>,
 }
 
-/// Stands for the start times of one need until the next call of `start_times`.
+/// Refers to the start times of one request until the next call of [`MachineIndex::start_times`].
 #[derive(Debug, Clone, Copy)]
 pub struct StartTimesId(usize);
 
-/// Most needs whose start times are kept: they take eight bytes a machine.
-const MOST_NEEDS: usize = 32;
+/// Most requests whose start times are memoized: each takes eight bytes a machine.
+const MAX_MEMOIZED_REQUESTS: usize = 32;
 
-/// What rounding may add to a machine's room in the course of a mapping.
+/// What rounding may add to a machine's free capacity in the course of a packing.
 const ROUNDING: f64 = 0.01;
 
+/// The machines of one packing or forecast.
 #[derive(Debug)]
 pub struct MachineIndex<'a> {
     machines: &'a mut [MachineSnapshot],
@@ -113,11 +116,12 @@
     pools: Vec<PoolMembers>,
     emptiness: Vec<Cell<f64>>,
     start_times: Vec<StartTimes>,
-    /// The most room that any machine has, by resource.
+    /// The largest capacity of any machine, by resource.
     largest: Resources,
 }
 
 impl<'a> MachineIndex<'a> {
+    /// Indexes the machines; changes are made in place.
     pub fn new(machines: &'a mut [MachineSnapshot]) -> Self {
         let mut pools: Vec<PoolMembers> = Vec::new();
         let mut images: HashMap<u32, MachineSet> = HashMap::new();
@@ -153,19 +157,22 @@
         }
     }
 
+    /// The machines as they stand.
     pub fn machines(&self) -> &[MachineSnapshot] {
         self.machines
     }
 
+    /// A machine's interned zone.
     pub fn zone(&self, machine: usize) -> u32 {
         self.summaries[machine].zone
     }
 
+    /// A machine's price for an hour.
     pub fn price(&self, machine: usize) -> f64 {
         self.summaries[machine].price
     }
 
-    /// What a task of the job takes on each machine once it has room there.
+    /// How long a task of the job takes on each machine.
     pub fn task_times<'b>(&'b self, job: &'b JobSnapshot) -> TaskTimes<'b> {
         TaskTimes {
             job,
@@ -216,17 +223,17 @@
         }
     }
 
-    /// The start times of one, two and so on up to `count` times a need, as far as any machine could
-    /// ever take as much.
+    /// The start times of one, two and so on up to `count` times a request, as far as any machine could
+    /// ever accommodate as much.
     pub fn start_times(&mut self, resources: &Resources, count: usize) -> Vec<StartTimesId> {
-        if self.start_times.len() + count > MOST_NEEDS {
+        if self.start_times.len() + count > MAX_MEMOIZED_REQUESTS {
             self.start_times.clear();
         }
         let mut found = Vec::new();
         let mut all = Resources::default();
         for _ in 0..count {
             all.add(resources);
-            if !found.is_empty() && !self.may_ever_take(&all) {
+            if !found.is_empty() && !self.may_ever_accommodate(&all) {
                 break;
             }
             found.push(self.start_times_of(&all));
@@ -234,7 +241,7 @@
         found
     }
 
-    fn may_ever_take(&self, resources: &Resources) -> bool {
+    fn may_ever_accommodate(&self, resources: &Resources) -> bool {
         resources.cpus <= self.largest.cpus + ROUNDING
             && resources.gpus <= self.largest.gpus + ROUNDING
             && resources.memory_gb <= self.largest.memory_gb + ROUNDING
@@ -255,7 +262,7 @@
         StartTimesId(id)
     }
 
-    /// The earliest time at which the need is free on a machine, beside all that is set aside there.
+    /// The earliest time at which the request is free on a machine, beside all reservations there.
     pub fn start(&self, id: StartTimesId, machine: usize) -> Option<f64> {
         let start_times = &self.start_times[id.0];
         let known = &start_times.times[machine];
@@ -266,7 +273,7 @@
         Some(known.get()).filter(|start| start.is_finite())
     }
 
-    /// The part of a machine's room that is free now, as a small tie-breaker between equal prices.
+    /// The share of a machine's capacity that is free now, as a small tie-breaker between equal prices.
     pub fn emptiness(&self, machine: usize) -> f64 {
         let known = &self.emptiness[machine];
         if known.get().is_nan() {
@@ -275,13 +282,13 @@
         known.get()
     }
 
-    /// Takes room on a machine for a task that starts and ends then.
+    /// Takes capacity on a machine for a task that starts and ends then.
     pub fn occupy(&mut self, machine: usize, resources: &Resources, start: f64, end: f64) {
         self.machines[machine].occupy(resources, start, end);
         self.forget(machine);
     }
 
-    /// Sets room on a machine aside.
+    /// Reserves capacity on a machine.
     pub fn reserve(&mut self, machine: usize, reservation: Reservation) {
         let reservations = &mut self.machines[machine].reservations;
         let before = reservations.partition_point(|h| h.at <= reservation.at);
@@ -289,12 +296,13 @@
         self.forget(machine);
     }
 
+    /// Notes that a machine will have an image.
     pub fn use_image(&mut self, machine: usize, image: u32) {
         self.machines[machine].use_image(image);
         self.images.entry(image).or_default().insert(machine);
     }
 
-    /// Takes room on a machine until it is restored with what this returns.
+    /// Takes capacity on a machine until [`MachineIndex::restore`] is given what this returns.
     pub fn occupy_for_now(
         &mut self,
         machine: usize,
@@ -307,11 +315,13 @@
         free_slots
     }
 
+    /// Undoes [`MachineIndex::occupy_for_now`].
     pub fn restore(&mut self, machine: usize, free_slots: Vec<FreeSlot>) {
         self.machines[machine].free_slots = free_slots;
         self.forget(machine);
     }
 
+    /// Drops the memoized answers of a machine that changed.
     fn forget(&self, machine: usize) {
         self.emptiness[machine].set(f64::NAN);
         for start_times in &self.start_times {
--- a/src/placement/index/tests.rs
+++ b/src/placement/index/tests.rs
@@ -97,7 +97,7 @@
 
 fn draw_machine(number: u32, rng: &mut StdRng) -> MachineSnapshot {
     let mut view = machine(&format!("vm-{number}"), 0.0, 16.0);
-    view.kind = rng.random_range(0..2);
+    view.machine_type = rng.random_range(0..2);
     view.zone = rng.random_range(0..3);
     view.spot = rng.random_bool(0.3);
     view.images = (0..3).filter(|_| rng.random_bool(0.5)).collect();
@@ -121,7 +121,7 @@
     gang.gang = true;
     gang.image = rng.random_range(0..3);
     gang.spot = rng.random_bool(0.5);
-    gang.kinds = if rng.random_bool(0.5) {
+    gang.machine_types = if rng.random_bool(0.5) {
         vec![0]
     } else {
         vec![0, 1]
@@ -191,6 +191,6 @@
             |at: f64, available: f64| (resources.cpus <= available + SLACK).then_some(at);
         assert_eq!(index.start(id, 0), expected(0.0, 16.0));
         assert_eq!(index.start(id, 1), expected(5.0, 8.0));
-        assert!(index.start_times.len() <= MOST_NEEDS);
+        assert!(index.start_times.len() <= MAX_MEMOIZED_REQUESTS);
     }
 }
--- a/src/placement/job.rs
+++ b/src/placement/job.rs
@@ -44,7 +44,7 @@
     /// Its task fills most of a machine: smaller work must not take the capacity piece by piece.
     pub large: bool,
     /// Interned machine types that it may run on, best first.
-    pub kinds: Vec<u32>,
+    pub machine_types: Vec<u32>,
     /// The only zone that it may run in.
     pub zone: Option<u32>,
     /// Whether it may run on spot machines.
@@ -99,7 +99,7 @@
     /// Whether it may run on machines of a pool, wherever its other tasks are.
     pub(super) fn may_use_pool(&self, pool: PoolId) -> bool {
         (!pool.spot || self.spot)
-            && self.kinds.contains(&pool.machine_type)
+            && self.machine_types.contains(&pool.machine_type)
             && self.zone.is_none_or(|zone| zone == pool.zone)
             && (self.excluded_pools.is_empty() || !self.excluded_pools.contains(&pool))
     }
--- a/src/placement/machine.rs
+++ b/src/placement/machine.rs
@@ -31,7 +31,7 @@
     /// The cloud's name of it.
     pub name: Arc<str>,
     /// Interned machine type.
-    pub kind: u32,
+    pub machine_type: u32,
     /// Interned zone.
     pub zone: u32,
     /// Whether it is a spot machine.
@@ -62,7 +62,7 @@
     /// The pool that the machine was rented from.
     pub(super) fn pool(&self) -> PoolId {
         PoolId {
-            machine_type: self.kind,
+            machine_type: self.machine_type,
             zone: self.zone,
             spot: self.spot,
         }
--- a/src/placement/scale_tests.rs
+++ b/src/placement/scale_tests.rs
@@ -95,7 +95,7 @@
         let gpus = f64::from(kind) * 2.0;
         let name = format!("vm-{number:06}");
         let mut machine = super::tests::machine(&name, 0.0, 16.0);
-        machine.kind = kind;
+        machine.machine_type = kind;
         machine.zone = rng.random_range(0..self.zones);
         machine.spot = rng.random_bool(0.4);
         machine.price = if kind == WITH_GPUS { 4.61 } else { 0.96 };
@@ -136,7 +136,7 @@
         job.large = true;
         job.resources.memory_gb = 51.0;
         job.one_zone = true;
-        job.kinds = vec![PLAIN, WITH_GPUS];
+        job.machine_types = vec![PLAIN, WITH_GPUS];
         job.due_milestone = Milestone::Start;
         self.vary(&mut job, 90.0, rng);
         job
@@ -146,9 +146,9 @@
         let tasks = rng.random_range(1..=self.largest_array);
         let mut job = super::tests::job("", 1.0, tasks, 0.0);
         job.resources.memory_gb = 2.4;
-        job.kinds = vec![PLAIN, WITH_GPUS];
+        job.machine_types = vec![PLAIN, WITH_GPUS];
         if kind == WITH_GPUS {
-            job.kinds = vec![WITH_GPUS];
+            job.machine_types = vec![WITH_GPUS];
             job.resources.cpus = rng.random_range(4.0..8.0);
             job.resources.gpus = 1.0;
             job.resources.memory_gb = 30.0;
--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -268,7 +268,7 @@
         gang,
         resources: spec.resources(),
         large: progress.large,
-        kinds: progress.kinds.clone(),
+        machine_types: progress.kinds.clone(),
         zone: progress.zone,
         spot: spec.spot,
         one_zone: spec.one_zone,
--- a/src/placement/snapshot_cache.rs
+++ b/src/placement/snapshot_cache.rs
@@ -118,7 +118,7 @@
                 .map(|p| (p.waiting.len() as f64 + f64::from(p.placed)) * p.dominant_share)
                 .sum();
             let machines = self.machines.iter();
-            let of_kind = machines.filter(|(_, cached)| cached.view.kind == number);
+            let of_kind = machines.filter(|(_, cached)| cached.view.machine_type == number);
             let mut of_kind: Vec<(&String, &CachedMachine)> = of_kind.collect();
             let spare = of_kind.len() as f64 - needed * SPARE_BEYOND - 2.0;
             of_kind.retain(|(_, cached)| cached.free.gpus >= kind.gpus - 1e-6);
@@ -394,7 +394,7 @@
     }
     let view = MachineSnapshot {
         name: name.into(),
-        kind: names.intern(&record.pool.machine_type),
+        machine_type: names.intern(&record.pool.machine_type),
         zone: names.intern(&record.pool.zone),
         spot: record.pool.spot,
         free_slots: Vec::new(),
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -19,7 +19,7 @@
 pub fn machine(name: &str, free_at: f64, cpus: f64) -> MachineSnapshot {
     MachineSnapshot {
         name: name.into(),
-        kind: 0,
+        machine_type: 0,
         zone: 0,
         spot: false,
         free_slots: vec![FreeSlot {
@@ -51,7 +51,7 @@
             memory_gb: 1.0,
         },
         large: false,
-        kinds: vec![0],
+        machine_types: vec![0],
         zone: None,
         spot: true,
         one_zone: false,
