--- a/src/api/admission.rs
+++ b/src/api/admission.rs
@@ -71,7 +71,7 @@
 pub fn record_fits(node: &Node, record: &JobRecord, depends_on: &[String]) -> bool {
     let blocked = StoredJob::Blocked {
         record: record.clone(),
-        awaits: depends_on.to_vec(),
+        depends_on: depends_on.to_vec(),
     };
     let bytes = serde_json::to_vec(&blocked).map_or(usize::MAX, |text| text.len());
     bytes + RECORD_GROWTH_BYTES <= node.settings.max_value_bytes()
@@ -116,7 +116,7 @@
             "no machine type takes a task of it"
         });
     }
-    if spec.is_parted() && !has_two_zones(core, spec, &machine_types) {
+    if spec.needs_two_zones() && !has_two_zones(core, spec, &machine_types) {
         return Some("no two zones for tasks that may not all be in one");
     }
     None
--- a/src/api/submit.rs
+++ b/src/api/submit.rs
@@ -26,10 +26,7 @@
 /// Answers a submission. One of a job that was accepted before gets the job's stage.
 pub async fn submit(server: &Server, body: &[u8]) -> HttpResponse {
     let node = &server.node;
-    let Submission {
-        spec,
-        awaits: depends_on,
-    } = match parse(node, body) {
+    let Submission { spec, depends_on } = match parse(node, body) {
         Ok(submission) => submission,
         Err(problem) => return refuse_unreadable(server, body, &problem).await,
     };
@@ -70,7 +67,7 @@
 
 fn parse(node: &Node, body: &[u8]) -> Result<Submission, SpecError> {
     let _charge = node.processor_time.charge(CpuAccount::UserRequests);
-    Submission::read(body)
+    Submission::parse(body)
 }
 
 fn new_record(spec: JobSpec) -> JobRecord {
@@ -90,7 +87,7 @@
 /// it carries: a 400 would tell its user that it is not.
 async fn refuse_unreadable(server: &Server, body: &[u8], problem: &SpecError) -> HttpResponse {
     let refusal = || error_response(StatusCode::BAD_REQUEST, &problem.to_string());
-    let Some(id) = Submission::names(body) else {
+    let Some(id) = Submission::parse_job_id(body) else {
         return refusal();
     };
     let Some(_permit) = server.limit.try_acquire(SUBMISSION_SHARE) else {
@@ -152,10 +149,7 @@
             (Operation::put(job_key(&id), &open), Stage::Queued)
         }
         DependencyState::Unfinished => {
-            let blocked = StoredJob::Blocked {
-                record,
-                awaits: depends_on,
-            };
+            let blocked = StoredJob::Blocked { record, depends_on };
             (Operation::put(job_key(&id), &blocked), Stage::Queued)
         }
         // It depends on a cancelled job, and so it has ended: it is accepted all the same.
--- a/src/cells/scheduler.rs
+++ b/src/cells/scheduler.rs
@@ -54,7 +54,7 @@
     /// user's request: another cell is trusted no more.
     fn record_of(&self, job: &LedgerJob, revision: u64) -> Result<JobRecord, SpecError> {
         let text = job.description.to_string();
-        let Submission { spec, .. } = Submission::read(text.as_bytes())?;
+        let Submission { spec, .. } = Submission::parse(text.as_bytes())?;
         Ok(JobRecord {
             spec,
             accepted_ms: job.accepted_ms,
--- a/src/jobs/archive.rs
+++ b/src/jobs/archive.rs
@@ -167,7 +167,7 @@
             // A page that is left behind, or deleted late, would be taken for a page of the job when it
             // returns to this cell: so the last pages are deleted with the record, under its revision.
             Ending::Relinquished(version) if job.has_all_pages => {
-                let relinquished = Relinquished::under(version);
+                let relinquished = Relinquished::from(version);
                 self.move_record(job, Operation::put(given_up_key(&job.id), &relinquished));
             }
             Ending::Relinquished(_) => {}
--- a/src/jobs/pages/tests.rs
+++ b/src/jobs/pages/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// A layout without dense pages.
-pub fn wide(len: usize) -> PageLayout {
+/// A layout without compact pages.
+pub fn plain_layout(len: usize) -> PageLayout {
     PageLayout {
         plain_tasks: len,
         compact_tasks: len,
@@ -9,9 +9,9 @@
     }
 }
 
-/// The dense form, too; and one that names no machine is no page.
+/// A number that names no machine makes the page unreadable.
 #[test]
-fn a_dense_page_reads_back_as_written() {
+fn a_compact_page_reads_back_as_written() {
     let placed = |attempt, machine: &str, session| TaskRecord::Placed {
         attempt,
         machine: machine.into(),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_page_reads_back_as_written() {
+fn a_plain_page_reads_back_as_written() {
     let mut page = ProgressPage::default();
     page.set(1, TaskRecord::Done);
     page.set(
--- a/src/jobs/spec.rs
+++ b/src/jobs/spec.rs
@@ -1,15 +1,14 @@
-//! A submission: read strictly, with a reason for each refusal.
+//! What a user asks for with a job. Its JSON is that of submissions and of the durable records.
 
 use serde::{Deserialize, Serialize};
-use serde_json::{Map, Value};
-use std::collections::HashSet;
-
-pub const MOST_TASKS: u64 = 100_000;
 
+/// How the tasks of a job belong together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Shape {
+    /// Independent tasks.
     #[serde(rename = "array")]
     Array,
+    /// Tasks that start together, need one another, and complete together.
     #[serde(rename = "group")]
     Gang,
     /// Tasks that run until the job is cancelled: one that ends is started again.
@@ -17,7 +16,7 @@
     Service,
 }
 
-/// Later is more urgent, so that urgencies compare.
+/// The urgency class of a job. Later is more urgent, so that urgencies compare.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Urgency {
@@ -28,7 +27,8 @@
 }
 
 impl Urgency {
-    const ALL: [Urgency; 4] = [
+    /// All urgencies, the least urgent first.
+    pub(super) const ALL: [Urgency; 4] = [
         Urgency::BestEffort,
         Urgency::Standard,
         Urgency::Urgent,
@@ -46,17 +46,19 @@
     }
 }
 
-/// A job as its user describes it.
+/// A job as its user describes it. Amounts are of each task.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     #[serde(rename = "nameId")]
     pub id: String,
+    /// Jobs of a class take about as long in relation to their estimates.
     #[serde(rename = "grist")]
     pub class: String,
     #[serde(rename = "crew")]
     pub team: String,
     pub shape: Shape,
     pub urgency: Urgency,
+    /// Number of tasks.
     #[serde(rename = "sacks")]
     pub tasks: u32,
     pub cpus: f64,
@@ -64,125 +66,42 @@
     pub gpus: f64,
     #[serde(rename = "memGb")]
     pub memory_gb: f64,
+    /// The image that a machine must have before a task can start.
     #[serde(rename = "mould")]
     pub image: String,
     #[serde(rename = "pullGb")]
     pub image_gb: f64,
+    /// Machine types that are allowed; nothing for any.
     #[serde(rename = "stones", default, skip_serializing_if = "Option::is_none")]
-    pub types: Option<Vec<String>>,
+    pub machine_types: Option<Vec<String>>,
+    /// The only zone that is allowed.
     #[serde(rename = "yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
+    /// All tasks must be in the same zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
+    /// At most half of the tasks, rounded up, may be in one zone.
     pub spread: bool,
+    /// It may use spot machines.
     #[serde(rename = "borrowed")]
     pub spot: bool,
+    /// The owner's estimate of a task's run time without the image's fetch, in seconds.
     #[serde(rename = "grindS")]
     pub estimate_s: f64,
+    /// Seconds of progress after which a task saves a checkpoint; 0 if it never does.
     #[serde(rename = "bankS")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
+    /// Seconds that a task takes to save a checkpoint when it is stopped.
     #[serde(rename = "bankWriteS")]
-    pub save_s: f64,
+    pub checkpoint_write_s: f64,
+    /// Seconds after its submission by which it should be done.
     #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
 
-#[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum SpecError {
-    #[error("the body is not JSON")]
-    NotJson,
-    #[error("the body is not an object")]
-    NotObject,
-    #[error("`{0}` is missing")]
-    Missing(&'static str),
-    #[error("`{0}` is invalid")]
-    Invalid(&'static str),
-}
-
-/// A job as it is submitted, with the jobs that have to be done before any of its tasks starts.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Submission {
-    pub spec: JobSpec,
-    /// Each once.
-    pub awaits: Vec<String>,
-}
-
-/// `job-` and then digits: the only form an accepted id can have.
-pub fn is_job_id(id: &str) -> bool {
-    id.strip_prefix("job-")
-        .is_some_and(|n| (1..=20).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
-}
-
-impl Submission {
-    /// The job that a body is about which may be no submission otherwise.
-    pub fn names(body: &[u8]) -> Option<String> {
-        let value: Value = serde_json::from_slice(body).ok()?;
-        let id = value.get("nameId")?.as_str()?;
-        is_job_id(id).then(|| id.to_owned())
-    }
-
-    pub fn read(body: &[u8]) -> Result<Self, SpecError> {
-        let value: Value = serde_json::from_slice(body).map_err(|_| SpecError::NotJson)?;
-        let Value::Object(map) = value else {
-            return Err(SpecError::NotObject);
-        };
-        let id = text(&map, "nameId")?;
-        if !is_job_id(&id) {
-            return Err(SpecError::Invalid("nameId"));
-        }
-        let shape = match text(&map, "shape")?.as_str() {
-            "array" => Shape::Array,
-            "group" => Shape::Gang,
-            "standing" => Shape::Service,
-            _ => return Err(SpecError::Invalid("shape")),
-        };
-        let urgency = text(&map, "urgency")?;
-        let urgency = Urgency::ALL
-            .into_iter()
-            .find(|u| u.name() == urgency)
-            .ok_or(SpecError::Invalid("urgency"))?;
-        let tasks = match map.get("sacks").ok_or(SpecError::Missing("sacks"))? {
-            Value::Number(n) => whole(n).filter(|n| (1..=MOST_TASKS).contains(n)),
-            _ => None,
-        }
-        .ok_or(SpecError::Invalid("sacks"))?;
-        let awaits = awaits(&map)?;
-        let spec = JobSpec {
-            id,
-            class: text(&map, "grist")?,
-            team: text(&map, "crew")?,
-            shape,
-            urgency,
-            tasks: tasks as u32,
-            cpus: amount(&map, "cpus")?,
-            gpus: amount(&map, "cards")?,
-            memory_gb: amount(&map, "memGb")?,
-            image: text(&map, "mould")?,
-            image_gb: amount(&map, "pullGb")?,
-            types: types(&map)?,
-            zone: match map.get("yard") {
-                None | Some(Value::Null) => None,
-                Some(Value::String(zone)) if !zone.is_empty() => Some(zone.clone()),
-                Some(_) => return Err(SpecError::Invalid("yard")),
-            },
-            one_zone: flag(&map, "together")?,
-            spread: flag(&map, "spread")?,
-            spot: flag(&map, "borrowed")?,
-            estimate_s: amount(&map, "grindS")?,
-            checkpoint_s: amount(&map, "bankS")?,
-            save_s: amount(&map, "bankWriteS")?,
-            deadline_s: match map.get("dueS") {
-                None | Some(Value::Null) => None,
-                Some(_) => Some(amount(&map, "dueS")?),
-            },
-        };
-        Ok(Self { spec, awaits })
-    }
-}
-
 impl JobSpec {
-    /// Most tasks that `spread` lets be in one zone.
-    pub fn most_in_zone(&self) -> u32 {
+    /// Most tasks that may be in one zone.
+    pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
         } else {
@@ -190,89 +109,29 @@
         }
     }
 
-    /// Whether its tasks need two zones.
-    pub fn is_parted(&self) -> bool {
-        self.most_in_zone() < self.tasks
+    /// Whether its tasks do not all fit into one zone.
+    pub fn needs_two_zones(&self) -> bool {
+        self.max_tasks_per_zone() < self.tasks
     }
 
+    /// Whether its tasks run until it is cancelled.
     pub fn is_service(&self) -> bool {
         self.shape == Shape::Service
     }
 
+    /// Whether its tasks start and complete together.
     pub fn is_gang(&self) -> bool {
         self.shape == Shape::Gang
     }
 }
 
-fn whole(n: &serde_json::Number) -> Option<u64> {
-    n.as_u64().or_else(|| {
-        let f = n.as_f64()?;
-        (f.fract() == 0.0 && (0.0..1e15).contains(&f)).then_some(f as u64)
-    })
-}
+/// Most digits of a job's id.
+const MAX_ID_DIGITS: usize = 20;
 
-fn text(map: &Map<String, Value>, field: &'static str) -> Result<String, SpecError> {
-    match map.get(field) {
-        None => Err(SpecError::Missing(field)),
-        Some(Value::String(s)) if !s.is_empty() && s.len() <= 200 => Ok(s.clone()),
-        Some(_) => Err(SpecError::Invalid(field)),
-    }
-}
-
-fn amount(map: &Map<String, Value>, field: &'static str) -> Result<f64, SpecError> {
-    let value = map.get(field).ok_or(SpecError::Missing(field))?;
-    let n = value.as_f64().ok_or(SpecError::Invalid(field))?;
-    if n.is_finite() && (0.0..1e9).contains(&n) {
-        Ok(n)
-    } else {
-        Err(SpecError::Invalid(field))
-    }
-}
-
-fn flag(map: &Map<String, Value>, field: &'static str) -> Result<bool, SpecError> {
-    match map.get(field) {
-        None => Err(SpecError::Missing(field)),
-        Some(Value::Bool(b)) => Ok(*b),
-        Some(_) => Err(SpecError::Invalid(field)),
-    }
-}
-
-fn awaits(map: &Map<String, Value>) -> Result<Vec<String>, SpecError> {
-    let list = match map.get("awaits") {
-        None | Some(Value::Null) => return Ok(Vec::new()),
-        Some(Value::Array(list)) => list,
-        Some(_) => return Err(SpecError::Invalid("awaits")),
-    };
-    let mut ids: Vec<String> = Vec::with_capacity(list.len());
-    let mut seen = HashSet::new();
-    for id in list {
-        match id {
-            Value::String(id) if is_job_id(id) => {
-                if seen.insert(id) {
-                    ids.push(id.clone());
-                }
-            }
-            _ => return Err(SpecError::Invalid("awaits")),
-        }
-    }
-    Ok(ids)
-}
-
-fn types(map: &Map<String, Value>) -> Result<Option<Vec<String>>, SpecError> {
-    let list = match map.get("stones") {
-        None | Some(Value::Null) => return Ok(None),
-        Some(Value::Array(list)) => list,
-        Some(_) => return Err(SpecError::Invalid("stones")),
-    };
-    let mut names = Vec::with_capacity(list.len());
-    for name in list {
-        match name {
-            Value::String(s) => names.push(s.clone()),
-            _ => return Err(SpecError::Invalid("stones")),
-        }
-    }
-    Ok(Some(names))
+/// Whether a name has the only form that an accepted job's id can have: `job-` and then digits.
+pub fn is_job_id(id: &str) -> bool {
+    id.strip_prefix("job-").is_some_and(|digits| {
+        (1..=MAX_ID_DIGITS).contains(&digits.len())
+            && digits.bytes().all(|byte| byte.is_ascii_digit())
+    })
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/jobs/spec/tests.rs
+++ b/src/jobs/submission/tests.rs
@@ -12,11 +12,14 @@
 fn refusals_name_the_field() {
     let mut trace = String::new();
     let mut show = |what: &str, body: &[u8]| {
-        let verdict = match Submission::read(body) {
-            Ok(Submission { spec, awaits }) if awaits.is_empty() => {
+        let verdict = match Submission::parse(body) {
+            Ok(Submission { spec, depends_on }) if depends_on.is_empty() => {
                 format!("accepted {}", spec.id)
             }
-            Ok(read) => format!("accepted {} after {:?}", read.spec.id, read.awaits),
+            Ok(submission) => format!(
+                "accepted {} after {:?}",
+                submission.spec.id, submission.depends_on
+            ),
             Err(error) => format!("refused: {error}"),
         };
         trace.push_str(&format!("{what} -> {verdict}\n"));
--- a/src/jobs/writer/tests.rs
+++ b/src/jobs/writer/tests.rs
@@ -42,7 +42,7 @@
     })
 }
 
-fn show(core: &Core) -> String {
+fn trace_of_writes(core: &Core) -> String {
     let me = Member {
         name: "me".into(),
         incarnation: 1,
@@ -67,18 +67,18 @@
     }
 }
 
-/// Rule `ran_twice`, found by hunt: a node saw a withdrawn start absent, was cut off before it
-/// could record that, and the machine's next owner started the task. When the cut ended, the
-/// old owner's record of the absence was still accepted, and the task was placed again.
+/// Rule `ran_twice`, found by fault injection: a controller observed that a withdrawn start was absent, was
+/// partitioned before it could write that, and the machine's next owner started the task. When the
+/// partition ended, the old owner's write of the absence was accepted, and the task was placed again.
 #[test]
-fn what_was_seen_under_an_earlier_ownership_is_not_recorded() {
-    let (me, mut core) = core();
+fn an_observation_under_an_earlier_ownership_is_not_written() {
+    let (me, mut core) = core_with_a_job();
     core.update_ownership(&me, Instant::now());
     core.record_change(&TaskId::new("job-1", 0), TaskRecord::Waiting { last: 1 });
-    let ours = show(&core);
+    let ours = trace_of_writes(&core);
     put(&mut core, "r/m/r-1", rental("vm-1", "me", 2), 12);
     core.update_ownership(&me, Instant::now());
-    let after = show(&core);
+    let after = trace_of_writes(&core);
     insta::assert_snapshot!(format!("seen as owner\n{ours}another's in between\n{after}"), @r#"
     seen as owner
     put [1] if r/j/job-1@5 r/p/job-1/0@7 r/m/r-1@6
@@ -87,13 +87,13 @@
     "#);
 }
 
-/// Rule `ran_twice`, on a calm day at 1,050 machines: a withdrawn start was seen absent, and
-/// while the ends of jobs were being written the log brought the machine's next owner. The
-/// absence was then recorded under the new revision, after that owner had sent `run`. And a start
-/// that was planned on such a machine stayed planned for ever.
+/// Rule `ran_twice`, without faults at 1,050 machines: a withdrawn start was observed to be absent, and
+/// while the ends of jobs were being written the watch delivered the machine's next owner. The absence
+/// was then written under the new revision, after that owner had sent `run`. And a start that was pending
+/// on such a machine stayed pending for ever.
 #[test]
-fn what_changes_hands_during_a_turn_takes_its_plans_along() {
-    let (me, mut core) = core();
+fn reassignment_during_a_cycle_discards_the_machines_pending_changes() {
+    let (me, mut core) = core_with_a_job();
     core.update_ownership(&me, Instant::now());
     put(&mut core, "r/m/r-2", rental("vm-2", "me", 1), 9);
     core.update_ownership(&me, Instant::now());
@@ -104,10 +104,10 @@
         session: 1,
     };
     core.record_change(&TaskId::new("job-1", 1), on_second);
-    let before = show(&core);
+    let before = trace_of_writes(&core);
     put(&mut core, "r/m/r-1", rental("vm-1", "other", 2), 12);
     put(&mut core, "r/m/r-2", rental("vm-2", "other", 2), 13);
-    let during = show(&core);
+    let during = trace_of_writes(&core);
     core.update_ownership(&me, Instant::now());
     let entry = core.task_record("job-1", 1);
     insta::assert_snapshot!(
@@ -124,8 +124,8 @@
 
 /// A gang of more tasks than a page holds starts with all its pages or not at all.
 #[test]
-fn a_gangs_pages_go_together() {
-    let (me, mut core) = core();
+fn the_pages_of_a_starting_gang_share_a_transaction() {
+    let (me, mut core) = core_with_a_job();
     let mut gang: Value = serde_json::to_value(&core.replica.jobs["job-1"].record).unwrap();
     gang["spec"]["nameId"] = json!("job-2");
     gang["spec"]["shape"] = json!("group");
@@ -141,9 +141,9 @@
         core.record_change(&TaskId::new("job-2", task), start.clone());
     }
     core.record_change(&TaskId::new("job-1", 1), start);
-    let dirty = page_writes(&core, &me, 96, Quota::Ample, Instant::now());
+    let writes = page_writes(&core, &me, 96, Quota::Ample, Instant::now());
     let mut units = Vec::new();
-    let mut rest = &dirty[..];
+    let mut rest = &writes[..];
     while !rest.is_empty() {
         let (unit, others) = rest.split_at(atomic_group_len(rest));
         units.push(format!("{} of {}", unit.len(), unit[0].job));
@@ -152,11 +152,11 @@
     assert_eq!(units, ["1 of job-1", "3 of job-2"]);
 }
 
-/// Where puts are scarce, completions of another's large job wait while many are to come; near
-/// its end, or when a task must be placed again, its owner learns of them soon.
+/// Where writes are scarce, completions of another controller's large job are delayed while many are to
+/// come; near its end, or when a task must be placed again, its owner learns of them soon.
 #[test]
-fn completions_of_anothers_job_wait_while_many_are_to_come() {
-    let (me, mut core) = core();
+fn completions_of_a_job_of_another_owner_are_delayed_far_from_its_end() {
+    let (me, mut core) = core_with_a_job();
     let mut large: Value = serde_json::to_value(&core.replica.jobs["job-1"].record).unwrap();
     large["spec"]["nameId"] = json!("job-2");
     large["spec"]["sacks"] = json!(5);
@@ -172,7 +172,7 @@
     core.update_ownership(&me, Instant::now());
     let start = Instant::now();
     let mut trace = String::new();
-    let mut say = |core: &Core, what: &str| {
+    let mut record_waits = |core: &Core, what: &str| {
         let waits = [1, 3, 11].map(|s| {
             let written = page_writes(core, &me, 96, Quota::Scarce, start + Duration::from_secs(s));
             format!(
@@ -187,14 +187,14 @@
         trace.push_str(&format!("{what}: {}\n", waits.join(", ")));
     };
     core.record_change(&TaskId::new("job-2", 0), TaskRecord::Done);
-    say(&core, "one of five done");
+    record_waits(&core, "one of five done");
     core.record_change(&TaskId::new("job-2", 1), TaskRecord::Waiting { last: 1 });
-    say(&core, "one to be placed again");
+    record_waits(&core, "one to be placed again");
     core.discard_change(&TaskId::new("job-2", 1));
     for task in 1..4 {
         core.record_change(&TaskId::new("job-2", task), TaskRecord::Done);
     }
-    say(&core, "four of five done");
+    record_waits(&core, "four of five done");
     insta::assert_snapshot!(trace, @r#"
     one of five done: 1 s waits, 3 s waits, 11 s written
     one to be placed again: 1 s waits, 3 s written, 11 s written
@@ -202,9 +202,9 @@
     "#);
 }
 
-/// What is written once the limits fell to 2 KiB and 8 changes: a gang of 16 on as many rentals is one
-/// page; an array of 300, on a machine of its own each, with long names, goes as far as its pages and
-/// the guards allow, and the rest is planned on.
+/// What is written once the limits are 2 KiB and 8 operations: a gang of 16 on as many rentals is one
+/// page; of an array of 300, on a machine of its own each, with long names, as many starts are written as
+/// its pages and the preconditions allow, and the rest stays pending.
 #[test]
 fn pages_fit_the_lower_limits_by_construction() {
     let layout = PageLayout {
@@ -236,7 +236,7 @@
             );
         }
     }
-    // Some of the array's tasks were written on a wide page before.
+    // Some of the array's tasks were written on a plain page before.
     put(&mut core, "r/p/job-2/0", json!([true, 3, true]), 400);
     core.update_ownership(&me, Instant::now());
     for (id, tasks) in [("job-1", 16), ("job-2", 300)] {
@@ -250,10 +250,10 @@
             core.record_change(&TaskId::new(id, task), entry);
         }
     }
-    let dirty = page_writes(&core, &me, 32, Quota::Ample, Instant::now());
+    let writes = page_writes(&core, &me, 32, Quota::Ample, Instant::now());
     let mut trace = String::new();
-    for page in &dirty {
-        let bytes = text_of(&page.operation).len();
+    for page in &writes {
+        let bytes = json_of(&page.operation).len();
         let (starts, guards) = (page.machines.len(), page.preconditions.len());
         assert!(bytes <= 2048 && guards <= 32);
         let key = page_key(&page.job, page.page_id);
@@ -261,7 +261,7 @@
             "{key}: {starts} starts, {guards} guards, {bytes} bytes\n"
         ));
     }
-    let under = dirty
+    let under = writes
         .iter()
         .filter(|d| d.job == "job-2")
         .flat_map(|d| &d.preconditions);
@@ -279,18 +279,19 @@
     "#);
 }
 
-fn text_of(op: &Operation) -> &str {
+fn json_of(op: &Operation) -> &str {
     match op {
         Operation::Put { value, .. } => value.get(),
         Operation::Delete { .. } => "",
     }
 }
 
-/// Where changes are short a job's end is one change. It counts at once: its tasks hold no room, what
-/// waits for it is ready, a repeat of its submission finds it; and it is moved under its revision later.
+/// Where writes are scarce a job's end is one operation. It takes effect at once: its tasks hold no
+/// capacity, the jobs that depend on it are ready, a repeat of its submission finds it; and it is archived
+/// under its revision later.
 #[test]
-fn a_job_that_ended_is_moved_later() {
-    let (_, mut core) = core();
+fn a_finished_job_is_archived_later() {
+    let (_, mut core) = core_with_a_job();
     let waits = json!({"held": {"spec": crate::pipelines::tests::spec("job-2", "urgent", None),
         "accepted_ms": 0}, "awaits": ["job-1"]});
     put(&mut core, "r/j/job-2", waits, 9);
@@ -327,11 +328,11 @@
     format!("Guard {{ k: {key:?}, mark: {revision} }}")
 }
 
-/// Jobs that never ended, with machines that never went back, on troubles after the limits fell: a
-/// machine was marked as returning while a start that was planned on it waited to be recorded.
+/// Jobs that never ended, with machines that were never released, on scenario `troubles` after the limits
+/// were lowered: a machine was drained while a pending start on it waited to be written.
 #[test]
-fn a_start_planned_on_a_machine_that_goes_back_is_planned_anew() {
-    let (me, mut core) = core();
+fn a_pending_start_on_a_draining_machine_is_discarded() {
+    let (me, mut core) = core_with_a_job();
     core.update_ownership(&me, Instant::now());
     let start = TaskRecord::Placed {
         attempt: 1,
@@ -353,11 +354,11 @@
     );
 }
 
-/// Aim `deadline dawn-dispatch-push`, .33 on `troubles` after the limits fell: one node's starts took
-/// all its puts, and it recorded no exit of another's job for a hundred seconds.
+/// Objective `deadline dawn-dispatch-push`, .33 on scenario `troubles` after the limits were lowered: one
+/// controller's starts took its whole write quota, and it wrote no exit of another's job for 100 s.
 #[test]
-fn exits_that_others_wait_for_are_not_starved_by_starts() {
-    let (me, mut core) = core();
+fn overdue_exits_are_written_before_starts() {
+    let (me, mut core) = core_with_a_job();
     let mut other: Value = serde_json::to_value(&core.replica.jobs["job-1"].record).unwrap();
     other["spec"]["nameId"] = json!("job-2");
     put(&mut core, "r/j/job-2", other, 9);
@@ -371,14 +372,14 @@
     core.record_change(&TaskId::new("job-1", 1), start);
     core.record_change(&TaskId::new("job-2", 0), TaskRecord::Waiting { last: 1 });
     let order = |s| {
-        let dirty = page_writes(
+        let writes = page_writes(
             &core,
             &me,
             96,
             Quota::Scarce,
             Instant::now() + Duration::from_secs(s),
         );
-        let jobs: Vec<String> = dirty.into_iter().map(|d| d.job).collect();
+        let jobs: Vec<String> = writes.into_iter().map(|d| d.job).collect();
         format!("after {s} s: {}", jobs.join(", "))
     };
     insta::assert_snapshot!([1, 3, 5].map(order).join("\n"), @r#"
@@ -388,11 +389,11 @@
     "#);
 }
 
-/// A gang whose planned start lost a machine was written without that task: the others
-/// gathered in vain, and the gang never counted as waiting again.
+/// A gang that lost the machine of a pending start was written without that task: the others waited in
+/// vain for their peer, and the gang never counted as waiting again.
 #[test]
-fn a_gang_is_written_whole_or_planned_anew() {
-    let (me, mut core) = core();
+fn a_gang_is_written_whole_or_discarded() {
+    let (me, mut core) = core_with_a_job();
     let mut gang: Value = serde_json::to_value(&core.replica.jobs["job-1"].record).unwrap();
     gang["spec"]["nameId"] = json!("job-2");
     gang["spec"]["shape"] = json!("group");
@@ -408,11 +409,11 @@
         core.record_change(&TaskId::new("job-2", task), entry);
     }
     withdraw_broken_gangs(&mut core);
-    let whole = show(&core);
+    let whole = trace_of_writes(&core);
     put(&mut core, "r/m/r-2", rental("vm-2", "other", 2), 12);
     core.update_ownership(&me, Instant::now());
     withdraw_broken_gangs(&mut core);
-    let broken = show(&core);
+    let broken = trace_of_writes(&core);
     insta::assert_snapshot!(format!("whole\n{whole}one machine lost\n{broken}"), @r#"
     whole
     put [[1,"vm-1",1],[1,"vm-2",1]] if r/j/job-2@9 r/p/job-2/0@0 r/shares@0 r/m/r-1@6 r/m/r-2@10
@@ -421,11 +422,11 @@
     "#);
 }
 
-/// An answer that came after the log had told more brought a dropped record back to life, which
-/// nothing would ever drop again.
+/// An answer that came after the watch had delivered later changes restored a deleted record, which
+/// nothing would ever delete again.
 #[test]
-fn a_late_answer_to_our_own_change_brings_nothing_back() {
-    let (_, mut core) = core();
+fn a_late_answer_to_an_own_write_restores_nothing() {
+    let (_, mut core) = core_with_a_job();
     let record = core.replica.fleet.rentals["r-1"].record.clone();
     let drop = rowanmill_state::WatchEvent {
         put: None,
@@ -440,9 +441,9 @@
     assert!(core.replica.fleet.rentals.contains_key("r-3"));
 }
 
-/// A job with a task on vm-1, which is ours.
-fn core() -> (Member, Core) {
-    let mut core = Core::new(crate::jobs::pages::tests::wide(8), Instant::now());
+/// This controller, and its state with a job that has a task on this controller's machine vm-1.
+fn core_with_a_job() -> (Member, Core) {
+    let mut core = Core::new(crate::jobs::pages::tests::plain_layout(8), Instant::now());
     let me = Member {
         name: "me".into(),
         incarnation: 1,
@@ -467,22 +468,22 @@
     (me, core)
 }
 
-/// Rule `ran_twice`, found by hunt: an exit waited to be recorded while its machine changed
-/// hands. The next owner recorded it, the task was started again elsewhere, and then the first
-/// record came and took the new start for the old one.
+/// Rule `ran_twice`, found by fault injection: an exit waited to be written while its machine was
+/// reassigned. The next owner wrote it, the task was started again elsewhere, and then the first write
+/// arrived and took the new start for the old one.
 #[test]
 fn an_exit_does_not_undo_a_later_start() {
-    let (me, mut core) = core();
+    let (me, mut core) = core_with_a_job();
     core.update_ownership(&me, Instant::now());
     core.record_change(&TaskId::new("job-1", 0), TaskRecord::Waiting { last: 1 });
     put(&mut core, "r/m/r-2", rental("vm-2", "other", 1), 12);
     let page = json!([[2, "vm-2", 1]]);
     put(&mut core, "r/p/job-1/0", page, 13);
-    let later = show(&core);
+    let later = trace_of_writes(&core);
     put(&mut core, "r/p/job-1/0", json!([[1, "vm-1", 1]]), 14);
     put(&mut core, "r/m/r-1", rental("vm-1", "other", 2), 15);
     core.update_ownership(&me, Instant::now());
-    let lost = show(&core);
+    let lost = trace_of_writes(&core);
     insta::assert_snapshot!(format!("started again\n{later}machine lost\n{lost}"), @r"
     started again
     nothing
@@ -491,14 +492,17 @@
     ");
 }
 
-/// A record that is too large is refused for ever. The largest array there can be, started on
-/// a thousand machines of as many rentals: each page fits a value, each transaction's guards
-/// fit, and what does not go with this one stays planned for the next.
+/// A record that is too large is refused for ever. The largest possible array, started on a thousand
+/// machines of as many rentals: each page fits a value, each transaction's preconditions fit, and what is
+/// not written with this transaction stays pending for the next.
 #[test]
 fn the_largest_array_fits_its_records() {
     let settings_value = 8 * 1024;
     let page_len = settings_value / 48;
-    let mut core = Core::new(crate::jobs::pages::tests::wide(page_len), Instant::now());
+    let mut core = Core::new(
+        crate::jobs::pages::tests::plain_layout(page_len),
+        Instant::now(),
+    );
     let me = Member {
         name: "me".into(),
         incarnation: 1,
@@ -522,16 +526,16 @@
         };
         core.record_change(&TaskId::new("job-1", task), entry);
     }
-    let dirty = page_writes(&core, &me, 96, Quota::Ample, Instant::now());
-    let largest = dirty.iter().map(|d| match &d.operation {
+    let writes = page_writes(&core, &me, 96, Quota::Ample, Instant::now());
+    let largest = writes.iter().map(|d| match &d.operation {
         Operation::Put { value, .. } => value.get().len(),
         Operation::Delete { .. } => 0,
     });
     let largest = largest.max().unwrap();
-    let guards = dirty.iter().map(|d| d.preconditions.len()).max().unwrap();
-    let bytes = dirty.iter().map(PendingPageWrite::bytes).max().unwrap();
+    let guards = writes.iter().map(|d| d.preconditions.len()).max().unwrap();
+    let bytes = writes.iter().map(PendingPageWrite::bytes).max().unwrap();
     assert!(largest <= settings_value && guards <= 96 && bytes <= MAX_TRANSACTION_BYTES);
-    let pages = dirty.len();
+    let pages = writes.len();
     insta::assert_snapshot!(
         format!("{pages} pages, the largest of {largest} bytes, with at most {guards} guards"),
         @"589 pages, the largest of 3442 bytes, with at most 96 guards"
--- a/src/limits/report.rs
+++ b/src/limits/report.rs
@@ -37,7 +37,7 @@
             let explanation = Explanation::under_divided_limit(identity, &team.view(), &unit);
             return Some(explanation);
         }
-        let since_ms = job.record.since_ms();
+        let since_ms = job.record.eligible_since_ms();
         Some(Explanation::without_limit(
             identity,
             unit.as_ref(),
--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::jobs::pages::tests::wide;
+use crate::jobs::pages::tests::plain_layout;
 use crate::jobs::{TaskId, TaskRecord};
 use rowanmill_limits::ResourceAmount;
 use serde_json::{Value, json};
@@ -10,7 +10,7 @@
 /// One of two controllers, of which the other places nothing, and team `t` with a limit of `cpus` CPUs, of
 /// which `micro_cpus` millionths are allocated to this controller.
 fn core(cpus: f64, micro_cpus: u64) -> Core {
-    let mut core = Core::new(wide(8), Instant::now());
+    let mut core = Core::new(plain_layout(8), Instant::now());
     let limit = TeamLimit::from_settings(cpus, 0.0).unwrap();
     let limits = BTreeMap::from([("t".to_owned(), limit)]);
     core.limits = TeamQuotas::new(LimitsConfig::default(), ME, limits);
--- a/src/limits/usage.rs
+++ b/src/limits/usage.rs
@@ -91,7 +91,7 @@
 
     fn unit(&self, tasks: u32) -> WaitingUnit {
         WaitingUnit {
-            since_ms: self.job.record.since_ms(),
+            since_ms: self.job.record.eligible_since_ms(),
             job: self.id.to_owned(),
             need: self.amount(tasks),
             is_gang: self.job.record.spec.is_gang(),
@@ -225,7 +225,7 @@
 /// Whether a job can still meet its deadline, if it has one.
 fn is_on_time(core: &Core, job: &Job, now_ms: u64) -> bool {
     let record = &job.record;
-    let age = age_s(record.since_ms(), now_ms);
+    let age = age_s(record.eligible_since_ms(), now_ms);
     let expected = core.duration(&record.spec);
     record
         .deadline_s()
--- a/src/membership/load.rs
+++ b/src/membership/load.rs
@@ -67,7 +67,7 @@
         for job in core.replica.jobs.values().filter(|j| !j.record.cancelled) {
             let spec = &job.record.spec;
             let tasks_left = spec.tasks - job.done.min(spec.tasks);
-            let age = age_s(job.record.since_ms(), now_ms);
+            let age = age_s(job.record.eligible_since_ms(), now_ms);
             let Some(load) = job_load(node, core, &job.record, tasks_left, age) else {
                 continue;
             };
--- a/src/membership/schema_versions/tests.rs
+++ b/src/membership/schema_versions/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::jobs::pages::tests::wide;
+use crate::jobs::pages::tests::plain_layout;
 use crate::state::replica::{PresenceRecord, Versioned};
 
 fn presence(incarnation: u64, level: FeatureLevel) -> Versioned<PresenceRecord> {
@@ -17,11 +17,11 @@
 #[test]
 fn new_encodings_are_activated_for_good_once_every_controller_was_seen_upgraded() {
     let members = ["a", "b", "c"];
-    let mut replica = Replica::new(wide(8));
+    let mut replica = Replica::new(plain_layout(8));
     let mut revision = 100;
     let mut trace = String::new();
     let mut step = |what: &str, replica: &mut Replica| {
-        if let Some(record) = next_record(&members, &wide(8), replica) {
+        if let Some(record) = next_record(&members, &plain_layout(8), replica) {
             revision += 1;
             let text = serde_json::to_string(&record).unwrap();
             replica.apply_put("r/forms", &text, revision);
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -199,7 +199,7 @@
     let mut own_jobs: Vec<_> = jobs
         .filter(|(id, _)| core.owns_job(&node.identity, id))
         .collect();
-    own_jobs.sort_by_key(|(_, job)| job.record.since_ms());
+    own_jobs.sort_by_key(|(_, job)| job.record.eligible_since_ms());
     for (id, job) in own_jobs.into_iter().take(OLDEST_JOBS_LOGGED) {
         log_unfinished_job(core, id, job);
     }
--- a/src/pipelines/tests.rs
+++ b/src/pipelines/tests.rs
@@ -1,5 +1,5 @@
 use super::paths::pulls;
-use crate::jobs::pages::tests::wide;
+use crate::jobs::pages::tests::plain_layout;
 use crate::state::Replica;
 use serde_json::{Value, json};
 
@@ -43,7 +43,7 @@
 #[test]
 fn a_job_waits_for_all_that_it_needs_and_is_cancelled_with_any_of_it() {
     let diamond = |order: [u64; 5]| {
-        let mut replica = Replica::new(wide(8));
+        let mut replica = Replica::new(plain_layout(8));
         for number in order {
             match number {
                 1 => open(&mut replica, "job-1", 11),
@@ -105,7 +105,7 @@
 /// for nothing. And a long chain is walked without a stack.
 #[test]
 fn what_cannot_be_read_is_known_and_chains_may_be_long() {
-    let mut replica = Replica::new(wide(8));
+    let mut replica = Replica::new(plain_layout(8));
     let mut record = json!({"held": {"spec": spec("job-7", "urgent", None), "accepted_ms": 0}});
     for awaits in [json!("job-1"), json!([1]), Value::Null] {
         record["awaits"] = awaits;
@@ -129,7 +129,7 @@
 /// What ended before this process began is looked up, never assumed.
 #[test]
 fn what_ended_before_the_records_were_read_is_asked_for() {
-    let mut replica = Replica::new(wide(8));
+    let mut replica = Replica::new(plain_layout(8));
     held(&mut replica, "job-2", &["job-1"], None, 12);
     held(&mut replica, "job-3", &["job-2"], None, 13);
     assert_eq!(replica.unknown_ancestors("job-3"), ["job-1"]);
@@ -143,7 +143,7 @@
 /// the longest path behind it. A later submission tightens it.
 #[test]
 fn earlier_jobs_have_the_deadline_less_what_is_behind_them() {
-    let mut replica = Replica::new(wide(8));
+    let mut replica = Replica::new(plain_layout(8));
     open(&mut replica, "job-1", 11);
     held(&mut replica, "job-2", &["job-1"], None, 12);
     held(&mut replica, "job-3", &["job-1"], None, 13);
--- a/src/placement/service.rs
+++ b/src/placement/service.rs
@@ -274,13 +274,17 @@
             let ran = status.attempts.running_for(id, now);
             let ran = ran.map_or(0.0, |ran| ran.as_secs_f64());
             let ends_in_time = core.duration(spec) - ran < left;
-            let saves = spec.checkpoint_s > 0.0;
+            let saves = spec.checkpoint_interval_s > 0.0;
             // The order goes out with an answer to a report, and saving takes its time.
-            let last_moment = spec.save_s * 1.25 + report * 1.5 + 1.5;
+            let last_moment = spec.checkpoint_write_s * 1.25 + report * 1.5 + 1.5;
             if ends_in_time || (saves && left > last_moment) {
                 continue;
             }
-            let grace = if saves { left.max(spec.save_s) } else { 0.0 };
+            let grace = if saves {
+                left.max(spec.checkpoint_write_s)
+            } else {
+                0.0
+            };
             for task in mates(spec, id.index) {
                 let mate = TaskId::new(&id.job, task);
                 if let TaskRecord::Placed { attempt, .. } = core.task_record(&mate.job, task) {
@@ -339,7 +343,7 @@
         if job.gang && !gang_attempts.contains_key(&start.job) {
             let last = job.waiting.iter();
             let last = last.map(|t| core.task_record(&job.id, *t).last_attempt());
-            let last = last.max().unwrap_or(0).max(attempts_above(core, &job.id));
+            let last = last.max().unwrap_or(0).max(attempt_floor(core, &job.id));
             gang_attempts.insert(start.job, last + 1);
         }
     }
@@ -356,7 +360,7 @@
             Some(attempt) => *attempt,
             None => {
                 let last = core.task_record(&id.job, id.index).last_attempt();
-                last.max(attempts_above(core, &id.job)) + 1
+                last.max(attempt_floor(core, &id.job)) + 1
             }
         };
         let Some(spec) = snapshot_cache::spec_of(core, &job.id) else {
@@ -387,8 +391,8 @@
 #[cfg(test)]
 mod tests;
 
-/// A job's attempts are above this; see `JobRecord::attempts_above`.
-fn attempts_above(core: &Core, job: &str) -> u64 {
+/// A job's attempts are above this; see `JobRecord::attempt_floor`.
+fn attempt_floor(core: &Core, job: &str) -> u64 {
     let job = core.replica.jobs.get(job);
-    job.map_or(0, |job| job.record.attempts_above())
+    job.map_or(0, |job| job.record.attempt_floor())
 }
--- a/src/placement/service/tests.rs
+++ b/src/placement/service/tests.rs
@@ -5,7 +5,7 @@
 /// its plan and lost its stop: it was recorded, ran to its end, and the gang waited for it.
 #[test]
 fn a_planned_start_is_taken_back_and_a_recorded_one_stopped() {
-    let mut core = Core::new(crate::jobs::pages::tests::wide(8), Instant::now());
+    let mut core = Core::new(crate::jobs::pages::tests::plain_layout(8), Instant::now());
     let job = json!({"spec": {"nameId":"job-1","grist":"c","crew":"t","shape":"array",
         "urgency":"standard","sacks":2,"cpus":1.0,"cards":0.0,"memGb":1.0,"mould":"i",
         "pullGb":1.0,"together":false,"spread":false,"borrowed":true,"grindS":10.0,
--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -56,7 +56,11 @@
         .kinds
         .iter()
         .filter(|k| spec.resources().fits(&capacity_of(k)))
-        .filter(|k| spec.types.as_ref().is_none_or(|t| t.contains(&k.name)))
+        .filter(|k| {
+            spec.machine_types
+                .as_ref()
+                .is_none_or(|t| t.contains(&k.name))
+        })
         .filter(|k| spec.zone.as_ref().is_none_or(|z| k.zones.contains(z)))
         .collect();
     kinds.sort_by(|a, b| a.price.total_cmp(&b.price));
@@ -99,7 +103,7 @@
         for at_ms in [pull.finish_ms, pull.late_ms] {
             if at_ms.is_finite() {
                 aims.push((
-                    (at_ms - record.since_ms() as f64) / 1000.0,
+                    (at_ms - record.eligible_since_ms() as f64) / 1000.0,
                     Milestone::Finish,
                 ));
             }
@@ -207,7 +211,7 @@
             continue;
         }
         let spec = &job.record.spec;
-        let age = age_s(job.record.since_ms(), now_ms);
+        let age = age_s(job.record.eligible_since_ms(), now_ms);
         let size = f64::from(spec.tasks) * progress.dominant_share;
         let begin = start_within(spec, size, largest[&spec.class]);
         let Some(team) = teams.get(spec.team.as_str()) else {
@@ -272,7 +276,7 @@
         zone: progress.zone,
         spot: spec.spot,
         one_zone: spec.one_zone,
-        most_in_zone: spec.most_in_zone(),
+        most_in_zone: spec.max_tasks_per_zone(),
         zones: progress.zones.clone(),
         waiting: progress.waiting.clone(),
         started,
@@ -348,14 +352,18 @@
         };
         let ran = status.attempts.running_for(&id, now);
         let ran = ran.map_or(0.0, |ran| ran.as_secs_f64());
-        let saves = spec.checkpoint_s > 0.0;
+        let saves = spec.checkpoint_interval_s > 0.0;
         there.push(RunningTask {
             attempt,
             resources: spec.resources(),
             urgency: urgency_of(core, spec),
             borrowing: borrowing(&spec.team),
-            lost_s: if saves { spec.save_s } else { ran },
-            grace_s: if saves { spec.save_s * 1.5 + 1.0 } else { 0.0 },
+            lost_s: if saves { spec.checkpoint_write_s } else { ran },
+            grace_s: if saves {
+                spec.checkpoint_write_s * 1.5 + 1.0
+            } else {
+                0.0
+            },
             not_preemptible: core.workers.pending_stops.contains_key(&TaskAttempt {
                 task: id.clone(),
                 attempt,
--- a/src/renting/decide.rs
+++ b/src/renting/decide.rs
@@ -379,7 +379,7 @@
     let jobs = core.replica.jobs.values();
     jobs.map(|job| &job.record)
         .filter(|r| core.replica.owner_of(r) == Some(&node.identity))
-        .filter(|r| !r.cancelled && age_s(r.since_ms(), now_ms) < period_s)
+        .filter(|r| !r.cancelled && age_s(r.eligible_since_ms(), now_ms) < period_s)
         .filter(|r| {
             eligible_machine_types(core, &r.spec)
                 .first()
--- a/src/state/replica.rs
+++ b/src/state/replica.rs
@@ -140,8 +140,8 @@
         match slice {
             "j" => match read(key, data) {
                 Some(StoredJob::Open(record)) => self.put_job(name, record, revision),
-                Some(StoredJob::Blocked { record, awaits }) => {
-                    self.put_blocked(name, record, awaits, revision)
+                Some(StoredJob::Blocked { record, depends_on }) => {
+                    self.put_blocked(name, record, depends_on, revision)
                 }
                 Some(StoredJob::Finished { outcome }) => {
                     self.finish(name, outcome);
--- a/src/state/replica/tests.rs
+++ b/src/state/replica/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::jobs::pages::tests::wide;
+use crate::jobs::pages::tests::plain_layout;
 use serde_json::json;
 
 fn change(key: &str, data: serde_json::Value, revision: u64) -> WatchEvent {
@@ -16,7 +16,7 @@
 
 #[test]
 fn an_older_answer_never_undoes_a_newer_one() {
-    let mut replica = Replica::new(wide(8));
+    let mut replica = Replica::new(plain_layout(8));
     let page = |m: &str| json!([[1, m, 1], true]);
     let job = json!({"spec": crate::pipelines::tests::spec("job-1", "urgent", None),
         "accepted_ms": 0});
@@ -45,7 +45,7 @@
             "owners":[["me", 1]],"machines":machines})
     };
     let null = serde_json::Value::Null;
-    let mut replica = Replica::new(wide(8));
+    let mut replica = Replica::new(plain_layout(8));
     replica.apply(
         vec![
             change("r/m/r-1", rental(&["vm-1"]), 5),
@@ -86,7 +86,7 @@
 /// vouched then for what it had confirmed, and in the outage that followed all tasks ended.
 #[test]
 fn who_was_there_last_is_known_when_it_is_gone() {
-    let mut replica = Replica::new(wide(8));
+    let mut replica = Replica::new(plain_layout(8));
     let there = |incarnation| json!({"incarnation": incarnation, "lease": 1});
     replica.apply(vec![change("r/n/n-1", there(7), 4)], 4);
     replica.apply(vec![change("r/n/n-1", serde_json::Value::Null, 5)], 5);
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -184,7 +184,7 @@
             spec.shape,
             spec.tasks,
             spec.deadline_s,
-            job.record.since_ms() == job.record.accepted_ms,
+            job.record.eligible_since_ms() == job.record.accepted_ms,
         ));
     }
     for (name, kept) in &replica.fleet.rentals {
@@ -308,7 +308,7 @@
     // A job that waits is nothing that production could run.
     let held = StoredJob::Blocked {
         record: job,
-        awaits: vec!["job-000302".into()],
+        depends_on: vec!["job-000302".into()],
     };
     assert!(serde_json::from_str::<shapes::JobRecord>(&written(&held)).is_err());
     let page = &replica.jobs["job-000304"].pages[&PageId::Plain(0)].record;
--- a/src/testing/compatibility/interfaces.rs
+++ b/src/testing/compatibility/interfaces.rs
@@ -753,9 +753,9 @@
     let mut trace = String::new();
     for (what, body) in cases {
         let text = body.to_string();
-        let read = Submission::read(text.as_bytes()).unwrap();
+        let read = Submission::parse(text.as_bytes()).unwrap();
         let spec = serde_json::to_string(&read.spec).unwrap();
-        let awaits = read.awaits.join(", ");
+        let awaits = read.depends_on.join(", ");
         writeln!(
             trace,
             "== {what}\n> {text}\nread {spec}\nwaits for: {awaits}\n"
--- a/src/testing/compatibility/job_records.rs
+++ b/src/testing/compatibility/job_records.rs
@@ -27,14 +27,14 @@
         memory_gb: 4.0,
         image: "blender".into(),
         image_gb: 2.25,
-        types: None,
+        machine_types: None,
         zone: None,
         one_zone: false,
         spread: false,
         spot: false,
         estimate_s: 60.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_write_s: 0.0,
         deadline_s: None,
     }
 }
@@ -45,13 +45,13 @@
         shape: Shape::Gang,
         urgency: Urgency::Critical,
         gpus: 2.0,
-        types: Some(vec!["m4".into(), "g8".into()]),
+        machine_types: Some(vec!["m4".into(), "g8".into()]),
         zone: Some("b".into()),
         one_zone: true,
         spread: true,
         spot: true,
-        checkpoint_s: 30.0,
-        save_s: 1.5,
+        checkpoint_interval_s: 30.0,
+        checkpoint_write_s: 1.5,
         deadline_s: Some(900.5),
         ..plain_spec()
     }
@@ -154,7 +154,7 @@
     let mut trace = Trace::default();
     let blocked = |spec, awaits: &[&str]| StoredJob::Blocked {
         record: accepted(spec),
-        awaits: awaits.iter().map(|id| (*id).to_owned()).collect(),
+        depends_on: awaits.iter().map(|id| (*id).to_owned()).collect(),
     };
     let one = blocked(plain_spec(), &["job-000411"]);
     trace.add("no optional field", key(), &one);
@@ -181,7 +181,7 @@
     let id = "job-000412";
     trace.add("done", final_key(id), &TerminalState::Done);
     trace.add("cancelled", final_key(id), &TerminalState::Cancelled);
-    trace.add("given up", given_up_key(id), &Relinquished::under(VERSION));
+    trace.add("given up", given_up_key(id), &Relinquished::from(VERSION));
     insta::assert_snapshot!("ended_job_record", trace.0);
 }
 
--- a/src/testing/compatibility/recorded_run.rs
+++ b/src/testing/compatibility/recorded_run.rs
@@ -94,7 +94,7 @@
         for (id, blocked) in replica.pipelines.all() {
             let record = StoredJob::Blocked {
                 record: blocked.record.clone(),
-                awaits: blocked.awaits.clone(),
+                depends_on: blocked.awaits.clone(),
             };
             self.add(job_key(id), &record, blocked.revision);
         }
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -20,7 +20,7 @@
 }
 
 fn replica(cancelled: bool, page: Value) -> Replica {
-    let mut replica = Replica::new(crate::jobs::pages::tests::wide(8));
+    let mut replica = Replica::new(crate::jobs::pages::tests::plain_layout(8));
     let job = json!({"spec": spec("job-1", 4), "accepted_ms": 0, "cancelled": cancelled});
     let pair = |k: &str, data: Value, revision| KeyValue {
         key: k.into(),
@@ -184,7 +184,7 @@
 /// A service runs until it is cancelled: a task of it that ends is to be started again.
 #[test]
 fn an_ended_task_of_a_service_is_no_completion() {
-    let mut replica = Replica::new(crate::jobs::pages::tests::wide(8));
+    let mut replica = Replica::new(crate::jobs::pages::tests::plain_layout(8));
     let mut spec = spec("job-1", 2);
     spec["shape"] = json!("standing");
     let job = json!({"spec": spec, "accepted_ms": 0});
@@ -209,7 +209,7 @@
         PendingChanges::default(),
         BTreeSet::new(),
     );
-    let empty = Replica::new(crate::jobs::pages::tests::wide(8));
+    let empty = Replica::new(crate::jobs::pages::tests::plain_layout(8));
     let desired = DesiredState {
         replica: &empty,
         fencing_token: TOKEN,
