--- /dev/null
+++ b/src/mesh/status.rs
@@ -0,0 +1,58 @@
+//! Status frames: how long ago a controller last had contact with the state service.
+
+use super::receive_frame;
+use crate::node::Node;
+use std::io;
+use std::net::SocketAddr;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+
+/// Most bytes of a status frame, which holds a name and a time.
+const MAX_FRAME_BYTES: usize = 4096;
+/// Contact at most this long ago, in milliseconds, counts as reaching the state service.
+const MAX_CONTACT_AGE_MS: u64 = 2500;
+
+/// A controller's status. Its fields are encoded in this order.
+#[derive(Debug, bitcode::Encode, bitcode::Decode)]
+pub struct StatusFrame {
+    pub member: String,
+    /// Milliseconds since the last proven contact with the state service; `None` if there was none.
+    pub state_age_ms: Option<u64>,
+}
+
+impl StatusFrame {
+    /// The status of this controller.
+    pub(super) fn of(node: &Node) -> Self {
+        let last_read = node.core().last_read_barrier;
+        Self {
+            member: node.settings.member.clone(),
+            state_age_ms: last_read.map(|at| at.elapsed().as_millis() as u64),
+        }
+    }
+
+    /// Whether the sender reaches the state service.
+    pub(super) fn is_connected(&self) -> bool {
+        self.state_age_ms
+            .is_some_and(|age| age < MAX_CONTACT_AGE_MS)
+    }
+}
+
+/// Asks a peer for its status, in exchange for this controller's own.
+pub(super) async fn query(peer: SocketAddr, own: StatusFrame) -> io::Result<StatusFrame> {
+    let mut stream = TcpStream::connect(peer).await?;
+    send(&mut stream, &own).await?;
+    let length = stream.read_u16().await?;
+    receive_frame(&mut stream, length.into(), MAX_FRAME_BYTES).await
+}
+
+/// Answers a peer whose status frame has this length.
+pub(super) async fn respond(node: &Node, stream: &mut TcpStream, length: u16) -> io::Result<()> {
+    let _peer: StatusFrame = receive_frame(stream, length.into(), MAX_FRAME_BYTES).await?;
+    send(stream, &StatusFrame::of(node)).await
+}
+
+async fn send(stream: &mut TcpStream, status: &StatusFrame) -> io::Result<()> {
+    let frame = bitcode::encode(status);
+    stream.write_u16(frame.len() as u16).await?;
+    stream.write_all(&frame).await
+}
--- a/src/node.rs
+++ b/src/node.rs
@@ -190,7 +190,7 @@
         };
         let alone = self.settings.params.size > 1
             && lost_for(self.settings.presence_ttl() + PEERS_SILENT)
-            && silent(self.peer_status().any);
+            && silent(self.peer_status().last_response_at);
         let mut core = self.core();
         core.membership
             .probe
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -358,7 +358,7 @@
         "outlook",
         &serde_json::from_str::<shapes::ForecastSummaryRecord>(&outlook).unwrap(),
     );
-    let frame = bitcode::encode(&crate::mesh::StatusFrame {
+    let frame = bitcode::encode(&crate::mesh::status::StatusFrame {
         member: "millstone-1".into(),
         state_age_ms: Some(140),
     });
--- a/src/testing/compatibility/frames.rs
+++ b/src/testing/compatibility/frames.rs
@@ -44,7 +44,7 @@
     let address = listener.local_addr().unwrap();
     let serving = tokio::spawn(mesh::serve(Arc::new(node()), listener));
     let mut trace = String::new();
-    let status = mesh::StatusFrame {
+    let status = mesh::status::StatusFrame {
         member: "millstone-1".into(),
         state_age_ms: Some(140),
     };
@@ -75,12 +75,12 @@
         ("millstone-1", Some(140)),
         ("millstone-1", Some(u64::MAX)),
     ] {
-        let frame = bitcode::encode(&mesh::StatusFrame {
+        let frame = bitcode::encode(&mesh::status::StatusFrame {
             member: member.to_owned(),
             state_age_ms,
         });
         trace.push_str(&format!("{member:?} {state_age_ms:?}: {}\n", hex(&frame)));
-        let read: mesh::StatusFrame = bitcode::decode(&frame).unwrap();
+        let read: mesh::status::StatusFrame = bitcode::decode(&frame).unwrap();
         assert_eq!(read.member, member);
         assert_eq!(read.state_age_ms, state_age_ms);
     }
