--- a/src/testing/mod.rs
+++ b/src/testing/mod.rs
@@ -2,6 +2,7 @@
 //! `rowanmill-testing`.
 
 pub mod compatibility;
+mod documentation;
 mod fault_scenarios;
 mod fleet_scale;
 mod limits;
