--- a/src/api/dependencies.rs
+++ b/src/api/dependencies.rs
@@ -4,19 +4,12 @@
 use crate::http::{HttpResponse, error_response};
 use crate::jobs::TerminalState;
 use crate::node::{Core, Node};
-use crate::pipelines::service::look_up_needs;
+use crate::pipelines::DependencyState;
+use crate::pipelines::service::read_final_states;
 use crate::state::final_key;
 use hyper::StatusCode;
 use std::sync::Arc;
 
-/// The state of one dependency, or of several together: the greatest of theirs.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum DependencyState {
-    Completed,
-    Unfinished,
-    Cancelled,
-}
-
 /// Why the state of a dependency cannot be told.
 #[derive(Debug, thiserror::Error)]
 pub enum DependencyError {
@@ -54,7 +47,7 @@
     for id in depends_on {
         check_accepted(node, id).await?;
         let unknown = node.core().replica.unknown_ancestors(id);
-        if !unknown.is_empty() && !look_up_needs(node, unknown).await {
+        if !unknown.is_empty() && !read_final_states(node, unknown).await {
             return Err(DependencyError::StateUnavailable);
         }
         combined = combined.max(state_of(&node.core(), id));
@@ -88,7 +81,7 @@
     let replica = &core.replica;
     let job = replica.jobs.get(id);
     let is_cancelled =
-        replica.pipelines.is_doomed(id) || job.is_some_and(|job| job.record.cancelled);
+        replica.pipelines.is_cancelled(id) || job.is_some_and(|job| job.record.cancelled);
     match replica.final_state(id) {
         Some(TerminalState::Cancelled) => DependencyState::Cancelled,
         _ if is_cancelled => DependencyState::Cancelled,
--- a/src/api/status.rs
+++ b/src/api/status.rs
@@ -6,7 +6,7 @@
 use crate::http::{HttpResponse, error_response};
 use crate::jobs::{Stage, TerminalState, is_job_id};
 use crate::node::{Core, Node};
-use crate::pipelines::service::look_up_needs;
+use crate::pipelines::service::read_final_states;
 use crate::state::final_key;
 use hyper::StatusCode;
 use std::sync::Arc;
@@ -110,7 +110,7 @@
     }
     // A blocked job may be cancelled by what ended before this process started.
     let unknown = node.core().replica.unknown_ancestors(id);
-    if !unknown.is_empty() && !look_up_needs(node, unknown).await {
+    if !unknown.is_empty() && !read_final_states(node, unknown).await {
         return JobStatus::Indeterminate;
     }
     if let Some(status) = status_in_replica(&node.core(), id) {
@@ -122,7 +122,7 @@
 fn status_in_replica(core: &Core, id: &str) -> Option<JobStatus> {
     if core.replica.pipelines.get(id).is_some() {
         // Cancelled with what it depends on, whether that is in its own record yet or not.
-        let is_cancelled = core.replica.pipelines.is_doomed(id);
+        let is_cancelled = core.replica.pipelines.is_cancelled(id);
         let stage = if is_cancelled {
             Stage::Cancelled
         } else {
--- a/src/api/submit.rs
+++ b/src/api/submit.rs
@@ -3,7 +3,7 @@
 
 use super::Server;
 use super::admission::{Admission, admit};
-use super::dependencies::{DependencyState, resolve_dependencies};
+use super::dependencies::resolve_dependencies;
 use super::responses::{overloaded, stage_response, state_unavailable};
 use super::status::{STATE_TIMEOUT, final_state_in_memory, respond_if_accepted};
 use crate::cells::requests;
@@ -12,6 +12,7 @@
 use crate::membership;
 use crate::metrics::CpuAccount;
 use crate::node::{Node, wall_ms};
+use crate::pipelines::DependencyState;
 use crate::state::{Operation, Precondition, TransactionError, final_key, job_key};
 use hyper::StatusCode;
 use rowanmill_state::WritePriority;
--- a/src/jobs/writer.rs
+++ b/src/jobs/writer.rs
@@ -48,9 +48,9 @@
     let ended_before = node.core().metrics.ended_jobs;
     archive_ended_jobs(node).await?;
     let has_ended_jobs = node.core().metrics.ended_jobs != ended_before;
-    if !pipelines::service::turn(node, has_ended_jobs).await {
-        return Err(Unconfirmed);
-    }
+    pipelines::service::write_transitions(node, has_ended_jobs)
+        .await
+        .map_err(|_| Unconfirmed)?;
     write_pages(node).await
 }
 
--- a/src/pipelines/mod.rs
+++ b/src/pipelines/mod.rs
@@ -1,202 +1,205 @@
-//! Jobs that wait for others. They are kept apart from the jobs that placing reads, and come to those
-//! by one guarded change once all that they need is done. Whether one is cancelled along with what it
-//! needs follows from the records alone, so that no end of a process between two writes leaves one
-//! behind.
+//! The dependencies among jobs: a directed acyclic graph of the blocked ones. They are kept apart from the jobs that
+//! placement reads, and come to those by one guarded change once all that they depend on is done. Whether one is
+//! cancelled along with a dependency follows from the records alone, so that no end of a process between two writes
+//! leaves one behind.
 
-pub mod paths;
+pub mod deadlines;
 pub mod service;
 
 use crate::jobs::{JobRecord, TerminalState};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-/// A job that waits for others.
+/// A job that depends on others which are not all done.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Blocked {
+pub struct BlockedJob {
     pub record: JobRecord,
-    pub awaits: Vec<String>,
+    pub depends_on: Vec<String>,
     pub revision: u64,
-    /// What it needs that is not known to be done.
-    open: BTreeSet<String>,
+    /// The dependencies that are not known to be done.
+    unfinished: BTreeSet<String>,
 }
 
-/// What is known of a job that another needs.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Need {
-    Done,
+/// The state of one dependency, or of several together: the greatest of theirs.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum DependencyState {
+    Completed,
+    Unfinished,
     Cancelled,
-    Open,
 }
 
+/// The blocked jobs and what follows for them from the ends of others.
 #[derive(Debug, Default)]
 pub struct Pipelines {
-    held: BTreeMap<String, Blocked>,
-    /// Who waits for a job, by its id; it may have ended long ago.
+    blocked: BTreeMap<String, BlockedJob>,
+    /// The blocked jobs that depend on a job, by its id; it may have ended long ago.
     dependents: HashMap<String, BTreeSet<String>>,
-    /// All that they need is done.
+    /// Blocked jobs whose dependencies are all done.
     ready: BTreeSet<String>,
-    /// Cancelled along with what they need.
-    doomed: BTreeSet<String>,
+    /// Blocked jobs that are cancelled, themselves or along with a dependency.
+    cancelled: BTreeSet<String>,
     /// Rises with each change.
     pub version: u64,
 }
 
 impl Pipelines {
-    /// None yet, for a new reading of all records.
-    pub fn anew(&self) -> Self {
+    /// An empty graph of the next version, for a reload of all records.
+    pub fn cleared(&self) -> Self {
         Self {
             version: self.version + 1,
             ..Self::default()
         }
     }
 
-    pub fn get(&self, id: &str) -> Option<&Blocked> {
-        self.held.get(id)
+    pub fn get(&self, id: &str) -> Option<&BlockedJob> {
+        self.blocked.get(id)
     }
 
-    pub fn all(&self) -> impl Iterator<Item = (&String, &Blocked)> {
-        self.held.iter()
+    pub fn iter(&self) -> impl Iterator<Item = (&String, &BlockedJob)> {
+        self.blocked.iter()
     }
 
-    pub fn is_doomed(&self, id: &str) -> bool {
-        self.doomed.contains(id)
+    /// Whether a blocked job is cancelled, itself or along with a dependency.
+    pub fn is_cancelled(&self, id: &str) -> bool {
+        self.cancelled.contains(id)
     }
 
-    /// Takes in a record, as far as it is newer; `need` tells what is known of what it awaits.
-    pub fn put(
+    /// Inserts a record, unless a newer one is known. `state_of` tells what is known of a dependency.
+    pub fn insert(
         &mut self,
         id: &str,
         record: JobRecord,
-        awaits: Vec<String>,
+        depends_on: Vec<String>,
         revision: u64,
-        need: impl Fn(&str) -> Need,
+        state_of: impl Fn(&str) -> DependencyState,
     ) {
-        if self
-            .held
-            .get(id)
-            .is_some_and(|old| old.revision >= revision)
-        {
+        let known = self.blocked.get(id);
+        if known.is_some_and(|known| known.revision >= revision) {
             return;
         }
         self.remove(id);
         self.version += 1;
-        let mut open = BTreeSet::new();
-        let mut cancelled = record.cancelled;
-        for other in &awaits {
-            let waiting = self.dependents.entry(other.clone()).or_default();
-            waiting.insert(id.to_owned());
-            match need(other) {
-                Need::Done => {}
-                Need::Cancelled => cancelled = true,
-                Need::Open => {
-                    cancelled |= self.doomed.contains(other);
-                    open.insert(other.clone());
+        let mut unfinished = BTreeSet::new();
+        let mut is_cancelled = record.cancelled;
+        for dependency in &depends_on {
+            let dependents = self.dependents.entry(dependency.clone()).or_default();
+            dependents.insert(id.to_owned());
+            match state_of(dependency) {
+                DependencyState::Completed => {}
+                DependencyState::Cancelled => is_cancelled = true,
+                DependencyState::Unfinished => {
+                    is_cancelled |= self.cancelled.contains(dependency);
+                    unfinished.insert(dependency.clone());
                 }
             }
         }
-        if open.is_empty() && !cancelled {
+        if unfinished.is_empty() && !is_cancelled {
             self.ready.insert(id.to_owned());
         }
-        let held = Blocked {
+        let job = BlockedJob {
             record,
-            awaits,
+            depends_on,
             revision,
-            open,
+            unfinished,
         };
-        self.held.insert(id.to_owned(), held);
-        if cancelled {
-            self.doomed.insert(id.to_owned());
-            self.doom_after(id);
+        self.blocked.insert(id.to_owned(), job);
+        if is_cancelled {
+            self.cancelled.insert(id.to_owned());
+            self.cascade_cancel(id);
         }
     }
 
-    /// It waits no longer: it was released, or is over.
-    pub fn remove(&mut self, id: &str) -> Option<Blocked> {
-        let held = self.held.remove(id)?;
+    /// Removes a job that is no longer blocked: it was released, or has ended.
+    pub fn remove(&mut self, id: &str) -> Option<BlockedJob> {
+        let job = self.blocked.remove(id)?;
         self.version += 1;
-        for other in &held.awaits {
-            if let Some(waiting) = self.dependents.get_mut(other) {
-                waiting.remove(id);
-                if waiting.is_empty() {
-                    self.dependents.remove(other);
+        for dependency in &job.depends_on {
+            if let Some(dependents) = self.dependents.get_mut(dependency) {
+                dependents.remove(id);
+                if dependents.is_empty() {
+                    self.dependents.remove(dependency);
                 }
             }
         }
         self.ready.remove(id);
-        self.doomed.remove(id);
-        Some(held)
+        self.cancelled.remove(id);
+        Some(job)
     }
 
-    /// A job ended, or was cancelled: those that need it learn of it.
-    pub fn over(&mut self, id: &str, last: TerminalState) {
-        match last {
-            TerminalState::Cancelled => self.doom_after(id),
-            TerminalState::Done => {
-                for waiting in self.dependents.get(id).into_iter().flatten() {
-                    let Some(held) = self.held.get_mut(waiting) else {
-                        continue;
-                    };
-                    held.open.remove(id);
-                    if held.open.is_empty() && !self.doomed.contains(waiting) {
-                        self.ready.insert(waiting.clone());
-                        self.version += 1;
-                    }
-                }
+    /// Records that a job ended or was cancelled, for those that depend on it.
+    pub fn record_final_state(&mut self, id: &str, final_state: TerminalState) {
+        match final_state {
+            TerminalState::Cancelled => self.cascade_cancel(id),
+            TerminalState::Done => self.complete_dependency(id),
+        }
+    }
+
+    fn complete_dependency(&mut self, id: &str) {
+        for dependent in self.dependents.get(id).into_iter().flatten() {
+            let Some(job) = self.blocked.get_mut(dependent) else {
+                continue;
+            };
+            job.unfinished.remove(id);
+            if job.unfinished.is_empty() && !self.cancelled.contains(dependent) {
+                self.ready.insert(dependent.clone());
+                self.version += 1;
             }
         }
     }
 
-    /// All that need it, directly or through others. A list of its own takes the place of recursion:
-    /// chains may be long.
-    fn doom_after(&mut self, id: &str) {
-        let mut left = vec![id.to_owned()];
-        while let Some(id) = left.pop() {
-            for waiting in self.dependents.get(&id).into_iter().flatten() {
-                if self.held.contains_key(waiting) && self.doomed.insert(waiting.clone()) {
-                    self.ready.remove(waiting);
+    /// Marks as cancelled all that depend on a job, directly or through others. A list of its own takes the place
+    /// of recursion: chains may be long.
+    fn cascade_cancel(&mut self, id: &str) {
+        let mut remaining = vec![id.to_owned()];
+        while let Some(id) = remaining.pop() {
+            for dependent in self.dependents.get(&id).into_iter().flatten() {
+                if self.blocked.contains_key(dependent) && self.cancelled.insert(dependent.clone())
+                {
+                    self.ready.remove(dependent);
                     self.version += 1;
-                    left.push(waiting.clone());
+                    remaining.push(dependent.clone());
                 }
             }
         }
     }
 
-    pub fn ready(&self) -> impl Iterator<Item = (&String, &Blocked)> {
-        self.ready
-            .iter()
-            .filter_map(|id| self.held.get_key_value(id))
+    /// The blocked jobs whose dependencies are all done.
+    pub fn ready(&self) -> impl Iterator<Item = (&String, &BlockedJob)> {
+        let ready = self.ready.iter();
+        ready.filter_map(|id| self.blocked.get_key_value(id))
     }
 
-    pub fn doomed(&self) -> impl Iterator<Item = (&String, &Blocked)> {
-        self.doomed
-            .iter()
-            .filter_map(|id| self.held.get_key_value(id))
+    /// The blocked jobs that are cancelled.
+    pub fn cancelled(&self) -> impl Iterator<Item = (&String, &BlockedJob)> {
+        let cancelled = self.cancelled.iter();
+        cancelled.filter_map(|id| self.blocked.get_key_value(id))
     }
 
-    /// What a job needs, directly or through others, of which neither a record here nor `known`
-    /// tells: it ended before this process began to follow, and is looked up.
-    pub fn unknown_before(&self, id: &str, known: impl Fn(&str) -> bool) -> Vec<String> {
-        let mut seen: HashSet<&str> = HashSet::from([id]);
-        let mut left = vec![id];
+    /// The jobs that one depends on, directly or through others, of which neither a record here nor `is_known`
+    /// tells: they ended before this process began to watch, and are looked up.
+    pub fn unknown_ancestors(&self, id: &str, is_known: impl Fn(&str) -> bool) -> Vec<String> {
+        let mut visited: HashSet<&str> = HashSet::from([id]);
+        let mut remaining = vec![id];
         let mut unknown = Vec::new();
-        while let Some(id) = left.pop() {
-            let Some(held) = self.held.get(id) else {
+        while let Some(id) = remaining.pop() {
+            let Some(job) = self.blocked.get(id) else {
                 continue;
             };
-            for other in held.open.iter().filter(|o| seen.insert(o)) {
-                if self.held.contains_key(other) {
-                    left.push(other);
-                } else if !known(other) {
-                    unknown.push(other.clone());
+            let unfinished = job.unfinished.iter();
+            for dependency in unfinished.filter(|other| visited.insert(other)) {
+                if self.blocked.contains_key(dependency) {
+                    remaining.push(dependency);
+                } else if !is_known(dependency) {
+                    unknown.push(dependency.clone());
                 }
             }
         }
         unknown
     }
 
-    /// The same for all.
-    pub fn unknown(&self, known: impl Fn(&str) -> bool) -> BTreeSet<String> {
-        let open = self.held.values().flat_map(|held| &held.open);
-        let unknown = open.filter(|o| !self.held.contains_key(*o) && !known(o));
+    /// The unknown ancestors of all blocked jobs.
+    pub fn unknown_dependencies(&self, is_known: impl Fn(&str) -> bool) -> BTreeSet<String> {
+        let unfinished = self.blocked.values().flat_map(|job| &job.unfinished);
+        let unknown = unfinished.filter(|id| !self.blocked.contains_key(*id) && !is_known(id));
         unknown.cloned().collect()
     }
 }
--- a/src/pipelines/service.rs
+++ b/src/pipelines/service.rs
@@ -1,131 +1,155 @@
-//! Releases jobs once all that they need is durably done, and ends those that were cancelled with
-//! what they need.
+//! Releases blocked jobs once all that they depend on is durably done, and ends those that are cancelled along with a
+//! dependency. What is ready or cancelled is decided by [`super::Pipelines`].
 
-use crate::jobs::{StoredJob, TerminalState};
+use crate::jobs::{JobRecord, StoredJob, TerminalState};
 use crate::membership;
 use crate::node::{Core, Node, wall_ms};
-use crate::state::{Operation, Precondition, final_key, job_key};
+use crate::state::{
+    MAX_TRANSACTION_BYTES, Operation, Precondition, TransactionError, final_key, job_key,
+};
 use rowanmill_state::WritePriority;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A change of one waiting job, under the guard of its record alone: that what it needs is done, or
-/// cancelled, is final.
-struct Step {
-    guard: Precondition,
-    op: Operation,
-}
+/// Pause between two lookups of unknown dependencies.
+const LOOKUP_INTERVAL: Duration = Duration::from_millis(400);
+/// Dependencies that are looked up at a time.
+const MAX_LOOKUPS: usize = 4;
 
-/// The record of one that was cancelled while it waited: nothing of it ran.
+/// The record of a job that was cancelled while it was blocked: nothing of it ran.
 pub const CANCELLED: StoredJob = StoredJob::Finished {
     outcome: TerminalState::Cancelled,
 };
 
-/// Those that this node sees to: its own, and after it ended a job any that are ready, so that the
-/// next stage need not wait until another node has read the log. Of two that release one the record's
-/// revision lets through a single one.
-fn steps(node: &Node, core: &mut Core, ended_here: bool, most: usize) -> Vec<Step> {
+/// A change of one blocked job, on condition of its record alone: that its dependencies are done, or that one is
+/// cancelled, is final.
+struct Transition {
+    precondition: Precondition,
+    put: Operation,
+}
+
+impl Transition {
+    fn new(id: &str, revision: u64, record: &StoredJob) -> Self {
+        let key = job_key(id);
+        Self {
+            put: Operation::put(key.clone(), record),
+            precondition: Precondition { key, revision },
+        }
+    }
+}
+
+/// The transitions that this node makes, at most `limit` of each kind: those of its own jobs, and after it ended a
+/// job (`has_ended_jobs`) the release of any that are ready, so that the next stage need not wait until another
+/// node has read the log. Of two that release one the record's revision lets through a single one.
+fn plan_transitions(
+    node: &Node,
+    core: &mut Core,
+    has_ended_jobs: bool,
+    limit: usize,
+) -> Vec<Transition> {
     let replica = &core.replica;
-    let ours = |id: &str| {
-        let held = replica.pipelines.get(id);
-        held.is_some_and(|held| replica.owner_of(&held.record) == Some(&node.identity))
-    };
+    let is_ours = |record: &JobRecord| replica.owner_of(record) == Some(&node.identity);
     let ready = replica.pipelines.ready();
-    let ready = ready.filter(|(id, _)| ended_here || ours(id));
     let ready: Vec<_> = ready
-        .take(most)
-        .map(|(id, h)| (id.clone(), h.record.clone(), h.revision))
+        .filter(|(_, job)| has_ended_jobs || is_ours(&job.record))
+        .take(limit)
+        .map(|(id, job)| (id.clone(), job.record.clone(), job.revision))
         .collect();
-    let doomed = replica.pipelines.doomed().filter(|(id, _)| ours(id));
-    let doomed = doomed.take(most).map(|(id, h)| (id.clone(), h.revision));
-    let doomed: Vec<(String, u64)> = doomed.collect();
-    let guard = |id: &str, revision| Precondition {
-        key: job_key(id),
-        revision,
-    };
-    let mut steps = Vec::new();
-    for (id, mut record, revision) in ready {
-        record.released_ms = Some(wall_ms().max(record.accepted_ms));
-        record.placer = membership::choose_placer(node, core, &record);
-        steps.push(Step {
-            guard: guard(&id, revision),
-            op: Operation::put(job_key(&id), &StoredJob::Open(record)),
-        });
-    }
-    for (id, revision) in doomed {
-        steps.push(Step {
-            guard: guard(&id, revision),
-            op: Operation::put(job_key(&id), &CANCELLED),
-        });
+    let cancelled = replica.pipelines.cancelled();
+    let cancellations: Vec<_> = cancelled
+        .filter(|(_, job)| is_ours(&job.record))
+        .take(limit)
+        .map(|(id, job)| Transition::new(id, job.revision, &CANCELLED))
+        .collect();
+    let releases = ready
+        .into_iter()
+        .map(|(id, record, revision)| release(node, core, &id, record, revision));
+    releases.chain(cancellations).collect()
+}
+
+fn release(
+    node: &Node,
+    core: &mut Core,
+    id: &str,
+    mut record: JobRecord,
+    revision: u64,
+) -> Transition {
+    record.released_ms = Some(wall_ms().max(record.accepted_ms));
+    record.placer = membership::choose_placer(node, core, &record);
+    Transition::new(id, revision, &StoredJob::Open(record))
+}
+
+/// As many of the transitions as one transaction takes, from the first on.
+fn fill_transaction(
+    transitions: Vec<Transition>,
+    limit: usize,
+) -> (Vec<Precondition>, Vec<Operation>) {
+    let (mut preconditions, mut operations) = (Vec::new(), Vec::new());
+    let mut bytes = 0;
+    for Transition { precondition, put } in transitions {
+        bytes += put.bytes();
+        if operations.len() == limit || bytes > MAX_TRANSACTION_BYTES {
+            break;
+        }
+        preconditions.push(precondition);
+        operations.push(put);
     }
-    steps
+    (preconditions, operations)
 }
 
-/// One turn, as part of recording. False if something failed or went unanswered: then what stands
-/// must be read.
-pub async fn turn(node: &Arc<Node>, ended_here: bool) -> bool {
-    let most = node.settings.max_transaction_operations();
+/// Writes the transitions that this node makes, as part of recording. After an error the records must be read again:
+/// whether the transaction was carried out is not known.
+pub async fn write_transitions(
+    node: &Arc<Node>,
+    has_ended_jobs: bool,
+) -> Result<(), TransactionError> {
+    let max_operations = node.settings.max_transaction_operations();
     loop {
         // Users wait for each stage.
-        let room = node
-            .state
-            .available_writes(WritePriority::UserFacing)
-            .min(most);
-        let mut steps = steps(node, &mut node.core(), ended_here, room);
-        let (mut guards, mut ops) = (Vec::new(), Vec::new());
-        let mut bytes = 0;
-        while let Some(step) = steps.first() {
-            let more = step.op.bytes();
-            if ops.len() + 1 > room || bytes + more > crate::state::MAX_TRANSACTION_BYTES {
-                break;
-            }
-            let step = steps.remove(0);
-            bytes += more;
-            guards.push(step.guard);
-            ops.push(step.op);
-        }
-        if ops.is_empty() {
-            return true;
+        let quota = node.state.available_writes(WritePriority::UserFacing);
+        let limit = quota.min(max_operations);
+        let transitions = plan_transitions(node, &mut node.core(), has_ended_jobs, limit);
+        let (preconditions, operations) = fill_transaction(transitions, limit);
+        if operations.is_empty() {
+            return Ok(());
         }
-        let Ok(revision) = node.state.compare_and_swap(&guards, &ops).await else {
-            return false;
-        };
-        node.core().apply(ops, revision);
+        let revision = node
+            .state
+            .compare_and_swap(&preconditions, &operations)
+            .await?;
+        node.core().apply(operations, revision);
         node.wake_up.notify_one();
     }
 }
 
-/// Reads how jobs ended that this process has not seen end. False if that cannot be told now: nothing
-/// is assumed of them then.
-pub async fn look_up_needs(node: &Node, ids: impl IntoIterator<Item = String>) -> bool {
+/// Reads the final states of jobs that this process has not seen end. False if one cannot be told now: nothing is
+/// assumed of it then.
+pub async fn read_final_states(node: &Node, ids: impl IntoIterator<Item = String>) -> bool {
     for id in ids {
         let Ok(Some(value)) = node.state.get(&final_key(&id)).await else {
             return false;
         };
-        let Ok(last) = serde_json::from_value::<TerminalState>(value) else {
+        let Ok(final_state) = serde_json::from_value::<TerminalState>(value) else {
             return false;
         };
-        node.core().replica.record_final_state(&id, last);
+        node.core().replica.record_final_state(&id, final_state);
         node.wake_up.notify_one();
     }
     true
 }
 
-const PAUSE: Duration = Duration::from_millis(400);
-/// Looked up at a time.
-const MOST_LOOKED_UP: usize = 4;
-
-/// After a start or a new reading of all records: what was over before is looked up, little by little.
+/// Looks up, little by little, the dependencies that ended before the records were loaded.
 pub async fn run(node: Arc<Node>) {
     loop {
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(LOOKUP_INTERVAL).await;
         let unknown = {
             let core = node.core();
-            match core.loaded {
-                true => core.replica.unknown_dependencies(),
-                false => continue,
+            if !core.loaded {
+                continue;
             }
+            core.replica.unknown_dependencies()
         };
-        look_up_needs(&node, unknown.into_iter().take(MOST_LOOKED_UP)).await;
+        // What cannot be told now is looked up again.
+        read_final_states(&node, unknown.into_iter().take(MAX_LOOKUPS)).await;
     }
 }
--- a/src/pipelines/tests.rs
+++ b/src/pipelines/tests.rs
@@ -1,4 +1,4 @@
-use super::paths::pulls;
+use super::deadlines::propagate_deadlines;
 use crate::jobs::pages::tests::plain_layout;
 use crate::state::Replica;
 use serde_json::{Value, json};
@@ -15,7 +15,7 @@
     replica.apply_put(&format!("r/j/{id}"), &record.to_string(), revision);
 }
 
-fn held(replica: &mut Replica, id: &str, awaits: &[&str], due: Option<f64>, revision: u64) {
+fn blocked(replica: &mut Replica, id: &str, awaits: &[&str], due: Option<f64>, revision: u64) {
     let urgency = if due.is_some() {
         "urgent"
     } else {
@@ -32,25 +32,25 @@
     format!(
         "open [{}] waiting [{}] ready [{}] cancelled [{}]\n",
         ids(replica.jobs.keys().collect()),
-        ids(p.all().map(|(id, _)| id).collect()),
+        ids(p.iter().map(|(id, _)| id).collect()),
         ids(p.ready().map(|(id, _)| id).collect()),
-        ids(p.doomed().map(|(id, _)| id).collect()),
+        ids(p.cancelled().map(|(id, _)| id).collect()),
     )
 }
 
 /// Rules `too_early` and `orphaned`, on a diamond with a chain behind it: 1 before 2 and 3, both
 /// before 4, then 5. Whatever order the news come in, the same follows.
 #[test]
-fn a_job_waits_for_all_that_it_needs_and_is_cancelled_with_any_of_it() {
+fn a_job_is_released_after_all_dependencies_and_cancelled_with_any() {
     let diamond = |order: [u64; 5]| {
         let mut replica = Replica::new(plain_layout(8));
         for number in order {
             match number {
                 1 => open(&mut replica, "job-1", 11),
-                2 => held(&mut replica, "job-2", &["job-1"], None, 12),
-                3 => held(&mut replica, "job-3", &["job-1"], None, 13),
-                4 => held(&mut replica, "job-4", &["job-2", "job-3"], None, 14),
-                _ => held(&mut replica, "job-5", &["job-4"], Some(100.0), 15),
+                2 => blocked(&mut replica, "job-2", &["job-1"], None, 12),
+                3 => blocked(&mut replica, "job-3", &["job-1"], None, 13),
+                4 => blocked(&mut replica, "job-4", &["job-2", "job-3"], None, 14),
+                _ => blocked(&mut replica, "job-5", &["job-4"], Some(100.0), 15),
             }
         }
         replica
@@ -65,7 +65,7 @@
         open(&mut replica, "job-2", 22);
         open(&mut replica, "job-3", 22);
         trace.push_str(&format!("2, 3 released: {}", show(&replica)));
-        held(&mut replica, "job-2", &["job-1"], None, 12);
+        blocked(&mut replica, "job-2", &["job-1"], None, 12);
         trace.push_str(&format!("an older record comes late: {}", show(&replica)));
         replica.apply_delete("r/j/job-2", 23);
         trace.push_str(&format!("2 is done: {}", show(&replica)));
@@ -93,10 +93,13 @@
         let record = json!({"spec": spec("job-1", "best_effort", None), "accepted_ms": 0,
             "cancelled": true});
         replica.apply_put("r/j/job-1", &record.to_string(), 21);
-        assert_eq!(replica.pipelines.doomed().count(), 4);
+        assert_eq!(replica.pipelines.cancelled().count(), 4);
         replica.apply_delete("r/j/job-1", 22);
-        held(&mut replica, "job-6", &["job-5", "job-1"], None, 23);
-        assert!(replica.pipelines.is_doomed("job-6"), "it came afterwards");
+        blocked(&mut replica, "job-6", &["job-5", "job-1"], None, 23);
+        assert!(
+            replica.pipelines.is_cancelled("job-6"),
+            "it came afterwards"
+        );
         assert_eq!(replica.pipelines.ready().count(), 0);
     }
 }
@@ -104,7 +107,7 @@
 /// Rules `forgotten` and `too_early`: a record that cannot be read is known, and never one that waits
 /// for nothing. And a long chain is walked without a stack.
 #[test]
-fn what_cannot_be_read_is_known_and_chains_may_be_long() {
+fn unreadable_records_are_known_and_chains_may_be_long() {
     let mut replica = Replica::new(plain_layout(8));
     let mut record = json!({"held": {"spec": spec("job-7", "urgent", None), "accepted_ms": 0}});
     for awaits in [json!("job-1"), json!([1]), Value::Null] {
@@ -115,23 +118,26 @@
     open(&mut replica, "job-100000", 10);
     for n in 100_001..150_000_u64 {
         let before = format!("job-{}", n - 1);
-        held(&mut replica, &format!("job-{n}"), &[&before], None, n);
+        blocked(&mut replica, &format!("job-{n}"), &[&before], None, n);
     }
     let takes = |_: &_| 1.0;
-    assert_eq!(pulls(&replica.pipelines, takes, takes).len(), 49_999);
+    assert_eq!(
+        propagate_deadlines(&replica.pipelines, takes, takes).len(),
+        49_999
+    );
     assert_eq!(replica.unknown_ancestors("job-149999").len(), 0);
     let record = json!({"spec": spec("job-100000", "urgent", None), "accepted_ms": 0,
         "cancelled": true});
     replica.apply_put("r/j/job-100000", &record.to_string(), 200_000);
-    assert_eq!(replica.pipelines.doomed().count(), 49_999);
+    assert_eq!(replica.pipelines.cancelled().count(), 49_999);
 }
 
-/// What ended before this process began is looked up, never assumed.
+/// The final states of jobs that ended before this process started are looked up, never assumed.
 #[test]
-fn what_ended_before_the_records_were_read_is_asked_for() {
+fn dependencies_that_ended_before_the_reload_are_looked_up() {
     let mut replica = Replica::new(plain_layout(8));
-    held(&mut replica, "job-2", &["job-1"], None, 12);
-    held(&mut replica, "job-3", &["job-2"], None, 13);
+    blocked(&mut replica, "job-2", &["job-1"], None, 12);
+    blocked(&mut replica, "job-3", &["job-2"], None, 13);
     assert_eq!(replica.unknown_ancestors("job-3"), ["job-1"]);
     assert_eq!(replica.pipelines.ready().count(), 0);
     replica.record_final_state("job-1", crate::jobs::TerminalState::Done);
@@ -139,33 +145,33 @@
     insta::assert_snapshot!(show(&replica), @r#"open [] waiting [job-2 job-3] ready [job-2] cancelled []"#);
 }
 
-/// A pipeline's deadline and priority stand on its last job; what comes before has the deadline less
-/// the longest path behind it. A later submission tightens it.
+/// A pipeline's deadline and priority are its last job's; the jobs before it have the deadline less the
+/// longest path behind them. A later submission tightens it.
 #[test]
-fn earlier_jobs_have_the_deadline_less_what_is_behind_them() {
+fn deadlines_propagate_less_the_longest_path_behind() {
     let mut replica = Replica::new(plain_layout(8));
     open(&mut replica, "job-1", 11);
-    held(&mut replica, "job-2", &["job-1"], None, 12);
-    held(&mut replica, "job-3", &["job-1"], None, 13);
+    blocked(&mut replica, "job-2", &["job-1"], None, 12);
+    blocked(&mut replica, "job-3", &["job-1"], None, 13);
     let takes = |record: &crate::jobs::JobRecord| match record.spec.id.as_str() {
         "job-3" => 30.0,
         _ => 10.0,
     };
     let mut trace = String::new();
     let mut say = |what: &str, replica: &Replica| {
-        let pulls = pulls(&replica.pipelines, takes, |_| 1.5);
-        let mut lines: Vec<_> = pulls.into_iter().collect();
+        let inherited = propagate_deadlines(&replica.pipelines, takes, |_| 1.5);
+        let mut lines: Vec<_> = inherited.into_iter().collect();
         lines.sort_by(|a, b| a.0.cmp(&b.0));
         trace.push_str(&format!("{what}\n"));
         for (id, p) in lines {
-            let (due, late) = (p.finish_ms / 1000.0, p.late_ms / 1000.0);
+            let (due, late) = (p.finish_by_ms / 1000.0, p.objective_finish_by_ms / 1000.0);
             trace.push_str(&format!("  {id}: {:?}, by {due} or {late}\n", p.urgency));
         }
     };
     say("without an end", &replica);
-    held(&mut replica, "job-4", &["job-2", "job-3"], Some(100.0), 14);
+    blocked(&mut replica, "job-4", &["job-2", "job-3"], Some(100.0), 14);
     say("with its end", &replica);
-    held(&mut replica, "job-5", &["job-2"], Some(50.0), 15);
+    blocked(&mut replica, "job-5", &["job-2"], Some(50.0), 15);
     say("with a second one", &replica);
     insta::assert_snapshot!(trace, @r#"
     without an end
--- a/src/placement/service.rs
+++ b/src/placement/service.rs
@@ -103,7 +103,7 @@
         return None;
     }
     clear_gone(node, core);
-    snapshot_cache::refresh_pulls(node, core, now);
+    snapshot_cache::propagate_pipeline_deadlines(node, core, now);
     core.metrics.rebuilt_snapshots += snapshot_cache::refresh(core, &node.identity, now, now_ms);
     limits::refresh_usage(core);
     Some(snapshot::build(node, core, now, now_ms))
--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -85,8 +85,8 @@
 
 /// A job's urgency, or a higher one of a job that waits for it.
 pub fn urgency_of(core: &Core, spec: &JobSpec) -> Urgency {
-    let pull = core.views.pulls.get(&spec.id);
-    pull.map_or(spec.urgency, |p| p.urgency.max(spec.urgency))
+    let inherited = core.views.inherited_deadlines.get(&spec.id);
+    inherited.map_or(spec.urgency, |i| i.urgency.max(spec.urgency))
 }
 
 /// All times that a job can still keep, the earliest first.
@@ -99,8 +99,8 @@
         aims.push((due, Milestone::Finish));
     }
     // What waits for it must be in time, too.
-    if let Some(pull) = core.views.pulls.get(&spec.id) {
-        for at_ms in [pull.finish_ms, pull.late_ms] {
+    if let Some(inherited) = core.views.inherited_deadlines.get(&spec.id) {
+        for at_ms in [inherited.finish_by_ms, inherited.objective_finish_by_ms] {
             if at_ms.is_finite() {
                 aims.push((
                     (at_ms - record.eligible_since_ms() as f64) / 1000.0,
--- a/src/placement/snapshot_cache.rs
+++ b/src/placement/snapshot_cache.rs
@@ -11,7 +11,7 @@
 use crate::jobs::{JobRecord, JobSpec, TaskId, TaskRecord, TaskRef};
 use crate::membership::assignment::Member;
 use crate::node::{Core, Node, age_s};
-use crate::pipelines::paths::{Pull, pulls};
+use crate::pipelines::deadlines::{InheritedDeadline, propagate_deadlines};
 use crate::state::replica::Job;
 use crate::workers::{AgentStatus, TaskAttempt, TaskState};
 use std::borrow::Cow;
@@ -72,8 +72,8 @@
     /// GPU machines that work without GPUs may fill: more than GPU work needs.
     pub opened: HashSet<String>,
     /// What jobs that wait ask of those that they need.
-    pub pulls: HashMap<String, Pull>,
-    pulled: Option<(u64, Instant)>,
+    pub inherited_deadlines: HashMap<String, InheritedDeadline>,
+    deadlines_propagated: Option<(u64, Instant)>,
 }
 
 /// A task that runs on past its time takes about this part of what it has run: the owners'
@@ -99,8 +99,8 @@
             kinds_known: 0,
             kept: HashMap::new(),
             opened: HashSet::new(),
-            pulls: HashMap::new(),
-            pulled: None,
+            inherited_deadlines: HashMap::new(),
+            deadlines_propagated: None,
         }
     }
 
@@ -190,16 +190,16 @@
     }
 }
 
-/// How often what pipelines ask is worked out with what was learned meanwhile.
-const PULL_EVERY: Duration = Duration::from_secs(3);
+/// How often deadlines are propagated with the run times learned meanwhile.
+const PROPAGATION_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Works out what jobs that wait ask of others, when there were changes and now and then.
-pub fn refresh_pulls(node: &Node, core: &mut Core, now: Instant) {
+/// Propagates the deadlines of blocked jobs to those that they depend on, after changes and at intervals.
+pub fn propagate_pipeline_deadlines(node: &Node, core: &mut Core, now: Instant) {
     let version = core.replica.pipelines.version;
     let fresh = |(at, since): (u64, Instant)| {
-        at == version && now.saturating_duration_since(since) < PULL_EVERY
+        at == version && now.saturating_duration_since(since) < PROPAGATION_INTERVAL
     };
-    if core.views.pulled.is_some_and(fresh) {
+    if core.views.deadlines_propagated.is_some_and(fresh) {
         return;
     }
     let times = |record: &JobRecord| {
@@ -208,9 +208,9 @@
         of_class.filter_map(|o| o.times).fold(1.0, f64::max)
     };
     let takes = |record: &JobRecord| takes_s(node, core, &record.spec);
-    let pulls = pulls(&core.replica.pipelines, takes, times);
-    core.views.pulls = pulls;
-    core.views.pulled = Some((version, now));
+    let inherited = propagate_deadlines(&core.replica.pipelines, takes, times);
+    core.views.inherited_deadlines = inherited;
+    core.views.deadlines_propagated = Some((version, now));
 }
 
 /// From a job's release to its end, if there is room: the order goes out with a report's answer, the
--- a/src/state/replica.rs
+++ b/src/state/replica.rs
@@ -10,7 +10,7 @@
 use crate::limits::{StoredAllocations, parse_allocations};
 use crate::membership::assignment::{Assignment, Member};
 use crate::membership::schema_versions::SchemaVersions;
-use crate::pipelines::{Need, Pipelines};
+use crate::pipelines::{DependencyState, Pipelines};
 use crate::renting::ForecastSummaryRecord;
 use records::entry_in;
 pub use records::{Job, LeaderRecord, PresenceRecord, Versioned};
@@ -79,7 +79,7 @@
         let jobs = std::mem::take(&mut self.jobs);
         let on = std::mem::take(&mut self.tasks_by_machine);
         *self = Self {
-            pipelines: self.pipelines.anew(),
+            pipelines: self.pipelines.cleared(),
             ended,
             final_states_order: ended_order,
             incarnations,
@@ -116,7 +116,7 @@
     }
 
     pub fn record_final_state(&mut self, id: &str, last: TerminalState) {
-        self.pipelines.over(id, last);
+        self.pipelines.record_final_state(id, last);
         if self.ended.insert(id.to_owned(), last).is_none() {
             self.final_states_order.push_back(id.to_owned());
             if self.final_states_order.len() > MOST_ENDED
@@ -251,7 +251,8 @@
         self.unreadable.remove(id);
         self.changed_jobs.insert(id.to_owned());
         if record.cancelled && !record.withdrawn {
-            self.pipelines.over(id, TerminalState::Cancelled);
+            self.pipelines
+                .record_final_state(id, TerminalState::Cancelled);
         }
         if let Some(job) = self.jobs.get_mut(id) {
             if job.revision < revision {
@@ -316,20 +317,21 @@
         }
     }
 
-    fn put_blocked(&mut self, id: &str, record: JobRecord, awaits: Vec<String>, revision: u64) {
+    fn put_blocked(&mut self, id: &str, record: JobRecord, depends_on: Vec<String>, revision: u64) {
         // It was released or is over since: an older change comes late.
         if self.ended.contains_key(id) || self.jobs.contains_key(id) {
             return;
         }
         self.unreadable.remove(id);
         let (jobs, ended) = (&self.jobs, &self.ended);
-        let need = |other: &str| match (jobs.get(other), ended.get(other)) {
-            (_, Some(TerminalState::Done)) => Need::Done,
-            (_, Some(TerminalState::Cancelled)) => Need::Cancelled,
-            (Some(job), None) if job.record.cancelled => Need::Cancelled,
-            _ => Need::Open,
+        let state_of = |other: &str| match (jobs.get(other), ended.get(other)) {
+            (_, Some(TerminalState::Done)) => DependencyState::Completed,
+            (_, Some(TerminalState::Cancelled)) => DependencyState::Cancelled,
+            (Some(job), None) if job.record.cancelled => DependencyState::Cancelled,
+            _ => DependencyState::Unfinished,
         };
-        self.pipelines.put(id, record, awaits, revision, need);
+        self.pipelines
+            .insert(id, record, depends_on, revision, state_of);
     }
 
     /// Whether it was accepted, as far as is known here.
@@ -346,12 +348,13 @@
 
     /// What jobs that wait need and no record here tells of.
     pub fn unknown_dependencies(&self) -> BTreeSet<String> {
-        self.pipelines.unknown(|id| self.jobs.contains_key(id))
+        self.pipelines
+            .unknown_dependencies(|id| self.jobs.contains_key(id))
     }
 
     pub fn unknown_ancestors(&self, id: &str) -> Vec<String> {
         let known = |id: &str| self.jobs.contains_key(id);
-        self.pipelines.unknown_before(id, known)
+        self.pipelines.unknown_ancestors(id, known)
     }
 
     fn page(&self, id: &str, page: PageId) -> Option<&Versioned<ProgressPage>> {
--- a/src/testing/compatibility/recorded_run.rs
+++ b/src/testing/compatibility/recorded_run.rs
@@ -91,10 +91,10 @@
         for ((id, page), kept) in &replica.orphaned_pages {
             self.add_page(id, *page, &kept.record, kept.revision);
         }
-        for (id, blocked) in replica.pipelines.all() {
+        for (id, blocked) in replica.pipelines.iter() {
             let record = StoredJob::Blocked {
                 record: blocked.record.clone(),
-                depends_on: blocked.awaits.clone(),
+                depends_on: blocked.depends_on.clone(),
             };
             self.add(job_key(id), &record, blocked.revision);
         }
