--- a/src/api/cancel.rs
+++ b/src/api/cancel.rs
@@ -8,7 +8,7 @@
 use crate::jobs::{Stage, StoredJob, is_job_id};
 use crate::node::{Core, Node};
 use crate::pipelines::service::CANCELLED;
-use crate::state::{Operation, Precondition, TransactionError, job_key};
+use crate::state::{Operation, Precondition, RecordKey, TransactionError};
 use hyper::StatusCode;
 use std::sync::Arc;
 
@@ -80,15 +80,18 @@
 fn cancellation(core: &Core, id: &str) -> Option<(Precondition, Operation)> {
     let (revision, put) = if let Some(blocked) = core.replica.pipelines.get(id) {
         // Nothing of it runs: it ends at once, and with it all that depend on it.
-        (blocked.revision, Operation::put(job_key(id), &CANCELLED))
+        (
+            blocked.revision,
+            Operation::put(RecordKey::Job(id), &CANCELLED),
+        )
     } else {
         let job = core.replica.jobs.get(id)?;
         let record = job.record.clone().into_cancelled();
-        let put = Operation::put(job_key(id), &StoredJob::Open(record));
+        let put = Operation::put(RecordKey::Job(id), &StoredJob::Open(record));
         (job.revision, put)
     };
     let precondition = Precondition {
-        key: job_key(id),
+        key: RecordKey::Job(id).into(),
         revision,
     };
     Some((precondition, put))
--- a/src/api/dependencies.rs
+++ b/src/api/dependencies.rs
@@ -6,7 +6,7 @@
 use crate::node::{Core, Node};
 use crate::pipelines::DependencyState;
 use crate::pipelines::service::read_final_states;
-use crate::state::final_key;
+use crate::state::RecordKey;
 use hyper::StatusCode;
 use std::sync::Arc;
 
@@ -68,7 +68,7 @@
         return Ok(());
     }
     // With a read of its own: a job is in one of the two places from its acceptance on.
-    let value = node.state.get(&final_key(id)).await;
+    let value = node.state.get(&RecordKey::FinalState(id).to_string()).await;
     let value = value.map_err(|_| DependencyError::StateUnavailable)?;
     let value = value.ok_or(DependencyError::NeverAccepted)?;
     let final_state = serde_json::from_value::<TerminalState>(value)
--- a/src/api/status.rs
+++ b/src/api/status.rs
@@ -7,7 +7,7 @@
 use crate::jobs::{Stage, TerminalState, is_job_id};
 use crate::node::{Core, Node};
 use crate::pipelines::service::read_final_states;
-use crate::state::final_key;
+use crate::state::RecordKey;
 use hyper::StatusCode;
 use std::sync::Arc;
 use std::time::Duration;
@@ -145,7 +145,7 @@
 }
 
 async fn read_final_state(node: &Node, id: &str) -> JobStatus {
-    let Ok(value) = node.state.get(&final_key(id)).await else {
+    let Ok(value) = node.state.get(&RecordKey::FinalState(id).to_string()).await else {
         return JobStatus::Indeterminate;
     };
     let Some(value) = value else {
--- a/src/api/submit.rs
+++ b/src/api/submit.rs
@@ -13,7 +13,7 @@
 use crate::metrics::CpuAccount;
 use crate::node::{Node, wall_ms};
 use crate::pipelines::DependencyState;
-use crate::state::{Operation, Precondition, TransactionError, final_key, job_key};
+use crate::state::{Operation, Precondition, RecordKey, TransactionError};
 use hyper::StatusCode;
 use rowanmill_state::WritePriority;
 use std::sync::Arc;
@@ -116,7 +116,11 @@
         record.placer = membership::choose_placer(node, &mut node.core(), &record);
     }
     let id = record.spec.id.clone();
-    let preconditions = [job_key(&id), final_key(&id)].map(|key| Precondition {
+    let preconditions = [
+        RecordKey::Job(&id).to_string(),
+        RecordKey::FinalState(&id).to_string(),
+    ]
+    .map(|key| Precondition {
         key,
         revision: ABSENT,
     });
@@ -147,15 +151,15 @@
     match dependencies {
         DependencyState::Completed => {
             let open = StoredJob::Open(record);
-            (Operation::put(job_key(&id), &open), Stage::Queued)
+            (Operation::put(RecordKey::Job(&id), &open), Stage::Queued)
         }
         DependencyState::Unfinished => {
             let blocked = StoredJob::Blocked { record, depends_on };
-            (Operation::put(job_key(&id), &blocked), Stage::Queued)
+            (Operation::put(RecordKey::Job(&id), &blocked), Stage::Queued)
         }
         // It depends on a cancelled job, and so it has ended: it is accepted all the same.
         DependencyState::Cancelled => {
-            let put = Operation::put(final_key(&id), &TerminalState::Cancelled);
+            let put = Operation::put(RecordKey::FinalState(&id), &TerminalState::Cancelled);
             (put, Stage::Cancelled)
         }
     }
--- a/src/cells/scheduler.rs
+++ b/src/cells/scheduler.rs
@@ -9,7 +9,7 @@
 use crate::membership;
 use crate::node::{Core, Node, wall_ms};
 use crate::state::replica::Job;
-use crate::state::{Operation, Precondition, TransactionError, final_key, given_up_key, job_key};
+use crate::state::{Operation, Precondition, RecordKey, TransactionError};
 use rowanmill_cells::record::CapacitySummary;
 use rowanmill_cells::{
     AdoptionOutcome, CellCoordinator, LedgerJob, LocalJobState, OwnershipVersion, Scheduler,
@@ -108,7 +108,11 @@
 
     /// The record that the cell relinquished the job, if there is one.
     async fn read_relinquished(&self, id: &str) -> Result<Option<RelinquishedRecord>, Unavailable> {
-        let pair = self.node.state.get_key_value(&given_up_key(id)).await;
+        let pair = self
+            .node
+            .state
+            .get_key_value(&RecordKey::Relinquished(id).to_string())
+            .await;
         let Some(pair) = pair.map_err(|_| Unavailable)? else {
             return Ok(None);
         };
@@ -125,7 +129,11 @@
         if self.node.core().replica.final_state(id).is_some() {
             return Ok(true);
         }
-        let value = self.node.state.get(&final_key(id)).await;
+        let value = self
+            .node
+            .state
+            .get(&RecordKey::FinalState(id).to_string())
+            .await;
         let Some(value) = value.map_err(|_| Unavailable)? else {
             return Ok(false);
         };
@@ -162,7 +170,7 @@
         }
         record.placer = membership::choose_placer(node, &mut node.core(), &record);
         let preconditions = never_here_since(id, relinquished_revision);
-        let put = Operation::put(job_key(id), &StoredJob::Open(record));
+        let put = Operation::put(RecordKey::Job(id), &StoredJob::Open(record));
         self.write(&preconditions, vec![put]).await
     }
 
@@ -209,12 +217,12 @@
                 return Ok(());
             };
             let precondition = Precondition {
-                key: job_key(id),
+                key: RecordKey::Job(id).into(),
                 revision: job.revision,
             };
             (precondition, record)
         };
-        let put = Operation::put(job_key(id), &StoredJob::Open(record));
+        let put = Operation::put(RecordKey::Job(id), &StoredJob::Open(record));
         self.write(&[precondition], vec![put]).await
     }
 }
@@ -223,10 +231,10 @@
 /// this revision.
 fn never_here_since(id: &str, relinquished_revision: u64) -> [Precondition; 3] {
     [
-        Precondition::absent(job_key(id)),
-        Precondition::absent(final_key(id)),
+        Precondition::absent(RecordKey::Job(id)),
+        Precondition::absent(RecordKey::FinalState(id)),
         Precondition {
-            key: given_up_key(id),
+            key: RecordKey::Relinquished(id).into(),
             revision: relinquished_revision,
         },
     ]
@@ -297,7 +305,7 @@
         let previous = self.read_relinquished(id).await?;
         let previous_revision = previous.map_or(NO_REVISION, |record| record.revision);
         let preconditions = never_here_since(id, previous_revision);
-        let put = Operation::put(given_up_key(id), &Relinquished { epoch });
+        let put = Operation::put(RecordKey::Relinquished(id), &Relinquished { epoch });
         self.write(&preconditions, vec![put]).await?;
         Ok(true)
     }
--- a/src/client/limits.rs
+++ b/src/client/limits.rs
@@ -5,7 +5,7 @@
 use crate::limits::{self, TeamQuotas};
 use crate::node::Core;
 use crate::settings::Settings;
-use crate::state::{LIVE, final_key};
+use crate::state::{LIVE_PREFIX, RecordKey};
 use clap::{Args, Subcommand};
 use rowanmill_limits::LimitsConfig;
 use rowanmill_limits::report::{Explanation, FORMAT, StatusReport};
@@ -63,7 +63,7 @@
 
     /// What a controller would know that has read all records and nothing else.
     async fn read_records(&self) -> Result<Core, ClientError> {
-        let listing = self.service.list_all(LIVE).await;
+        let listing = self.service.list_all(LIVE_PREFIX).await;
         let (pairs, revision) = listing.map_err(ClientError::state_service)?;
         let mut core = Core::new(self.config.page_layout(), Instant::now());
         core.replica.reload_from_snapshot(pairs, revision);
@@ -89,7 +89,10 @@
         if let Some(explanation) = core.limits.explain(&core, job) {
             return Ok(explanation);
         }
-        let final_state = self.service.get(&final_key(job)).await;
+        let final_state = self
+            .service
+            .get(&RecordKey::FinalState(job).to_string())
+            .await;
         match final_state.map_err(ClientError::state_service)? {
             Some(_) => Err(ClientError::EndedJob(job.to_owned())),
             None => Err(ClientError::UnknownJob(job.to_owned())),
--- a/src/fleet/index.rs
+++ b/src/fleet/index.rs
@@ -4,7 +4,7 @@
 
 use super::{MachinePool, MachineState, Rental, RentedMachine};
 use crate::membership::assignment::Member;
-use crate::state::replica::Versioned;
+use crate::state::records::Versioned;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 /// A recorded machine, with what its rental says of it.
--- a/src/fleet/rental.rs
+++ b/src/fleet/rental.rs
@@ -4,7 +4,7 @@
 
 use super::{MachinePool, MachineState};
 use crate::membership::assignment::Member;
-use crate::state::replica::Versioned;
+use crate::state::records::Versioned;
 use serde::{Deserialize, Serialize};
 
 /// A machine of a rental.
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::membership::assignment::Member;
-use crate::state::replica::Versioned;
+use crate::state::records::Versioned;
 
 fn rental(machines: usize, name_bytes: usize) -> Rental {
     let machine = |n: usize| RentedMachine {
--- a/src/jobs/archive.rs
+++ b/src/jobs/archive.rs
@@ -6,7 +6,7 @@
 use crate::metrics::CpuAccount;
 use crate::node::{Core, Node};
 use crate::state::replica::Job;
-use crate::state::{Operation, Precondition, final_key, given_up_key, job_key, page_key};
+use crate::state::{Operation, Precondition, RecordKey};
 use rowanmill_cells::OwnershipVersion;
 use rowanmill_state::WritePriority;
 use std::sync::Arc;
@@ -151,35 +151,39 @@
     fn add(&mut self, job: &EndedJob, mode: ArchiveMode) {
         self.jobs += 1;
         self.preconditions.push(Precondition {
-            key: job_key(&job.id),
+            key: RecordKey::Job(&job.id).into(),
             revision: job.revision,
         });
         match job.ending {
             Ending::Archived(outcome) if mode == ArchiveMode::MarkFinished => {
                 let finished = StoredJob::Finished { outcome };
-                let mark = Operation::put(job_key(&job.id), &finished);
+                let mark = Operation::put(RecordKey::Job(&job.id), &finished);
                 self.operations.push(mark);
                 return;
             }
             Ending::Archived(state) => {
-                self.move_record(job, Operation::put(final_key(&job.id), &state));
+                self.move_record(job, Operation::put(RecordKey::FinalState(&job.id), &state));
             }
             // A page that is left behind, or deleted late, would be taken for a page of the job when it
             // returns to this cell: so the last pages are deleted with the record, under its revision.
             Ending::Relinquished(version) if job.has_all_pages => {
                 let relinquished = Relinquished::from(version);
-                self.move_record(job, Operation::put(given_up_key(&job.id), &relinquished));
+                self.move_record(
+                    job,
+                    Operation::put(RecordKey::Relinquished(&job.id), &relinquished),
+                );
             }
             Ending::Relinquished(_) => {}
         }
         let pages = job.pages.iter();
-        let deletions = pages.map(|page| Operation::delete(page_key(&job.id, *page)));
+        let deletions = pages.map(|page| Operation::delete(RecordKey::page(&job.id, *page)));
         self.operations.extend(deletions);
     }
 
     fn move_record(&mut self, job: &EndedJob, successor: Operation) {
         self.operations.push(successor);
-        self.operations.push(Operation::delete(job_key(&job.id)));
+        self.operations
+            .push(Operation::delete(RecordKey::Job(&job.id)));
     }
 }
 
--- a/src/jobs/garbage_collection.rs
+++ b/src/jobs/garbage_collection.rs
@@ -3,7 +3,7 @@
 
 use super::archive::{MOVE_OPERATIONS, writes_are_scarce};
 use crate::node::Node;
-use crate::state::{Operation, Precondition, Replica, final_key, job_key, page_key};
+use crate::state::{Operation, Precondition, RecordKey, Replica};
 use rowanmill_state::WritePriority;
 use std::sync::Arc;
 
@@ -60,17 +60,17 @@
                 continue;
             };
             batch.preconditions.push(Precondition {
-                key: job_key(id),
+                key: RecordKey::Job(id).into(),
                 revision: *revision,
             });
-            let archived = Operation::put(final_key(id), &state);
+            let archived = Operation::put(RecordKey::FinalState(id), &state);
             batch.operations.push(archived);
-            batch.operations.push(Operation::delete(job_key(id)));
+            batch.operations.push(Operation::delete(RecordKey::Job(id)));
         }
         let room = max_operations.saturating_sub(batch.operations.len());
         let orphans = replica.orphaned_pages.keys();
         let orphans = orphans.filter(|(id, _)| replica.final_state(id).is_some());
-        let deletions = orphans.map(|(id, page)| Operation::delete(page_key(id, *page)));
+        let deletions = orphans.map(|(id, page)| Operation::delete(RecordKey::page(id, *page)));
         batch.operations.extend(deletions.take(room));
         batch
     }
--- a/src/jobs/writer/page_write.rs
+++ b/src/jobs/writer/page_write.rs
@@ -8,7 +8,7 @@
 use crate::limits::QuotaCharge;
 use crate::node::Core;
 use crate::state::replica::Job;
-use crate::state::{ASSIGNMENT_KEY, FORMS_KEY, Operation, Precondition, job_key, page_key};
+use crate::state::{Operation, Precondition, RecordKey};
 use std::collections::BTreeSet;
 
 /// Preconditions of each start: its job, page and assignment.
@@ -58,7 +58,7 @@
 impl PageTarget<'_> {
     fn precondition(&self, page: PageId) -> Precondition {
         Precondition {
-            key: page_key(self.id, page),
+            key: RecordKey::page(self.id, page).into(),
             revision: self.job.page_revision(page),
         }
     }
@@ -104,7 +104,7 @@
                     .schema_versions
                     .as_ref()
                     .map_or(0, |forms| forms.revision);
-                let key = FORMS_KEY.into();
+                let key = RecordKey::SchemaVersions.to_string();
                 vec![Precondition { key, revision }]
             }
             _ => Vec::new(),
@@ -245,7 +245,7 @@
         let charge = charge.filter(|_| has_starts);
         let mut preconditions = vec![
             Precondition {
-                key: job_key(target.id),
+                key: RecordKey::Job(target.id).into(),
                 revision: target.job.revision,
             },
             target.precondition(target.page),
@@ -256,7 +256,7 @@
         preconditions.extend(charge.iter().map(QuotaCharge::precondition));
         preconditions.extend(encoding);
         preconditions.extend(self.rentals);
-        let key = page_key(target.id, target.page);
+        let key = RecordKey::page(target.id, target.page).to_string();
         let operation = match target.page {
             PageId::Plain(_) => Operation::put(key, &self.page),
             PageId::Compact(_) => Operation::put(key, &self.page.to_compact()),
@@ -280,7 +280,7 @@
 fn assignment_precondition(core: &Core) -> Precondition {
     let assignment = core.replica.assignment.as_ref();
     Precondition {
-        key: ASSIGNMENT_KEY.into(),
+        key: RecordKey::Assignment.into(),
         revision: assignment.map_or(0, |assignment| assignment.revision),
     }
 }
--- a/src/jobs/writer/tests.rs
+++ b/src/jobs/writer/tests.rs
@@ -4,7 +4,7 @@
 use crate::jobs::garbage_collection::GarbageBatch;
 use crate::jobs::{PageLayout, TaskId, TaskRecord, TerminalState};
 use crate::membership::assignment::Member;
-use crate::state::{MAX_TRANSACTION_BYTES, Operation, Precondition, page_key};
+use crate::state::{MAX_TRANSACTION_BYTES, Operation, Precondition, RecordKey};
 use rowanmill_state::KeyValue;
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
@@ -256,7 +256,7 @@
         let bytes = json_of(&page.operation).len();
         let (starts, guards) = (page.machines.len(), page.preconditions.len());
         assert!(bytes <= 2048 && guards <= 32);
-        let key = page_key(&page.job, page.page_id);
+        let key = RecordKey::page(&page.job, page.page_id).to_string();
         trace.push_str(&format!(
             "{key}: {starts} starts, {guards} guards, {bytes} bytes\n"
         ));
--- a/src/limits/charge.rs
+++ b/src/limits/charge.rs
@@ -2,7 +2,7 @@
 
 use super::TeamQuotas;
 use crate::node::Core;
-use crate::state::{Precondition, allocation_key};
+use crate::state::{Precondition, RecordKey};
 use rowanmill_limits::{InDoubtTransaction, ResourceAmount};
 
 /// What a transaction takes of a team's allocation, and the revisions that it was weighed against.
@@ -22,7 +22,7 @@
     /// What the transaction must require: that the record is still the one its starts were weighed against.
     pub fn precondition(&self) -> Precondition {
         Precondition {
-            key: allocation_key(&self.team),
+            key: RecordKey::quota_allocations(&self.team).into(),
             revision: self.record_revision,
         }
     }
--- a/src/limits/leader.rs
+++ b/src/limits/leader.rs
@@ -3,7 +3,7 @@
 
 use super::{DividedTeam, refresh_usage};
 use crate::node::{Core, Node};
-use crate::state::{ASSIGNMENT_KEY, LEADER_KEY, Operation, Precondition, allocation_key};
+use crate::state::{Operation, Precondition, RecordKey};
 use rowanmill_limits::{AllocationDecision, AllocationRecord, LeaderView, decide_allocation};
 use std::sync::Arc;
 
@@ -74,18 +74,18 @@
         let mut transaction = Self {
             preconditions: vec![
                 Precondition {
-                    key: LEADER_KEY.into(),
+                    key: RecordKey::Leader.into(),
                     revision: leader_revision,
                 },
                 Precondition {
-                    key: ASSIGNMENT_KEY.into(),
+                    key: RecordKey::Assignment.into(),
                     revision: assignment.map_or(0, |assignment| assignment.revision),
                 },
             ],
             writes: Vec::new(),
         };
         for (team, revision) in obsolete_records(core).take(max_records) {
-            let delete = Operation::delete(allocation_key(team));
+            let delete = Operation::delete(RecordKey::quota_allocations(team));
             transaction.add(team, revision, delete);
         }
         let left = max_records - transaction.writes.len();
@@ -94,7 +94,7 @@
             .divided_teams(core)
             .filter_map(|team| Some((next_record(&team)?, team)));
         for (record, team) in records.take(left) {
-            let put = Operation::put(allocation_key(team.name), &record);
+            let put = Operation::put(RecordKey::quota_allocations(team.name), &record);
             transaction.add(team.name, team.record_revision(), put);
         }
         transaction
@@ -103,7 +103,7 @@
     /// Adds a write of a team's record on condition that it still has `revision`.
     fn add(&mut self, team: &str, revision: u64, write: Operation) {
         self.preconditions.push(Precondition {
-            key: allocation_key(team),
+            key: RecordKey::quota_allocations(team).into(),
             revision,
         });
         self.writes.push(write);
--- a/src/limits/transfer.rs
+++ b/src/limits/transfer.rs
@@ -3,7 +3,7 @@
 
 use super::{QuotaCharge, refresh_usage};
 use crate::node::{Core, Node};
-use crate::state::{Operation, Precondition, TransactionError, allocation_key};
+use crate::state::{Operation, Precondition, RecordKey, TransactionError};
 use rowanmill_limits::{RecordChange, RecordChangeKind};
 use rowanmill_state::WritePriority;
 use std::sync::Arc;
@@ -43,7 +43,7 @@
 
 /// Writes one change on condition that the record is still the one it was derived from.
 async fn write_change(node: &Arc<Node>, team: &str, change: RecordChange) {
-    let key = allocation_key(team);
+    let key = RecordKey::quota_allocations(team).to_string();
     let precondition = Precondition {
         key: key.clone(),
         revision: change.base_revision,
--- a/src/membership/election.rs
+++ b/src/membership/election.rs
@@ -11,8 +11,8 @@
 use super::assignment::Member;
 use crate::node::Node;
 use crate::state::Replica;
-use crate::state::replica::LeaderRecord;
-use crate::state::{LEADER_KEY, Operation, Precondition, TransactionError};
+use crate::state::records::LeaderRecord;
+use crate::state::{Operation, Precondition, RecordKey, TransactionError};
 use std::sync::Arc;
 use std::time::Instant;
 
@@ -169,10 +169,10 @@
         lease,
     };
     let no_leader = Precondition {
-        key: LEADER_KEY.into(),
+        key: RecordKey::Leader.into(),
         revision: 0,
     };
-    let put = Operation::put(LEADER_KEY, &record).with_lease(lease);
+    let put = Operation::put(RecordKey::Leader, &record).with_lease(lease);
     match node.state.compare_and_swap(&[no_leader], &[put]).await {
         Ok(_) => tracing::info!("elected leader"),
         Err(TransactionError::LeaseExpired) => node.core().membership.election.unregister(),
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -16,8 +16,8 @@
 pub use rebalance::rebalance;
 
 use crate::node::Node;
-use crate::state::replica::PresenceRecord;
-use crate::state::{Operation, Precondition, TransactionError, presence_key};
+use crate::state::records::PresenceRecord;
+use crate::state::{Operation, Precondition, RecordKey, TransactionError};
 use election::{ElectionState, Phase, campaign};
 use load::LoadEstimate;
 use probe::Probe;
@@ -136,7 +136,7 @@
         lease,
         supported_level: node.supported_level,
     };
-    let key = presence_key(&node.identity.name);
+    let key = RecordKey::Presence(&node.identity.name).to_string();
     let revision = {
         let core = node.core();
         let current = core.replica.presence.get(&node.identity.name);
--- a/src/membership/rebalance.rs
+++ b/src/membership/rebalance.rs
@@ -10,7 +10,7 @@
 use crate::fleet::{RentalPart, split_to_fit};
 use crate::metrics::CpuAccount;
 use crate::node::{Core, Node};
-use crate::state::{ASSIGNMENT_KEY, LEADER_KEY, Operation, Precondition, rental_key};
+use crate::state::{Operation, Precondition, RecordKey};
 use rowanmill_state::WritePriority;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -177,7 +177,7 @@
 fn prepare(node: &Node, plan: &Plan, trigger: Trigger, revision: u64) -> Transaction {
     let mut transaction = Transaction {
         preconditions: vec![Precondition {
-            key: LEADER_KEY.into(),
+            key: RecordKey::Leader.into(),
             revision,
         }],
         operations: Vec::new(),
@@ -185,10 +185,10 @@
     };
     if let Some((assignment, revision)) = &plan.assignment {
         transaction.preconditions.push(Precondition {
-            key: ASSIGNMENT_KEY.into(),
+            key: RecordKey::Assignment.into(),
             revision: *revision,
         });
-        let put = Operation::put(ASSIGNMENT_KEY, assignment);
+        let put = Operation::put(RecordKey::Assignment, assignment);
         transaction.operations.push(put);
     }
     let max_records = max_rental_records(node, trigger);
@@ -225,7 +225,8 @@
     let mut records = 0;
     for (name, rental) in changed {
         let parts = split_to_fit(&name, rental, node.settings.max_value_bytes());
-        let put = |part: &RentalPart| Operation::put(rental_key(&part.name), &part.rental.record);
+        let put =
+            |part: &RentalPart| Operation::put(RecordKey::Rental(&part.name), &part.rental.record);
         let puts: Vec<Operation> = parts.iter().map(put).collect();
         bytes += puts.iter().map(Operation::bytes).sum::<usize>();
         records += puts.len();
@@ -233,7 +234,7 @@
             break;
         }
         let preconditions = parts.iter().map(|part| Precondition {
-            key: rental_key(&part.name),
+            key: RecordKey::Rental(&part.name).into(),
             revision: part.rental.revision,
         });
         transaction.preconditions.extend(preconditions);
--- a/src/membership/schema_versions.rs
+++ b/src/membership/schema_versions.rs
@@ -8,7 +8,7 @@
 use crate::jobs::PageLayout;
 use crate::node::Node;
 use crate::state::Replica;
-use crate::state::{FORMS_KEY, Operation, Precondition, presence_key};
+use crate::state::{Operation, Precondition, RecordKey};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fmt;
@@ -104,7 +104,7 @@
     let Some((record, preconditions)) = prepare_update(node) else {
         return;
     };
-    let put = Operation::put(FORMS_KEY, &record);
+    let put = Operation::put(RecordKey::SchemaVersions, &record);
     let written = node
         .state
         .compare_and_swap(&preconditions, std::slice::from_ref(&put))
@@ -126,13 +126,13 @@
     let mut preconditions: Vec<Precondition> = members
         .iter()
         .map(|name| Precondition {
-            key: presence_key(name),
+            key: RecordKey::Presence(name).into(),
             revision: core.replica.presence.get(*name).map_or(0, |p| p.revision),
         })
         .collect();
     preconditions.truncate(node.settings.max_transaction_operations() * 4 - 1);
     preconditions.push(Precondition {
-        key: FORMS_KEY.into(),
+        key: RecordKey::SchemaVersions.into(),
         revision: core
             .replica
             .schema_versions
--- a/src/membership/schema_versions/tests.rs
+++ b/src/membership/schema_versions/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::jobs::pages::tests::plain_layout;
-use crate::state::replica::{PresenceRecord, Versioned};
+use crate::state::records::{PresenceRecord, Versioned};
 
 fn presence(incarnation: u64, level: FeatureLevel) -> Versioned<PresenceRecord> {
     let record = PresenceRecord {
--- a/src/node.rs
+++ b/src/node.rs
@@ -16,7 +16,7 @@
 use crate::policy::Policy;
 use crate::renting::service::RentState;
 use crate::settings::Settings;
-use crate::state::{Operation, Precondition, Replica, StateClient, rental_key};
+use crate::state::{Operation, Precondition, RecordKey, Replica, StateClient};
 use crate::workers::{Ownership, Workers};
 use rowanmill_cells::{CellCoordinator, CellsConfig};
 use rowanmill_limits::LimitsConfig;
@@ -317,7 +317,7 @@
         let machine = self.replica.fleet.machines.get(machine)?;
         let kept = self.replica.fleet.rentals.get(&machine.rental)?;
         Some(Precondition {
-            key: rental_key(&machine.rental),
+            key: RecordKey::Rental(&machine.rental).into(),
             revision: kept.revision,
         })
     }
--- a/src/pipelines/service.rs
+++ b/src/pipelines/service.rs
@@ -4,9 +4,7 @@
 use crate::jobs::{JobRecord, StoredJob, TerminalState};
 use crate::membership;
 use crate::node::{Core, Node, wall_ms};
-use crate::state::{
-    MAX_TRANSACTION_BYTES, Operation, Precondition, TransactionError, final_key, job_key,
-};
+use crate::state::{MAX_TRANSACTION_BYTES, Operation, Precondition, RecordKey, TransactionError};
 use rowanmill_state::WritePriority;
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,7 +28,7 @@
 
 impl Transition {
     fn new(id: &str, revision: u64, record: &StoredJob) -> Self {
-        let key = job_key(id);
+        let key = RecordKey::Job(id).to_string();
         Self {
             put: Operation::put(key.clone(), record),
             precondition: Precondition { key, revision },
@@ -126,7 +124,11 @@
 /// assumed of it then.
 pub async fn read_final_states(node: &Node, ids: impl IntoIterator<Item = String>) -> bool {
     for id in ids {
-        let Ok(Some(value)) = node.state.get(&final_key(&id)).await else {
+        let Ok(Some(value)) = node
+            .state
+            .get(&RecordKey::FinalState(&id).to_string())
+            .await
+        else {
             return false;
         };
         let Ok(final_state) = serde_json::from_value::<TerminalState>(value) else {
--- a/src/renting/provision.rs
+++ b/src/renting/provision.rs
@@ -8,7 +8,7 @@
 use crate::membership::assignment::Member;
 use crate::membership::machine_assignment::{MachineCounts, machine_targets};
 use crate::node::{Core, Node, age_s, wall_ms};
-use crate::state::{Operation, Precondition, rental_key};
+use crate::state::{Operation, Precondition, RecordKey};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -127,11 +127,11 @@
         core.rent.rented_in_all += 1;
         format!("r-{revision}-{}", core.rent.rented_in_all)
     };
-    let put = Operation::put(rental_key(&name), &record);
+    let put = Operation::put(RecordKey::Rental(&name), &record);
     let guards = [
         guard(revision),
         Precondition {
-            key: rental_key(&name),
+            key: RecordKey::Rental(&name).into(),
             revision: 0,
         },
     ];
@@ -211,15 +211,15 @@
             ..record.clone()
         };
         let op = match filled.machines.is_empty() {
-            true => Operation::delete(rental_key(name)),
-            false => Operation::put(rental_key(name), &filled),
+            true => Operation::delete(RecordKey::Rental(name)),
+            false => Operation::put(RecordKey::Rental(name), &filled),
         };
         (op, mark_before)
     };
     let guards = [
         guard(revision),
         Precondition {
-            key: rental_key(name),
+            key: RecordKey::Rental(name).into(),
             revision: mark_before,
         },
     ];
--- a/src/renting/release.rs
+++ b/src/renting/release.rs
@@ -9,9 +9,9 @@
 };
 use crate::membership;
 use crate::node::{Core, Node, age_s, wall_ms};
-use crate::state::replica::Versioned;
+use crate::state::records::Versioned;
 use crate::state::watch::CONTACT_TIMEOUT;
-use crate::state::{Operation, Precondition, rental_key};
+use crate::state::{Operation, Precondition, RecordKey};
 use rowanmill_state::WritePriority;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -68,8 +68,8 @@
         for (name, kept) in changed {
             let parts = split_to_fit(&name, kept, node.settings.max_value_bytes());
             let op = |part: &RentalPart| match part.rental.record.machines.is_empty() {
-                true => Operation::delete(rental_key(&part.name)),
-                false => Operation::put(rental_key(&part.name), &part.rental.record),
+                true => Operation::delete(RecordKey::Rental(&part.name)),
+                false => Operation::put(RecordKey::Rental(&part.name), &part.rental.record),
             };
             let new: Vec<Operation> = parts.iter().map(op).collect();
             bytes += new.iter().map(Operation::bytes).sum::<usize>();
@@ -77,7 +77,7 @@
                 break;
             }
             guards.extend(parts.iter().map(|part| Precondition {
-                key: rental_key(&part.name),
+                key: RecordKey::Rental(&part.name).into(),
                 revision: part.rental.revision,
             }));
             ops.extend(new);
@@ -148,7 +148,7 @@
     let mut guards = vec![
         guard(revision),
         Precondition {
-            key: rental_key(&name),
+            key: RecordKey::Rental(&name).into(),
             revision: kept.revision,
         },
     ];
@@ -157,14 +157,14 @@
         record.machines.extend(kept.record.machines);
         record.requested_ms = record.requested_ms.max(kept.record.requested_ms);
         guards.push(Precondition {
-            key: rental_key(&other),
+            key: RecordKey::Rental(&other).into(),
             revision: kept.revision,
         });
-        ops.push(Operation::delete(rental_key(&other)));
+        ops.push(Operation::delete(RecordKey::Rental(&other)));
     }
     record.count = record.machines.len() as u32;
     // The new record first: a machine is gone when no record lists it.
-    ops.insert(0, Operation::put(rental_key(&name), &record));
+    ops.insert(0, Operation::put(RecordKey::Rental(&name), &record));
     match node.state.compare_and_swap(&guards, &ops).await {
         Ok(revision) => {
             tracing::debug!(name, machines = record.count, "rentals merged");
@@ -391,7 +391,7 @@
 /// Records a machine that exists and is in no record: a rental of one, under its own name, so
 /// that it cannot be recorded twice.
 async fn adopt(node: &Arc<Node>, revision: u64, listed: cloud::ListedMachine) {
-    let key = rental_key(&format!("a-{}", listed.name));
+    let key = RecordKey::Rental(&format!("a-{}", listed.name)).to_string();
     let record = Rental {
         pool: MachinePool {
             machine_type: listed.machine_type,
--- a/src/renting/service.rs
+++ b/src/renting/service.rs
@@ -8,7 +8,7 @@
 use crate::membership;
 use crate::metrics::CpuAccount;
 use crate::node::{Node, wall_ms};
-use crate::state::{LEADER_KEY, Operation, Precondition, outlook_key};
+use crate::state::{Operation, Precondition, RecordKey};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -64,7 +64,7 @@
     let mut record = record;
     record.puts_per_s = node.state.measure_write_rate();
     record.fallen = node.state.has_lower_quota();
-    let put = Operation::put(outlook_key(&node.identity.name), &record);
+    let put = Operation::put(RecordKey::ForecastSummary(&node.identity.name), &record);
     if let Ok(revision) = node
         .state
         .compare_and_swap(&[], std::slice::from_ref(&put))
@@ -129,7 +129,7 @@
 
 pub(super) fn guard(revision: u64) -> Precondition {
     Precondition {
-        key: LEADER_KEY.into(),
+        key: RecordKey::Leader.into(),
         revision,
     }
 }
--- /dev/null
+++ b/src/state/replica/progress.rs
@@ -0,0 +1,162 @@
+//! Progress pages in the replica, and what follows from them: which tasks are on which machine, and how many
+//! of a job are done and placed. Pages are most of what the watch reports.
+
+use super::job::record_on_pages;
+use super::{Put, Replica};
+use crate::jobs::{PageId, ProgressPage, TaskId, TaskRecord};
+use crate::state::keys::RecordKey;
+use crate::state::records::Versioned;
+
+impl<'a> RecordKey<'a> {
+    /// The key of a job's page.
+    pub fn page(job: &'a str, page: PageId) -> Self {
+        match page {
+            PageId::Plain(number) => RecordKey::PlainPage { job, number },
+            PageId::Compact(number) => RecordKey::CompactPage { job, number },
+        }
+    }
+}
+
+impl Replica {
+    /// A task's record. Pages of jobs that ended are held for a while; what no page covers was never
+    /// started.
+    pub fn task_record(&self, job: &str, task: u32) -> &TaskRecord {
+        if let Some(job) = self.jobs.get(job) {
+            return job.task_record(&self.layout, task);
+        }
+        if self.orphaned_pages.is_empty() {
+            return &TaskRecord::NEVER_STARTED;
+        }
+        let page = |page: PageId| self.orphaned_pages.get(&(job.to_owned(), page));
+        record_on_pages(page, &self.layout, task)
+    }
+
+    /// The page on which a task's next record is written.
+    pub fn page_to_write(&self, task: u32) -> PageId {
+        if self.is_current_schema_active() && self.layout.uses_compact() {
+            self.layout.compact_page_of(task)
+        } else {
+            self.layout.plain_page_of(task)
+        }
+    }
+
+    pub(super) fn put_plain_page(&mut self, job: &str, number: usize, put: Put) {
+        let page = serde_json::from_str(put.value);
+        self.put_page(job, PageId::Plain(number), page, put);
+    }
+
+    pub(super) fn put_compact_page(&mut self, job: &str, number: usize, put: Put) {
+        let page = ProgressPage::from_compact(put.value);
+        self.put_page(job, PageId::Compact(number), page, put);
+    }
+
+    fn put_page(
+        &mut self,
+        job: &str,
+        id: PageId,
+        page: Result<ProgressPage, serde_json::Error>,
+        put: Put,
+    ) {
+        match page {
+            Ok(page) => self.apply_page(job, id, page, put.revision),
+            Err(error) => put.log_unreadable(&error),
+        }
+    }
+
+    /// Applies a page, unless what is held is as new.
+    pub fn apply_page(&mut self, job: &str, id: PageId, page: ProgressPage, revision: u64) {
+        let held = self.page(job, id);
+        if !Versioned::is_superseded(held, revision) {
+            return;
+        }
+        let slots = self.affected_slots(held.map(|held| &held.record), id, page.0.len());
+        let before = self.task_records(job, id, slots);
+        let page = Versioned {
+            record: page,
+            revision,
+        };
+        match self.jobs.get_mut(job) {
+            Some(job) => {
+                job.pages.insert(id, page);
+            }
+            None => {
+                self.orphaned_pages.insert((job.to_owned(), id), page);
+            }
+        }
+        self.update_tasks(job, id, before);
+        self.changed_jobs.insert(job.to_owned());
+    }
+
+    pub(super) fn delete_page(&mut self, job: &str, id: PageId) {
+        let Some(held) = self.page(job, id) else {
+            return;
+        };
+        let slots = self.affected_slots(Some(&held.record), id, 0);
+        let before = self.task_records(job, id, slots);
+        match self.jobs.get_mut(job) {
+            Some(job) => job.pages.remove(&id),
+            None => self.orphaned_pages.remove(&(job.to_owned(), id)),
+        };
+        self.update_tasks(job, id, before);
+    }
+
+    fn page(&self, job: &str, id: PageId) -> Option<&Versioned<ProgressPage>> {
+        match self.jobs.get(job) {
+            Some(job) => job.pages.get(&id),
+            None => self.orphaned_pages.get(&(job.to_owned(), id)),
+        }
+    }
+
+    /// How many of a page's slots may change once a page with `new_slots` replaces the one held. A new
+    /// compact page overrides all that a plain one says of its tasks.
+    fn affected_slots(&self, held: Option<&ProgressPage>, id: PageId, new_slots: usize) -> usize {
+        match (held, id) {
+            (None, PageId::Compact(_)) => self.layout.tasks_on(id).count,
+            (held, _) => held.map_or(0, |page| page.0.len()).max(new_slots),
+        }
+    }
+
+    /// The records of the tasks in a page's first `slots`.
+    fn task_records(&self, job: &str, id: PageId, slots: usize) -> Vec<TaskRecord> {
+        let first = self.layout.tasks_on(id).first;
+        (first..first + slots as u32)
+            .map(|task| self.task_record(job, task).clone())
+            .collect()
+    }
+
+    /// Updates the index and the counts by what differs from the records `before` in a page's slots.
+    fn update_tasks(&mut self, id: &str, page: PageId, before: Vec<TaskRecord>) {
+        let first = self.layout.tasks_on(page).first;
+        for (slot, old) in before.into_iter().enumerate() {
+            let task = first + slot as u32;
+            let new = self.task_record(id, task);
+            if old == *new {
+                continue;
+            }
+            let new = new.clone();
+            if let Some(job) = self.jobs.get_mut(id) {
+                job.update_counts(&old, &new);
+                self.index_task(id, task, &old, &new);
+            }
+        }
+    }
+
+    /// Updates which machine a task of a job that has not ended is on.
+    pub(super) fn index_task(&mut self, job: &str, task: u32, old: &TaskRecord, new: &TaskRecord) {
+        let id = TaskId::new(job, task);
+        if let TaskRecord::Placed { machine, .. } = old {
+            if let Some(tasks) = self.tasks_by_machine.get_mut(machine) {
+                tasks.remove(&id);
+                if tasks.is_empty() {
+                    self.tasks_by_machine.remove(machine);
+                }
+            }
+            self.changed_machines.insert(machine.clone());
+        }
+        if let TaskRecord::Placed { machine, .. } = new {
+            let tasks = self.tasks_by_machine.entry(machine.clone()).or_default();
+            tasks.insert(id);
+            self.changed_machines.insert(machine.clone());
+        }
+    }
+}
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -5,7 +5,7 @@
 use super::{Operation, Replica};
 use crate::jobs::{JobRecord, PageId, PageLayout, ProgressPage, StoredJob, TaskRecord};
 use crate::membership::schema_versions::{FeatureLevel, SchemaVersions};
-use crate::state::replica::{LeaderRecord, PresenceRecord};
+use crate::state::records::{LeaderRecord, PresenceRecord};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
--- a/src/testing/compatibility/cluster_records.rs
+++ b/src/testing/compatibility/cluster_records.rs
@@ -6,10 +6,8 @@
 use crate::membership::assignment::{Assignment, Member};
 use crate::membership::schema_versions::{FeatureLevel, SchemaVersions};
 use crate::renting::{ForecastSummaryRecord, Held, Outlook};
-use crate::state::replica::{LeaderRecord, PresenceRecord};
-use crate::state::{
-    ASSIGNMENT_KEY, FORMS_KEY, LEADER_KEY, allocation_key, outlook_key, presence_key, rental_key,
-};
+use crate::state::RecordKey;
+use crate::state::records::{LeaderRecord, PresenceRecord};
 use rowanmill_limits::{AllocationRecord, ResourceAmount, WaitingUnit};
 use serde_json::json;
 
@@ -34,7 +32,7 @@
         unconfirmed: true,
         machines: Vec::new(),
     };
-    let key = || rental_key("r-9-2");
+    let key = || RecordKey::Rental("r-9-2").to_string();
     trace.add("requested, not answered", key(), &requested);
     let machine = |name: &str, owner, token, state| RentedMachine {
         name: name.into(),
@@ -77,7 +75,11 @@
             lease: 17,
             supported_level,
         };
-        trace.add(form, presence_key("millstone-0"), &record);
+        trace.add(
+            form,
+            RecordKey::Presence("millstone-0").to_string(),
+            &record,
+        );
     }
     insta::assert_snapshot!("presence_record", trace.0);
 }
@@ -90,14 +92,14 @@
         incarnation: 1_170_161_245_356_350,
         lease: 17,
     };
-    trace.add("leader", LEADER_KEY.into(), &record);
+    trace.add("leader", RecordKey::Leader.to_string(), &record);
     insta::assert_snapshot!("leader_record", trace.0);
 }
 
 #[test]
 fn assignment_record_keeps_its_json() {
     let mut trace = Trace::default();
-    let key = || ASSIGNMENT_KEY.to_owned();
+    let key = || RecordKey::Assignment.to_string();
     trace.add("of nobody", key(), &Assignment::default());
     let record = Assignment {
         members: vec![member(0), member(1), member(2)],
@@ -113,7 +115,7 @@
 #[test]
 fn schema_versions_record_keeps_its_json() {
     let mut trace = Trace::default();
-    let key = || FORMS_KEY.to_owned();
+    let key = || RecordKey::SchemaVersions.to_string();
     trace.add("nobody seen", key(), &SchemaVersions::default());
     let waiting = SchemaVersions {
         upgraded_members: ["millstone-0".to_owned(), "millstone-1".to_owned()].into(),
@@ -148,7 +150,7 @@
 #[test]
 fn forecast_summary_record_keeps_its_json() {
     let mut trace = Trace::default();
-    let key = || outlook_key("millstone-0");
+    let key = || RecordKey::ForecastSummary("millstone-0").to_string();
     trace.add("no field set", key(), &ForecastSummaryRecord::default());
     let plain = ForecastSummaryRecord {
         kinds: [("m4".to_owned(), Outlook::default())].into(),
@@ -195,7 +197,11 @@
         micro_gpus: 8_000_000,
     };
     let frozen = AllocationRecord::frozen(31, limit);
-    trace.add("frozen", allocation_key("film"), &frozen);
+    trace.add(
+        "frozen",
+        RecordKey::quota_allocations("film").to_string(),
+        &frozen,
+    );
     let half = ResourceAmount {
         micro_cpus: 32_000_000,
         micro_gpus: 0,
@@ -205,7 +211,11 @@
         allocations: members.map(|(name, part)| (name.to_owned(), part)).into(),
         ..frozen
     };
-    trace.add("divided", allocation_key("film"), &divided);
+    trace.add(
+        "divided",
+        RecordKey::quota_allocations("film").to_string(),
+        &divided,
+    );
     insta::assert_snapshot!("allotments_record", trace.0);
 }
 
--- a/src/testing/compatibility/interfaces.rs
+++ b/src/testing/compatibility/interfaces.rs
@@ -16,7 +16,7 @@
 use crate::node::Node;
 use crate::policy::Policy;
 use crate::settings::Settings;
-use crate::state::{Operation, rental_key};
+use crate::state::{Operation, RecordKey};
 use crate::workers::wire::{Command, ExitReason, HeartbeatResponse};
 use crate::workers::{Heartbeat, TaskAttempt, TaskState};
 use http_body_util::BodyExt;
@@ -534,7 +534,10 @@
         }],
     };
     let mut core = node.core();
-    core.apply(vec![Operation::put(rental_key("r-1"), &rental)], revision);
+    core.apply(
+        vec![Operation::put(RecordKey::Rental("r-1"), &rental)],
+        revision,
+    );
     core.update_ownership(&node.identity, Instant::now());
 }
 
--- a/src/testing/compatibility/job_records.rs
+++ b/src/testing/compatibility/job_records.rs
@@ -5,7 +5,7 @@
     JobRecord, JobSpec, PageId, ProgressPage, Relinquished, Shape, StoredJob, TaskRecord,
     TerminalState, Urgency,
 };
-use crate::state::{final_key, given_up_key, job_key, page_key};
+use crate::state::RecordKey;
 use rowanmill_cells::OwnershipVersion;
 
 const VERSION: OwnershipVersion = OwnershipVersion {
@@ -72,7 +72,7 @@
 }
 
 fn key() -> String {
-    job_key("job-000412")
+    RecordKey::Job("job-000412").to_string()
 }
 
 #[test]
@@ -179,9 +179,21 @@
 fn what_is_kept_of_an_ended_job_keeps_its_json() {
     let mut trace = Trace::default();
     let id = "job-000412";
-    trace.add("done", final_key(id), &TerminalState::Done);
-    trace.add("cancelled", final_key(id), &TerminalState::Cancelled);
-    trace.add("given up", given_up_key(id), &Relinquished::from(VERSION));
+    trace.add(
+        "done",
+        RecordKey::FinalState(id).to_string(),
+        &TerminalState::Done,
+    );
+    trace.add(
+        "cancelled",
+        RecordKey::FinalState(id).to_string(),
+        &TerminalState::Cancelled,
+    );
+    trace.add(
+        "given up",
+        RecordKey::Relinquished(id).to_string(),
+        &Relinquished::from(VERSION),
+    );
     insta::assert_snapshot!("ended_job_record", trace.0);
 }
 
@@ -226,7 +238,11 @@
 fn wide_progress_pages_keep_their_json() {
     let mut trace = Trace::default();
     for (form, page) in pages() {
-        trace.add(form, page_key("job-000412", PageId::Plain(3)), &page);
+        trace.add(
+            form,
+            RecordKey::page("job-000412", PageId::Plain(3)).to_string(),
+            &page,
+        );
     }
     insta::assert_snapshot!("wide_progress_page", trace.0);
 }
@@ -235,7 +251,7 @@
 fn dense_progress_pages_keep_their_json() {
     let mut trace = Trace::default();
     for (form, page) in pages() {
-        let key = page_key("job-000412", PageId::Compact(3));
+        let key = RecordKey::page("job-000412", PageId::Compact(3)).to_string();
         let (key, json) = written(key, &page.to_compact());
         assert_eq!(ProgressPage::from_compact(&json).unwrap(), page, "{form}");
         trace.add_text(form, &key, &json);
--- a/src/testing/compatibility/recorded_run.rs
+++ b/src/testing/compatibility/recorded_run.rs
@@ -4,10 +4,7 @@
 use super::trace::written;
 use crate::jobs::{PageId, PageLayout, Relinquished, StoredJob};
 use crate::state::replica::Job;
-use crate::state::{
-    ASSIGNMENT_KEY, FORMS_KEY, LEADER_KEY, LIVE, Replica, allocation_key, final_key, given_up_key,
-    job_key, outlook_key, page_key, presence_key, rental_key,
-};
+use crate::state::{LIVE_PREFIX, RecordKey, Replica};
 use rowanmill_state::KeyValue;
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -30,7 +27,7 @@
 }
 
 fn live(records: Records) -> Records {
-    let of_replica = |key: &String| key.starts_with(LIVE);
+    let of_replica = |key: &String| key.starts_with(LIVE_PREFIX);
     records
         .into_iter()
         .filter(|(key, _)| of_replica(key))
@@ -64,7 +61,7 @@
 
     fn add_job(&mut self, id: &str, job: &Job) {
         let record = StoredJob::Open(job.record.clone());
-        self.add(job_key(id), &record, job.revision);
+        self.add(RecordKey::Job(id).to_string(), &record, job.revision);
         for (page, kept) in &job.pages {
             self.add_page(id, *page, &kept.record, kept.revision);
         }
@@ -77,7 +74,7 @@
         record: &crate::jobs::ProgressPage,
         revision: u64,
     ) {
-        let key = page_key(id, page);
+        let key = RecordKey::page(id, page).to_string();
         match page {
             PageId::Plain(_) => self.add(key, record, revision),
             PageId::Compact(_) => self.add(key, &record.to_compact(), revision),
@@ -96,35 +93,63 @@
                 record: blocked.record.clone(),
                 depends_on: blocked.depends_on.clone(),
             };
-            self.add(job_key(id), &record, blocked.revision);
+            self.add(RecordKey::Job(id).to_string(), &record, blocked.revision);
         }
         for (id, revision) in &replica.ended_pending_archive {
             let outcome = replica.final_state(id).unwrap();
-            self.add(job_key(id), &StoredJob::Finished { outcome }, *revision);
+            self.add(
+                RecordKey::Job(id).to_string(),
+                &StoredJob::Finished { outcome },
+                *revision,
+            );
         }
     }
 
     fn add_cluster(&mut self, replica: &Replica) {
         for (name, kept) in &replica.fleet.rentals {
-            self.add(rental_key(name), &kept.record, kept.revision);
+            self.add(
+                RecordKey::Rental(name).to_string(),
+                &kept.record,
+                kept.revision,
+            );
         }
         for (name, kept) in &replica.presence {
-            self.add(presence_key(name), &kept.record, kept.revision);
+            self.add(
+                RecordKey::Presence(name).to_string(),
+                &kept.record,
+                kept.revision,
+            );
         }
         for (name, kept) in &replica.forecast_summaries {
-            self.add(outlook_key(name), &kept.record, kept.revision);
+            self.add(
+                RecordKey::ForecastSummary(name).to_string(),
+                &kept.record,
+                kept.revision,
+            );
         }
         for (team, kept) in &replica.quota_allocations {
             let record = kept.record.as_ref().unwrap();
-            self.add(allocation_key(team), record, kept.revision);
+            self.add(
+                RecordKey::quota_allocations(team).to_string(),
+                record,
+                kept.revision,
+            );
         }
         let forms = replica.schema_versions.as_ref().unwrap();
-        self.add(FORMS_KEY.into(), &forms.record, forms.revision);
+        self.add(
+            RecordKey::SchemaVersions.to_string(),
+            &forms.record,
+            forms.revision,
+        );
         let leader = replica.leader.as_ref().unwrap();
-        self.add(LEADER_KEY.into(), &leader.record, leader.revision);
+        self.add(
+            RecordKey::Leader.to_string(),
+            &leader.record,
+            leader.revision,
+        );
         let assignment = replica.assignment.as_ref().unwrap();
         self.add(
-            ASSIGNMENT_KEY.into(),
+            RecordKey::Assignment.to_string(),
             &assignment.record,
             assignment.revision,
         );
@@ -154,12 +179,15 @@
             ("e", id) => {
                 ended += 1;
                 replica.record_final_state(id, serde_json::from_value(value.clone()).unwrap());
-                written(final_key(id), &replica.final_state(id).unwrap())
+                written(
+                    RecordKey::FinalState(id).to_string(),
+                    &replica.final_state(id).unwrap(),
+                )
             }
             ("x", id) => {
                 given_up += 1;
                 let record: Relinquished = serde_json::from_value(value.clone()).unwrap();
-                written(given_up_key(id), &record)
+                written(RecordKey::Relinquished(id).to_string(), &record)
             }
             _ => continue,
         };
--- a/src/workers/service/tests.rs
+++ b/src/workers/service/tests.rs
@@ -6,7 +6,7 @@
 use crate::membership::schema_versions::FeatureLevel;
 use crate::policy::Policy;
 use crate::settings::Settings;
-use crate::state::{Operation, rental_key};
+use crate::state::{Operation, RecordKey};
 use crate::workers::ingest::record_sign_of_life;
 use crate::workers::wire::HeartbeatResponse;
 use rowanmill_config::ConfigFile;
@@ -85,7 +85,7 @@
         self.revision += 1;
         let mut core = self.node.core();
         core.apply(
-            vec![Operation::put(rental_key("r-1"), &rental)],
+            vec![Operation::put(RecordKey::Rental("r-1"), &rental)],
             self.revision,
         );
         let me = self.node.identity.clone();
