--- a/src/pipelines/mod.rs
+++ b/src/pipelines/mod.rs
@@ -19,6 +19,17 @@
     unfinished: BTreeSet<String>,
 }
 
+impl BlockedJob {
+    pub fn new(record: JobRecord, depends_on: Vec<String>, revision: u64) -> Self {
+        Self {
+            record,
+            depends_on,
+            revision,
+            unfinished: BTreeSet::new(),
+        }
+    }
+}
+
 /// The state of one dependency, or of several together: the greatest of theirs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DependencyState {
@@ -63,24 +74,21 @@
         self.cancelled.contains(id)
     }
 
-    /// Inserts a record, unless a newer one is known. `state_of` tells what is known of a dependency.
+    /// Inserts a job, unless a newer record of it is known. `state_of` tells what is known of a dependency.
     pub fn insert(
         &mut self,
         id: &str,
-        record: JobRecord,
-        depends_on: Vec<String>,
-        revision: u64,
+        mut job: BlockedJob,
         state_of: impl Fn(&str) -> DependencyState,
     ) {
         let known = self.blocked.get(id);
-        if known.is_some_and(|known| known.revision >= revision) {
+        if known.is_some_and(|known| known.revision >= job.revision) {
             return;
         }
         self.remove(id);
         self.version += 1;
-        let mut unfinished = BTreeSet::new();
-        let mut is_cancelled = record.cancelled;
-        for dependency in &depends_on {
+        let mut is_cancelled = job.record.cancelled;
+        for dependency in &job.depends_on {
             let dependents = self.dependents.entry(dependency.clone()).or_default();
             dependents.insert(id.to_owned());
             match state_of(dependency) {
@@ -88,19 +96,13 @@
                 DependencyState::Cancelled => is_cancelled = true,
                 DependencyState::Unfinished => {
                     is_cancelled |= self.cancelled.contains(dependency);
-                    unfinished.insert(dependency.clone());
+                    job.unfinished.insert(dependency.clone());
                 }
             }
         }
-        if unfinished.is_empty() && !is_cancelled {
+        if job.unfinished.is_empty() && !is_cancelled {
             self.ready.insert(id.to_owned());
         }
-        let job = BlockedJob {
-            record,
-            depends_on,
-            revision,
-            unfinished,
-        };
         self.blocked.insert(id.to_owned(), job);
         if is_cancelled {
             self.cancelled.insert(id.to_owned());
--- a/src/state/replica/jobs.rs
+++ b/src/state/replica/jobs.rs
@@ -2,7 +2,7 @@
 
 use super::{Job, Put, Replica};
 use crate::jobs::{JobRecord, PageId, StoredJob, TaskRecord, TerminalState};
-use crate::pipelines::DependencyState;
+use crate::pipelines::{BlockedJob, DependencyState};
 use crate::state::records::Versioned;
 use std::collections::BTreeSet;
 
@@ -138,8 +138,8 @@
             (Some(job), None) if job.record.cancelled => DependencyState::Cancelled,
             _ => DependencyState::Unfinished,
         };
-        self.pipelines
-            .insert(id, record, depends_on, revision, state_of);
+        let job = BlockedJob::new(record, depends_on, revision);
+        self.pipelines.insert(id, job, state_of);
     }
 
     pub(super) fn delete_job(&mut self, id: &str, revision: u64) {
--- a/src/workers/ingest.rs
+++ b/src/workers/ingest.rs
@@ -58,9 +58,13 @@
     let Some(mut status) = take_status(node, core, heartbeat, now) else {
         return Ingestion::Stale;
     };
-    observe(core, &mut status, heartbeat, fencing_token, now);
-    let reconciliation =
-        reconcile_with_records(node, core, heartbeat, &mut status, fencing_token, now);
+    let received = ReceivedHeartbeat {
+        heartbeat,
+        fencing_token,
+        at: now,
+    };
+    observe(core, &mut status, &received);
+    let reconciliation = reconcile_with_records(node, core, &received, &mut status);
     record_images(core, &mut status, heartbeat);
     status.latest_heartbeat = heartbeat.clone();
     record_exits(core, &mut status, &heartbeat.machine, &reconciliation, now);
@@ -103,13 +107,13 @@
     Some(status)
 }
 
-fn observe(
-    core: &Core,
-    status: &mut AgentStatus,
-    heartbeat: &Heartbeat,
-    fencing_token: u64,
-    now: Instant,
-) {
+/// Records what a heartbeat shows of its agent, whatever runs on the machine.
+fn observe(core: &Core, status: &mut AgentStatus, received: &ReceivedHeartbeat) {
+    let ReceivedHeartbeat {
+        heartbeat,
+        fencing_token,
+        at: now,
+    } = *received;
     if heartbeat.fencing_token == fencing_token {
         status.last_heartbeat_at = now;
         status.ownership_acknowledged = true;
@@ -122,15 +126,26 @@
     });
 }
 
+/// A heartbeat as its machine's owner received it.
+pub struct ReceivedHeartbeat<'a> {
+    pub heartbeat: &'a Heartbeat,
+    /// The machine's fencing token, by its record.
+    pub fencing_token: u64,
+    pub at: Instant,
+}
+
 /// Reconciles a heartbeat with the records as they now are.
 pub fn reconcile_with_records(
     node: &Node,
     core: &Core,
-    heartbeat: &Heartbeat,
+    received: &ReceivedHeartbeat,
     status: &mut AgentStatus,
-    fencing_token: u64,
-    now: Instant,
 ) -> Reconciliation {
+    let ReceivedHeartbeat {
+        heartbeat,
+        fencing_token,
+        at: now,
+    } = *received;
     let cancelled_jobs = cancelled_jobs(node, core, heartbeat);
     let desired = DesiredState {
         replica: &core.replica,
--- a/src/workers/service.rs
+++ b/src/workers/service.rs
@@ -2,7 +2,9 @@
 //! the worker to the owner. What a heartbeat means is decided in [`super::reconcile`].
 
 use super::Heartbeat;
-use super::ingest::{Ingestion, ingest_heartbeat, reconcile_with_records, record_sign_of_life};
+use super::ingest::{
+    Ingestion, ReceivedHeartbeat, ingest_heartbeat, reconcile_with_records, record_sign_of_life,
+};
 use super::wire::HeartbeatResponse;
 use crate::cells;
 use crate::fleet::MachineState;
@@ -201,8 +203,12 @@
         return None;
     }
     let mut status = core.workers.agents.remove(&heartbeat.machine)?;
-    let reconciliation =
-        reconcile_with_records(node, core, heartbeat, &mut status, fencing_token, now);
+    let received = ReceivedHeartbeat {
+        heartbeat,
+        fencing_token,
+        at: now,
+    };
+    let reconciliation = reconcile_with_records(node, core, &received, &mut status);
     core.workers
         .agents
         .insert(heartbeat.machine.clone(), status);
--- a/src/workers/service/tests.rs
+++ b/src/workers/service/tests.rs
@@ -160,7 +160,7 @@
     json!([{"sack": "job-1/0", "turn": attempt, "stage": "running"}])
 }
 
-/// Rule `ran_twice`: a copy of a report from before a start would prove the task absent; one from
+/// Rule `ran_twice`: a copy of a heartbeat from before a start would prove the task absent; one from
 /// before a change of owner would bring a dead machine back.
 #[test]
 fn stale_heartbeats_prove_nothing() {
@@ -188,7 +188,7 @@
     insta::assert_snapshot!(scene.trace);
 }
 
-/// A machine whose reports arrive and which hears nothing: it must not be counted on, and what was
+/// An agent whose heartbeats arrive and which receives no response: its machine must not be counted on, and what was
 /// recorded there starts elsewhere only once its lease has provably ended.
 #[test]
 fn an_unresponsive_agent_is_known_by_ignored_commands() {
@@ -210,8 +210,8 @@
     insta::assert_snapshot!(format!("{}never heard us\n{}", scene.trace, other.trace));
 }
 
-/// With reports seconds apart a gang waited for the last of its machines to report. Only a machine
-/// that has nothing to tell meanwhile is kept waiting, and it is told at once of work and of a new
+/// With heartbeats seconds apart a gang waited for the last of its machines' heartbeats. Only the response to a
+/// machine that has nothing to report meanwhile is held, and it goes out at once when there is work or a new
 /// owner.
 #[test]
 fn the_response_to_an_idle_machine_is_held_until_there_is_work() {
@@ -291,8 +291,8 @@
     "#);
 }
 
-/// Machines that were given back right after an outage, and controllers that stood back, found on a
-/// recorded day: reports that a node may not answer were no sign of life. A late copy is none.
+/// Machines that were released right after an outage, and controllers that stepped down, found in a recorded
+/// run: heartbeats that a node may not answer were no sign of life. A stale copy is none.
 #[test]
 fn a_refused_heartbeat_is_a_sign_of_life() {
     let mut scene = Scene::new();
