--- a/src/state/keys.rs
+++ b/src/state/keys.rs
@@ -115,3 +115,6 @@
         key.to_string()
     }
 }
+
+#[cfg(test)]
+mod tests;
