--- a/src/placement/service.rs
+++ b/src/placement/service.rs
@@ -28,9 +28,9 @@
         let _ = tokio::time::timeout(CYCLE_EVERY, node.wake_up.notified()).await;
         let mut pause = SHORTEST_PAUSE;
         if node.core().loaded {
-            node.begin_scheduling_cycle();
+            node.scheduling_cycles.start();
             let worked = scheduling_cycle(&node).await;
-            node.end_scheduling_cycle();
+            node.scheduling_cycles.complete();
             // Where writes are scarce, a record should hold more starts rather than come sooner.
             let scarce = LONGEST_PAUSE.mul_f64(1.0 - node.state.write_headroom());
             pause = pause.max(worked * PAUSE_PER_WORK).max(scarce);
--- a/src/state/watch.rs
+++ b/src/state/watch.rs
@@ -95,8 +95,8 @@
 /// the replica now holds all that was written before it asked.
 pub async fn serve_read_barriers(node: Arc<Node>) {
     loop {
-        node.read_barrier_requested.notified().await;
-        let waiters = node.take_read_barrier_waiters();
+        node.read_barriers.requested().await;
+        let waiters = node.read_barriers.take_waiters();
         if waiters.is_empty() {
             continue;
         }
--- a/src/workers/service.rs
+++ b/src/workers/service.rs
@@ -79,7 +79,8 @@
             node.wake_up.notify_one();
             // What is placed on the capacity just freed goes out with this response, once it is
             // recorded; with the next heartbeat's it would go out an interval later.
-            node.await_next_scheduling_cycle(MAX_START_RECORD_WAIT)
+            node.scheduling_cycles
+                .await_next(MAX_START_RECORD_WAIT)
                 .await;
             respond_by_current_records(node, &heartbeat)
         }
