--- a/src/membership/probe/tests.rs
+++ b/src/membership/probe/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Lost work either way: sending all workers on in an outage, and keeping them when cut off.
+/// Work is lost either way: by redirecting all workers in an outage, and by keeping them in a partition.
 #[test]
-fn one_worker_tells_a_cut_from_an_outage() {
+fn one_worker_tells_a_partition_from_an_outage() {
     let start = Instant::now();
     let mut trace = String::new();
     let mut say = |probe: &mut Probe, at: u64, machine: &str, alone: bool| {
@@ -21,7 +21,7 @@
         say(&mut outage, at, machine, true);
     }
     say(&mut outage, 11, "vm-3", false);
-    let mut cut = Probe::default();
+    let mut partition = Probe::default();
     for (at, machine) in [
         (21, "vm-1"),
         (24, "vm-2"),
@@ -29,7 +29,7 @@
         (29, "vm-2"),
         (30, "vm-3"),
     ] {
-        say(&mut cut, at, machine, true);
+        say(&mut partition, at, machine, true);
     }
     insta::assert_snapshot!(trace, @r"
     1 s vm-1 sent on
--- a/src/mesh/attestation/tests.rs
+++ b/src/mesh/attestation/tests.rs
@@ -9,9 +9,9 @@
     }
 }
 
-/// Rule `ran_cancelled`: leases go on past the floor only if every other controller, in the
-/// incarnation last known, has attested. One that is silent, restarted, loading its records or in
-/// contact with the state service is no proof, whatever it tells.
+/// Rule `ran_cancelled`: leases are renewed past `disconnected_lease_limit` only if every peer, in the incarnation last known,
+/// has attested. One that is silent, restarted, loading its records or in contact with the state service does not count,
+/// whatever it answers.
 #[test]
 fn only_all_peers_together_attest_what_was_confirmed() {
     let start = Instant::now();
