--- a/src/cells/protection.rs
+++ b/src/cells/protection.rs
@@ -33,7 +33,7 @@
     if !node.policy.has_protection() {
         return protected;
     }
-    let names = &mut core.views.names;
+    let names = &mut core.snapshots.names;
     for machine_type in &core.kinds {
         for zone in &machine_type.zones {
             for spot in [false, true] {
--- a/src/membership/load.rs
+++ b/src/membership/load.rs
@@ -7,7 +7,8 @@
 use crate::jobs::JobRecord;
 use crate::node::{Core, Node, age_s, wall_ms};
 use crate::placement::capacity_of;
-use crate::placement::snapshot::{due_after, eligible_machine_types, urgency_of};
+use crate::placement::due_times::{earliest_due_time, effective_urgency};
+use crate::placement::snapshot::eligible_machine_types;
 use crate::placement::{Milestone, Resources};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -30,11 +31,11 @@
     let name = eligible_machine_types(core, spec).into_iter().next()?;
     let machine_type = core.kind(&name)?;
     let share = Resources::dominant_share(&spec.resources(), &capacity_of(machine_type));
-    let (due, milestone) = due_after(node, core, record, age);
-    let concurrent_share = match milestone {
+    let due = earliest_due_time(node, core, record, age);
+    let concurrent_share = match due.milestone {
         Milestone::Start => 1.0,
         Milestone::Finish => {
-            let time_left = (due - age).max(0.1);
+            let time_left = (due.after_arrival_s - age).max(0.1);
             let share = core.duration(spec) * RUN_TIMES_BEFORE_DEADLINE / time_left;
             share.clamp(MIN_CONCURRENT_SHARE, 1.0)
         }
@@ -78,7 +79,7 @@
             if let Some(member) = assignment.owner(&job.record) {
                 let key = (member.clone(), load.machine_type);
                 let by_urgency = estimate.by_member.entry(key).or_default();
-                let demand = by_urgency.entry(urgency_of(core, spec)).or_default();
+                let demand = by_urgency.entry(effective_urgency(core, spec)).or_default();
                 if spec.spot {
                     demand.any += load.machines;
                 } else {
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -223,7 +223,7 @@
         ?first,
         ?placed,
         owner = ?machine.map(|machine| &machine.owner.name),
-        waiting = core.views.jobs.get(id).map_or(0, |view| view.waiting.len()),
+        waiting = core.snapshots.jobs.get(id).map_or(0, |progress| progress.waiting.len()),
         failures = ?core.failures.get(id).map(|failures| failures.count),
         "unfinished for longest"
     );
--- a/src/node.rs
+++ b/src/node.rs
@@ -60,8 +60,8 @@
     /// Machine types of the cloud's catalogue; empty until it was read.
     pub kinds: Vec<MachineType>,
     pub rent: RentState,
-    /// Snapshots of machines and jobs for placement.
-    pub views: SnapshotCache,
+    /// What snapshots for placement are made from.
+    pub snapshots: SnapshotCache,
     pub metrics: Metrics,
 }
 
@@ -172,7 +172,7 @@
             failures: HashMap::new(),
             kinds: Vec::new(),
             rent: RentState::new(now),
-            views: SnapshotCache::new(now),
+            snapshots: SnapshotCache::new(now),
             metrics: Metrics::new(now),
         }
     }
--- a/src/node/tasks.rs
+++ b/src/node/tasks.rs
@@ -50,8 +50,8 @@
     /// Whether a machine has work of the sort that it was rented for: on one with GPUs, work without does not
     /// count, which would keep it at many times the price of its CPUs.
     pub fn runs_intended_work(&self, name: &str, machine_type: &str) -> bool {
-        let is_opened = self.views.opened.contains(name);
-        let needs_gpus = !is_opened && self.kind(machine_type).is_some_and(|k| k.gpus > 0.0);
+        let is_spare = self.snapshots.spare_gpu_machines.contains(name);
+        let needs_gpus = !is_spare && self.kind(machine_type).is_some_and(|k| k.gpus > 0.0);
         let tasks = self.replica.tasks_by_machine.get(name);
         tasks
             .into_iter()
--- /dev/null
+++ b/src/placement/job_progress.rs
@@ -0,0 +1,122 @@
+//! How far each job of this controller has come, and where its tasks may run: what of a job's snapshot
+//! changes only with its records and plans.
+
+use super::snapshot::eligible_machine_types;
+use super::{NameTable, TasksByZone, capacity_of};
+use crate::jobs::{JobSpec, TaskRecord};
+use crate::node::Core;
+use crate::state::replica::Job;
+use std::sync::Arc;
+
+/// Most waiting tasks of an array that a snapshot holds. Of a gang it holds all: a gang starts as a
+/// whole, and a part of its tasks would never be enough.
+const MAX_WAITING_OF_ARRAY: usize = 2000;
+
+/// From this dominant share on, a task fills most of a machine.
+const LARGE_DOMINANT_SHARE: f64 = 0.5;
+
+/// The progress of a job and its placement requirements, with interned names.
+#[derive(Debug, Clone, Default)]
+pub struct JobProgress {
+    /// Indices of the tasks that wait, up to `MAX_WAITING_OF_ARRAY` of an array.
+    pub waiting: Arc<Vec<u32>>,
+    /// Completed tasks.
+    pub done: u32,
+    /// Tasks on machines.
+    pub placed: u32,
+    /// Tasks on machines, by zone.
+    pub zones: TasksByZone,
+    /// Machine types that its tasks may run on, cheapest first.
+    pub machine_types: Vec<u32>,
+    /// Name of the cheapest of them; empty if there is none.
+    pub pool: String,
+    /// The next one that its tasks may run on.
+    pub fallback_pool: Option<FallbackPool>,
+    /// The image of its tasks.
+    pub image: u32,
+    /// The only zone that it may run in.
+    pub zone: Option<u32>,
+    /// Whether a task fills most of a machine of its pool.
+    pub large: bool,
+    /// The largest fraction of a resource of a machine of its pool that a task requests.
+    pub dominant_share: f64,
+    /// Whether its tasks request GPUs.
+    pub needs_gpus: bool,
+}
+
+/// A machine type for work that its pool has no machines for.
+#[derive(Debug, Clone)]
+pub struct FallbackPool {
+    /// Name of the machine type.
+    pub name: String,
+    /// The largest fraction of a resource of such a machine that a task requests.
+    pub dominant_share: f64,
+}
+
+impl JobProgress {
+    /// The progress by records and plans.
+    pub(super) fn new(core: &Core, names: &mut NameTable, job: &Job) -> Self {
+        let spec = &job.record.spec;
+        let mut progress = Self::default();
+        progress.count_tasks(core, names, job);
+        progress.set_requirements(core, names, spec);
+        progress
+    }
+
+    /// Tasks that were started or are done.
+    pub(super) fn started(&self) -> u32 {
+        self.done + self.placed
+    }
+
+    fn count_tasks(&mut self, core: &Core, names: &mut NameTable, job: &Job) {
+        let spec = &job.record.spec;
+        let max_waiting = if spec.is_gang() {
+            spec.tasks as usize
+        } else {
+            MAX_WAITING_OF_ARRAY
+        };
+        let mut waiting = Vec::new();
+        let planned = core.pending_changes.of_job(&spec.id);
+        for task in 0..spec.tasks {
+            let planned = planned.and_then(|changes| changes.get(&task));
+            match planned.unwrap_or_else(|| job.task_record(&core.replica.layout, task)) {
+                TaskRecord::Waiting { .. } if waiting.len() < max_waiting => waiting.push(task),
+                TaskRecord::Waiting { .. } => {}
+                TaskRecord::Done => self.done += 1,
+                TaskRecord::Placed { machine, .. } => {
+                    self.placed += 1;
+                    if let Some(machine) = core.replica.fleet.machines.get(machine) {
+                        *self
+                            .zones
+                            .entry(names.intern(&machine.pool.zone))
+                            .or_default() += 1;
+                    }
+                }
+            }
+        }
+        self.waiting = Arc::new(waiting);
+    }
+
+    fn set_requirements(&mut self, core: &Core, names: &mut NameTable, spec: &JobSpec) {
+        let machine_types = eligible_machine_types(core, spec);
+        self.machine_types = machine_types.iter().map(|t| names.intern(t)).collect();
+        self.fallback_pool = machine_types.get(1).and_then(|name| {
+            Some(FallbackPool {
+                name: name.clone(),
+                dominant_share: dominant_share(core, spec, name)?,
+            })
+        });
+        self.pool = machine_types.into_iter().next().unwrap_or_default();
+        self.dominant_share = dominant_share(core, spec, &self.pool).unwrap_or(0.0);
+        self.large = self.dominant_share > LARGE_DOMINANT_SHARE;
+        self.needs_gpus = spec.gpus > 0.0;
+        self.image = names.intern(&spec.image);
+        self.zone = spec.zone.as_ref().map(|z| names.intern(z));
+    }
+}
+
+/// The dominant share of a task on a machine type; none if the catalogue does not have it.
+fn dominant_share(core: &Core, spec: &JobSpec, machine_type: &str) -> Option<f64> {
+    let machine_type = core.kind(machine_type)?;
+    Some(spec.resources().dominant_share(&capacity_of(machine_type)))
+}
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -6,13 +6,19 @@
 //! - [`packing`] places what can start now, many times a second;
 //! - [`forecast`] maps all that waits, once a period, to predict misses;
 //! - [`preemption`] chooses tasks to evict for work of higher priority;
-//! - [`snapshot`] and [`snapshot_cache`] turn records and heartbeats into what these work on.
+//! - [`snapshot`] and [`snapshot_cache`] turn records and heartbeats into what these work on;
+//! - [`due_times`] and [`inherited_deadlines`] say when jobs should start and finish.
 
+pub mod due_times;
 pub mod forecast;
 mod gang;
 mod index;
+pub mod inherited_deadlines;
 mod job;
+mod job_progress;
 mod machine;
+mod machine_snapshot;
+mod machine_tasks;
 mod name_table;
 pub mod packing;
 pub mod preemption;
@@ -22,6 +28,7 @@
 pub mod service;
 pub mod snapshot;
 pub mod snapshot_cache;
+mod team_usage;
 
 pub use job::{JobSnapshot, Milestone, PoolId, TasksByZone};
 pub use machine::{FreeSlot, MachineSnapshot, Reservation};
--- a/src/placement/service/tests.rs
+++ b/src/placement/service/tests.rs
@@ -1,10 +1,14 @@
-use super::*;
+use super::evictions::evict;
+use crate::jobs::{TaskId, TaskRecord};
+use crate::node::Core;
+use crate::placement::preemption::Eviction;
 use serde_json::json;
+use std::time::Instant;
 
-/// A start that was planned in the same turn as it was stopped, to make room for a gang, kept
-/// its plan and lost its stop: it was recorded, ran to its end, and the gang waited for it.
+/// A start that was planned in the same cycle as it was evicted for a gang kept its plan and lost its
+/// eviction: it was recorded, ran to its end, and the gang waited for it.
 #[test]
-fn a_planned_start_is_taken_back_and_a_recorded_one_stopped() {
+fn eviction_discards_a_planned_start_and_stops_a_recorded_one() {
     let mut core = Core::new(crate::jobs::pages::tests::plain_layout(8), Instant::now());
     let job = json!({"spec": {"nameId":"job-1","grist":"c","crew":"t","shape":"array",
         "urgency":"standard","sacks":2,"cpus":1.0,"cards":0.0,"memGb":1.0,"mould":"i",
@@ -20,7 +24,12 @@
     };
     core.record_change(&TaskId::new("job-1", 1), planned);
     for task in [0, 1] {
-        stop(&mut core, TaskId::new("job-1", task), 1, 0.0);
+        let eviction = Eviction {
+            task: TaskId::new("job-1", task),
+            attempt: 1,
+            grace_s: 0.0,
+        };
+        evict(&mut core, eviction);
     }
     let stops = core.workers.pending_stops.keys();
     let stops: Vec<_> = stops
--- a/src/renting/decide.rs
+++ b/src/renting/decide.rs
@@ -210,7 +210,7 @@
         };
         pools.insert(kind.name.clone(), outlook);
     }
-    for progress in core.views.jobs.values().filter(|p| p.placed > 0) {
+    for progress in core.snapshots.jobs.values().filter(|p| p.placed > 0) {
         let pool = pools.entry(progress.pool.clone()).or_default();
         pool.running += f64::from(progress.placed) * progress.dominant_share;
     }
@@ -237,14 +237,14 @@
         pool.wanted += machines;
         if job.spot {
             pool.wanted_spot += machines;
-            let next = core
-                .views
+            let fallback = core
+                .snapshots
                 .jobs
                 .get(&job.id)
-                .and_then(|p| p.next_kind.as_ref());
-            if let Some((other, share)) = next {
-                let machines = share * f64::from(mapped.helped) / turns;
-                *pool.wanted_else.entry(other.clone()).or_default() += machines;
+                .and_then(|p| p.fallback_pool.as_ref());
+            if let Some(fallback) = fallback {
+                let machines = fallback.dominant_share * f64::from(mapped.helped) / turns;
+                *pool.wanted_else.entry(fallback.name.clone()).or_default() += machines;
             }
         }
     }
