--- a/crates/rowanmill-state/src/client.rs
+++ b/crates/rowanmill-state/src/client.rs
@@ -121,7 +121,7 @@
         let Some(lower) = lock(&self.quota).lower() else {
             return;
         };
-        tracing::info!("the state service's lower limits hold");
+        tracing::info!("lower limits of the state service adopted");
         let mut limiter = lock(&self.write_limiter);
         let rate = limiter.rate().min(lower.writes_per_s);
         limiter.set_rate(rate, Instant::now());
--- a/crates/rowanmill-state/src/client/transactions.rs
+++ b/crates/rowanmill-state/src/client/transactions.rs
@@ -95,7 +95,7 @@
         }
         // What this version writes fits both limits; what does not was written before.
         self.adopt_lower_quota();
-        tracing::error!(%answer, "state refused a transaction as malformed");
+        tracing::error!(%answer, "transaction rejected as malformed");
         TransactionError::Malformed
     }
 }
--- a/src/state/replica.rs
+++ b/src/state/replica.rs
@@ -214,7 +214,7 @@
     }
 
     fn log_unreadable(&self, error: &serde_json::Error) {
-        tracing::error!(key = self.key, %error, "a record cannot be read");
+        tracing::error!(key = self.key, %error, "record rejected as malformed");
     }
 }
 
--- a/src/state/watch.rs
+++ b/src/state/watch.rs
@@ -24,7 +24,7 @@
         node.core().loaded = true;
         poll_until_compacted(&node).await;
         node.core().loaded = false;
-        tracing::info!("the log was cut before our place: loading anew");
+        tracing::info!("watch compacted before the last applied revision, reloading");
     }
 }
 
