--- a/src/jobs/pages.rs
+++ b/src/jobs/pages.rs
@@ -46,7 +46,7 @@
 }
 
 /// What a started task takes of a plain page beside the machine's name, in bytes:
-/// `[attempt,"machine",session]` and a comma.
+/// `[attempt,"machine",incarnation]` and a comma.
 const PLAIN_PLACED_BYTES: usize = 28;
 
 /// What a started task takes of a compact page beside the machine's name, in bytes: its number, the
--- a/src/jobs/pages/compact.rs
+++ b/src/jobs/pages/compact.rs
@@ -13,7 +13,7 @@
 const DONE: i64 = -1;
 
 /// The incarnation that is left out of the list.
-const DEFAULT_SESSION: u64 = 1;
+const DEFAULT_INCARNATION: u64 = 1;
 
 /// The JSON of a compact page.
 #[derive(Serialize, Deserialize)]
@@ -22,7 +22,7 @@
     machines: Vec<String>,
     /// The machines' worker incarnations; those at the end that are 1 are left out.
     #[serde(rename = "s", default, skip_serializing_if = "Vec::is_empty")]
-    sessions: Vec<u64>,
+    incarnations: Vec<u64>,
     /// For each task: 0 if it was never started, -1 if it is done, `-1 - last` if it waits after
     /// attempt `last`, and else the attempt and machine where it was started.
     #[serde(rename = "t")]
@@ -47,7 +47,11 @@
         Ok(TaskRecord::Placed {
             attempt: (number / MACHINE_SLOTS) as u64,
             machine: machine.clone(),
-            session: self.sessions.get(slot).copied().unwrap_or(DEFAULT_SESSION),
+            incarnation: self
+                .incarnations
+                .get(slot)
+                .copied()
+                .unwrap_or(DEFAULT_INCARNATION),
         })
     }
 }
@@ -57,7 +61,7 @@
     pub fn to_compact(&self) -> impl Serialize + use<> {
         let mut compact = CompactPage {
             machines: Vec::new(),
-            sessions: Vec::new(),
+            incarnations: Vec::new(),
             tasks: Vec::with_capacity(self.0.len()),
         };
         let mut slots: HashMap<(&str, u64), usize> = HashMap::new();
@@ -69,19 +73,19 @@
                 TaskRecord::Placed {
                     attempt,
                     machine,
-                    session,
+                    incarnation,
                 } => {
-                    let slot = *slots.entry((machine, *session)).or_insert_with(|| {
+                    let slot = *slots.entry((machine, *incarnation)).or_insert_with(|| {
                         compact.machines.push(machine.clone());
-                        compact.sessions.push(*session);
+                        compact.incarnations.push(*incarnation);
                         compact.machines.len() - 1
                     });
                     *attempt as i64 * MACHINE_SLOTS + slot as i64
                 }
             });
         }
-        while compact.sessions.last() == Some(&DEFAULT_SESSION) {
-            compact.sessions.pop();
+        while compact.incarnations.last() == Some(&DEFAULT_INCARNATION) {
+            compact.incarnations.pop();
         }
         compact
     }
--- a/src/jobs/pages/task_record.rs
+++ b/src/jobs/pages/task_record.rs
@@ -20,7 +20,7 @@
         /// The machine's name.
         machine: String,
         /// The incarnation of the machine's worker that the start is for.
-        session: u64,
+        incarnation: u64,
     },
     /// It completed.
     Done,
@@ -53,8 +53,8 @@
             TaskRecord::Placed {
                 attempt,
                 machine,
-                session,
-            } => (attempt, machine, session).serialize(serializer),
+                incarnation,
+            } => (attempt, machine, incarnation).serialize(serializer),
             TaskRecord::Done => true.serialize(serializer),
         }
     }
@@ -67,7 +67,7 @@
     type Value = TaskRecord;
 
     fn expecting(&self, f: &mut Formatter) -> fmt::Result {
-        f.write_str("an attempt, `[attempt, machine, session]` or `true`")
+        f.write_str("an attempt, `[attempt, machine, incarnation]` or `true`")
     }
 
     fn visit_u64<E: Error>(self, last: u64) -> Result<TaskRecord, E> {
@@ -87,7 +87,7 @@
         Ok(TaskRecord::Placed {
             attempt: parts.next_element()?.ok_or_else(|| too_short(0))?,
             machine: parts.next_element()?.ok_or_else(|| too_short(1))?,
-            session: parts.next_element()?.ok_or_else(|| too_short(2))?,
+            incarnation: parts.next_element()?.ok_or_else(|| too_short(2))?,
         })
     }
 }
--- a/src/jobs/pages/tests.rs
+++ b/src/jobs/pages/tests.rs
@@ -12,10 +12,10 @@
 /// A number that names no machine makes the page unreadable.
 #[test]
 fn a_compact_page_reads_back_as_written() {
-    let placed = |attempt, machine: &str, session| TaskRecord::Placed {
+    let placed = |attempt, machine: &str, incarnation| TaskRecord::Placed {
         attempt,
         machine: machine.into(),
-        session,
+        incarnation,
     };
     let page = ProgressPage(vec![
         TaskRecord::default(),
@@ -41,7 +41,7 @@
         TaskRecord::Placed {
             attempt: 2,
             machine: "vm-000231".into(),
-            session: 1,
+            incarnation: 1,
         },
     );
     let text = serde_json::to_string(&page).unwrap();
--- a/src/jobs/writer/flush_delay.rs
+++ b/src/jobs/writer/flush_delay.rs
@@ -57,7 +57,7 @@
     }
 
     /// Whether exits that have waited this long are written now.
-    pub fn is_over(self, waited: Duration, has_ample_quota: bool) -> bool {
+    pub fn has_elapsed(self, waited: Duration, has_ample_quota: bool) -> bool {
         let delay = if has_ample_quota {
             self.relaxed
         } else {
--- a/src/jobs/writer/selection.rs
+++ b/src/jobs/writer/selection.rs
@@ -57,7 +57,7 @@
     };
     let delay = FlushDelay::of_job(&core.replica, selection.me, job, changes);
     let waited = core.pending_changes.time_waited(id, selection.now);
-    let writes_exits = delay.is_over(waited, selection.has_ample_quota);
+    let writes_exits = delay.has_elapsed(waited, selection.has_ample_quota);
     let first_of_job = writes.len();
     let mut is_complete = true;
     for (page, changes) in changes_by_page(core, changes) {
--- a/src/jobs/writer/tests.rs
+++ b/src/jobs/writer/tests.rs
@@ -101,7 +101,7 @@
     let on_second = TaskRecord::Placed {
         attempt: 1,
         machine: "vm-2".into(),
-        session: 1,
+        incarnation: 1,
     };
     core.record_change(&TaskId::new("job-1", 1), on_second);
     let before = trace_of_writes(&core);
@@ -135,7 +135,7 @@
     let start = TaskRecord::Placed {
         attempt: 1,
         machine: "vm-1".into(),
-        session: 1,
+        incarnation: 1,
     };
     for task in 0..20 {
         core.record_change(&TaskId::new("job-2", task), start.clone());
@@ -245,7 +245,7 @@
             let entry = TaskRecord::Placed {
                 attempt: 4,
                 machine,
-                session: 1,
+                incarnation: 1,
             };
             core.record_change(&TaskId::new(id, task), entry);
         }
@@ -337,7 +337,7 @@
     let start = TaskRecord::Placed {
         attempt: 1,
         machine: "vm-1".into(),
-        session: 1,
+        incarnation: 1,
     };
     core.record_change(&TaskId::new("job-1", 1), start);
     withdraw_unstartable(&mut core, &me);
@@ -367,7 +367,7 @@
     let start = TaskRecord::Placed {
         attempt: 1,
         machine: "vm-1".into(),
-        session: 1,
+        incarnation: 1,
     };
     core.record_change(&TaskId::new("job-1", 1), start);
     core.record_change(&TaskId::new("job-2", 0), TaskRecord::Waiting { last: 1 });
@@ -404,7 +404,7 @@
         let entry = TaskRecord::Placed {
             attempt: 1,
             machine: machine.into(),
-            session: 1,
+            incarnation: 1,
         };
         core.record_change(&TaskId::new("job-2", task), entry);
     }
@@ -522,7 +522,7 @@
         let entry = TaskRecord::Placed {
             attempt: 3,
             machine,
-            session: 2,
+            incarnation: 2,
         };
         core.record_change(&TaskId::new("job-1", task), entry);
     }
--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -41,7 +41,7 @@
     let entry = TaskRecord::Placed {
         attempt: 1,
         machine: "vm-1".into(),
-        session: 1,
+        incarnation: 1,
     };
     core.record_change(&TaskId::new(id, task), entry);
 }
--- a/src/placement/service/starts.rs
+++ b/src/placement/service/starts.rs
@@ -114,7 +114,7 @@
     let Some(worker) = core.workers.agents.get_mut(machine) else {
         return;
     };
-    let session = worker.latest_heartbeat.incarnation;
+    let incarnation = worker.latest_heartbeat.incarnation;
     let machine_type = core
         .kinds
         .iter()
@@ -123,7 +123,7 @@
     let started = TaskRecord::Placed {
         attempt,
         machine: machine.to_owned(),
-        session,
+        incarnation,
     };
     core.record_change(id, started);
 }
--- a/src/placement/service/tests.rs
+++ b/src/placement/service/tests.rs
@@ -20,7 +20,7 @@
     let planned = TaskRecord::Placed {
         attempt: 1,
         machine: "vm-1".into(),
-        session: 1,
+        incarnation: 1,
     };
     core.record_change(&TaskId::new("job-1", 1), planned);
     for task in [0, 1] {
@@ -36,7 +36,11 @@
         .map(|stop| ((&stop.task.job, stop.task.index), stop.attempt))
         .collect();
     insta::assert_snapshot!(
-        format!("{:?}\n{:?}\nto be stopped {stops:?}", core.task_record("job-1", 0), core.task_record("job-1", 1)),
+        format!(
+            "{}\n{}\nto be stopped {stops:?}",
+            record_text(core.task_record("job-1", 0)),
+            record_text(core.task_record("job-1", 1))
+        ),
         @r#"
         Placed { attempt: 1, machine: "vm-1", session: 1 }
         Waiting { last: 0 }
@@ -44,3 +48,17 @@
         "#
     );
 }
+
+/// A task's record in the words of the kept traces.
+fn record_text(record: &TaskRecord) -> String {
+    match record {
+        TaskRecord::Placed {
+            attempt,
+            machine,
+            incarnation,
+        } => {
+            format!("Placed {{ attempt: {attempt}, machine: {machine:?}, session: {incarnation} }}")
+        }
+        other => format!("{other:?}"),
+    }
+}
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -25,7 +25,7 @@
 /// Fewest and most tasks of a page.
 const PAGE_TASKS_MIN: usize = 8;
 const PAGE_TASKS_MAX: usize = 512;
-/// Bytes of a placed task in a plain_tasks page, `[attempt,"machine",session]`: enough for long names.
+/// Bytes of a placed task in a plain page, `[attempt,"machine",incarnation]`: enough for long names.
 const PLAIN_TASK_BYTES: usize = 48;
 /// Bytes of a task in a compact page, where the names of machines are the most.
 const COMPACT_TASK_BYTES: usize = 16;
--- a/src/testing/compatibility/job_records.rs
+++ b/src/testing/compatibility/job_records.rs
@@ -197,11 +197,11 @@
     insta::assert_snapshot!("ended_job_record", trace.0);
 }
 
-fn placed(attempt: u64, machine: &str, session: u64) -> TaskRecord {
+fn placed(attempt: u64, machine: &str, incarnation: u64) -> TaskRecord {
     TaskRecord::Placed {
         attempt,
         machine: machine.into(),
-        session,
+        incarnation,
     }
 }
 
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -170,7 +170,9 @@
                 continue;
             }
             let TaskRecord::Placed {
-                attempt, session, ..
+                attempt,
+                incarnation,
+                ..
             } = *replica.task_record(&id.job, id.index)
             else {
                 continue;
@@ -179,7 +181,7 @@
                 task: id.clone(),
                 attempt,
             };
-            match self.judge_absence(&expected, session) {
+            match self.judge_absence(&expected, incarnation) {
                 Absence::Gone => self.record_waiting(expected.task, attempt),
                 Absence::NotStarted => {
                     let run = Command::run(&id.to_string(), attempt);
