--- a/src/api/dependencies.rs
+++ b/src/api/dependencies.rs
@@ -10,7 +10,7 @@
 use hyper::StatusCode;
 use std::sync::Arc;
 
-/// Why the state of a dependency cannot be told.
+/// Why the state of a dependency cannot be determined.
 #[derive(Debug, thiserror::Error)]
 pub enum DependencyError {
     #[error("`awaits` names a job that was never accepted")]
@@ -20,6 +20,7 @@
 }
 
 impl DependencyError {
+    /// The response to the submission.
     pub fn refusal(&self) -> HttpResponse {
         match self {
             DependencyError::NeverAccepted => {
--- a/src/api/limit.rs
+++ b/src/api/limit.rs
@@ -72,6 +72,7 @@
 }
 
 impl ConcurrencyLimit {
+    /// A limit without requests, at its initial value.
     pub fn new() -> Self {
         let max = MAX_RECORDED.as_micros() as u64;
         Self {
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -41,10 +41,12 @@
     json_response(StatusCode::OK, &body)
 }
 
+/// The state service cannot be read or written: the request is to be retried.
 pub fn state_unavailable() -> HttpResponse {
     retry_later(StatusCode::SERVICE_UNAVAILABLE, 1, "no state service")
 }
 
+/// Too many requests are in progress, or the write quota is used up: the request is to be retried.
 pub fn overloaded() -> HttpResponse {
     retry_later(StatusCode::TOO_MANY_REQUESTS, 1, "too much at once")
 }
--- a/src/api/status.rs
+++ b/src/api/status.rs
@@ -20,7 +20,7 @@
 
 /// What is known of a job, as of no earlier than the call.
 pub enum JobStatus {
-    /// It has not ended, as far as users are told.
+    /// Its final state is not recorded yet, though it may be cancelled.
     Unfinished {
         stage: Stage,
         /// Tasks that are done.
@@ -82,7 +82,7 @@
     }
 }
 
-/// The response to a repeated submission of a job, or that its status cannot be told; `None` if it was never
+/// The response to a repeated submission of a job, or that its status cannot be determined; `None` if it was never
 /// accepted.
 pub async fn respond_if_accepted(node: &Arc<Node>, id: &str) -> Option<HttpResponse> {
     match current_status(node, id).await {
--- a/src/api/submit.rs
+++ b/src/api/submit.rs
@@ -141,7 +141,7 @@
     }
 }
 
-/// The record of a job as it is accepted, and the stage that its user is told.
+/// The record of a job as it is accepted, and the stage in the response.
 fn first_record(
     record: JobRecord,
     depends_on: Vec<String>,
--- a/src/http.rs
+++ b/src/http.rs
@@ -7,6 +7,7 @@
 use hyper::{Response, StatusCode};
 use serde::Serialize;
 
+/// A response whose body is complete.
 pub type HttpResponse = Response<Full<Bytes>>;
 
 /// A response with a JSON body.
--- a/src/pipelines/mod.rs
+++ b/src/pipelines/mod.rs
@@ -20,6 +20,7 @@
 }
 
 impl BlockedJob {
+    /// A job by its record, before its dependencies are examined.
     pub fn new(record: JobRecord, depends_on: Vec<String>, revision: u64) -> Self {
         Self {
             record,
@@ -61,10 +62,12 @@
         }
     }
 
+    /// The blocked job of that id.
     pub fn get(&self, id: &str) -> Option<&BlockedJob> {
         self.blocked.get(id)
     }
 
+    /// All blocked jobs, by id.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &BlockedJob)> {
         self.blocked.iter()
     }
--- a/src/pipelines/service.rs
+++ b/src/pipelines/service.rs
@@ -120,7 +120,7 @@
     }
 }
 
-/// Reads the final states of jobs that this process has not seen end. False if one cannot be told now: nothing is
+/// Reads the final states of jobs that this process has not seen end. False if one cannot be read now: nothing is
 /// assumed of it then.
 pub async fn read_final_states(node: &Node, ids: impl IntoIterator<Item = String>) -> bool {
     for id in ids {
@@ -151,7 +151,7 @@
             }
             core.replica.unknown_dependencies()
         };
-        // What cannot be told now is looked up again.
+        // What cannot be read now is looked up again.
         read_final_states(&node, unknown.into_iter().take(MAX_LOOKUPS)).await;
     }
 }
--- a/src/workers/agent.rs
+++ b/src/workers/agent.rs
@@ -53,6 +53,7 @@
         Some(now.saturating_duration_since(first.at))
     }
 
+    /// Whether `run` was sent for an attempt that no heartbeat has shown yet.
     pub fn has_unacknowledged_runs(&self) -> bool {
         !self.unacknowledged_runs.is_empty()
     }
@@ -63,10 +64,12 @@
         self.sent_runs.len() + self.present.len()
     }
 
+    /// A heartbeat shows the attempt on the machine.
     pub(super) fn observe_present(&mut self, task: &TaskId, attempt: u64, now: Instant) {
         record_first(&mut self.present, task, attempt, now);
     }
 
+    /// A heartbeat shows the attempt running.
     pub(super) fn observe_running(&mut self, task: &TaskId, attempt: u64, now: Instant) {
         record_first(&mut self.running, task, attempt, now);
     }
@@ -148,6 +151,7 @@
     pub size_gb: f64,
 }
 
+/// What the owner knows of an agent, from its heartbeats under the present ownership.
 #[derive(Debug)]
 pub struct AgentStatus {
     pub latest_heartbeat: Arc<Heartbeat>,
@@ -174,6 +178,7 @@
 }
 
 impl AgentStatus {
+    /// The status of an agent by its first heartbeat, which has proven nothing yet.
     pub fn new(heartbeat: Arc<Heartbeat>, now: Instant) -> Self {
         Self {
             latest_heartbeat: heartbeat,
--- a/src/workers/exits.rs
+++ b/src/workers/exits.rs
@@ -33,23 +33,37 @@
         .filter(|_| is_first_attempt && spec.estimate_s > 0.0)
         .map(|run_time| run_time.as_secs_f64() / spec.estimate_s);
     let class = spec.class.clone();
-    if let Some((machine_type, share)) = share_of_machine(core, spec) {
-        count_completion(core, machine_type, share, is_late);
+    if let Some(share) = machine_share(core, spec) {
+        count_completion(core, share, is_late);
     }
     if let Some(ratio) = run_time_ratio {
         learn_run_time(core, status, class, ratio);
     }
 }
 
-/// The machine type that a job's tasks are counted for, with the part of such a machine that one takes.
-fn share_of_machine(core: &Core, spec: &JobSpec) -> Option<(String, f64)> {
+/// The part of a machine that one task takes.
+struct MachineShare {
+    machine_type: String,
+    /// From 0 to 1.
+    share: f64,
+}
+
+/// The share of a machine of the type that a job's tasks are counted for.
+fn machine_share(core: &Core, spec: &JobSpec) -> Option<MachineShare> {
     let pool = eligible_machine_types(core, spec);
     let machine_type = core.kind(pool.first()?)?;
     let share = spec.resources().dominant_share(&capacity_of(machine_type));
-    Some((machine_type.name.clone(), share))
+    Some(MachineShare {
+        machine_type: machine_type.name.clone(),
+        share,
+    })
 }
 
-fn count_completion(core: &mut Core, machine_type: String, share: f64, is_late: bool) {
+fn count_completion(core: &mut Core, share: MachineShare, is_late: bool) {
+    let MachineShare {
+        machine_type,
+        share,
+    } = share;
     let counts = core.rent.tally.entry(machine_type).or_default();
     counts.finished += 1;
     counts.counted += share;
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -42,12 +42,15 @@
     pub run_time: Option<Duration>,
 }
 
+/// What follows from a heartbeat.
 #[derive(Debug, Default, PartialEq)]
 pub struct Reconciliation {
     /// Exits to be recorded.
     pub exits: BTreeMap<TaskId, TaskRecord>,
     pub commands: Vec<Command>,
+    /// The exits that complete a task.
     pub completed: Vec<Completion>,
+    /// The exits by a failure of the task.
     pub failed: Vec<TaskId>,
 }
 
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -40,6 +40,7 @@
     }
 }
 
+/// One attempt at a task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct ReportedTask {
     /// The task's name, such as `job-000412/3`.
@@ -53,6 +54,7 @@
     pub exit_reason: Option<ExitReason>,
 }
 
+/// How far an attempt is on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
@@ -67,6 +69,7 @@
     Ended,
 }
 
+/// Why an attempt ended, or was not started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitReason {
@@ -121,6 +124,7 @@
 }
 
 impl Command {
+    /// Starts an attempt at a task, named as `job-000412/3`.
     pub fn run(task: &str, attempt: u64) -> Self {
         Command::Run {
             task: task.to_owned(),
@@ -128,6 +132,7 @@
         }
     }
 
+    /// Stops an attempt, with `grace_s` seconds to save its progress.
     pub fn stop(task: &str, attempt: u64, grace_s: f64) -> Self {
         Command::Stop {
             task: task.to_owned(),
@@ -136,6 +141,7 @@
         }
     }
 
+    /// Has the agent forget an attempt that ended.
     pub fn reap(task: &str, attempt: u64) -> Self {
         Command::Reap {
             task: task.to_owned(),
