--- a/src/cells/local_state.rs
+++ b/src/cells/local_state.rs
@@ -77,6 +77,6 @@
         computed_ms: now_ms,
         waiting_tasks,
         free_cpus: (total_cpus - used_cpus).max(0.0),
-        can_rent: core.rent.refused.is_empty(),
+        can_rent: core.scaling.exhausted_pools.is_empty(),
     }
 }
--- a/src/limits/usage.rs
+++ b/src/limits/usage.rs
@@ -46,7 +46,7 @@
         usage.add_job(core, &CountedJob { limit, id, job }, now_ms);
     }
     for (member, outlook) in &core.replica.forecast_summaries {
-        for (team, unit) in &outlook.record.blocked {
+        for (team, unit) in &outlook.record.blocked_gangs {
             if let Some(usage) = teams.get_mut(team) {
                 usage.add_published(core, member, unit);
             }
--- a/src/node.rs
+++ b/src/node.rs
@@ -24,7 +24,7 @@
 use crate::metrics::{Metrics, ProcessorTime};
 use crate::placement::snapshot_cache::SnapshotCache;
 use crate::policy::Policy;
-use crate::renting::service::RentState;
+use crate::renting::state::ScalingState;
 use crate::settings::Settings;
 use crate::state::{Operation, Replica, StateClient};
 use crate::workers::Workers;
@@ -59,7 +59,8 @@
     pub failures: HashMap<String, Failures>,
     /// Machine types of the cloud's catalogue; empty until it was read.
     pub kinds: Vec<MachineType>,
-    pub rent: RentState,
+    /// Forecasts, decisions and rentals in progress.
+    pub scaling: ScalingState,
     /// What snapshots for placement are made from.
     pub snapshots: SnapshotCache,
     pub metrics: Metrics,
@@ -171,7 +172,7 @@
             runtime_estimates: HashMap::new(),
             failures: HashMap::new(),
             kinds: Vec::new(),
-            rent: RentState::new(now),
+            scaling: ScalingState::new(now),
             snapshots: SnapshotCache::new(now),
             metrics: Metrics::new(now),
         }
--- a/src/node/ownership.rs
+++ b/src/node/ownership.rs
@@ -55,7 +55,7 @@
             }
             None => {
                 self.workers.owned.remove(name);
-                self.rent.closing.remove(name);
+                self.scaling.releasing.remove(name);
             }
         }
         self.forget_observations(name);
--- a/src/placement/machine_snapshot.rs
+++ b/src/placement/machine_snapshot.rs
@@ -57,7 +57,7 @@
         let core = self.core;
         let record = core.replica.fleet.machines.get(name)?;
         let is_active = record.state == MachineState::Active;
-        if record.owner != *self.me || !is_active || core.rent.closing.contains_key(name) {
+        if record.owner != *self.me || !is_active || core.scaling.releasing.contains_key(name) {
             return None;
         }
         let machine_type = core.kind(&record.pool.machine_type)?;
--- a/src/placement/service.rs
+++ b/src/placement/service.rs
@@ -88,7 +88,7 @@
     // The forecast's period begins with the first job or machine, and the first forecast is due at once.
     if !core.replica.jobs.is_empty() || !core.replica.fleet.machines.is_empty() {
         let _charge = node.processor_time.charge(CpuAccount::Forecast);
-        renting::decide::look_ahead(node, &mut core, &snapshot, now, now_ms);
+        renting::forecast::update_forecast(node, &mut core, &snapshot, now, now_ms);
     }
     if !snapshot.jobs.is_empty() {
         let unplaced = starts::plan_starts(node, &mut core, &mut snapshot);
--- a/src/renting/decide/tests.rs
+++ b/src/renting/forecast/tests.rs
@@ -1,40 +1,41 @@
 use super::*;
 
-/// An outlook that does not fit is refused for ever: with as many idle machines as there are, each
-/// with a long name, it fits the lowest limit yet.
+/// A forecast that does not fit its record is refused for ever: with as many idle machines as there are, each
+/// with a long name, it fits the lowest limit so far.
 #[test]
-fn the_largest_outlook_fits_its_record() {
+fn the_largest_forecast_fits_its_record() {
     let number = 123_456.789_012_345_6;
     let longest = "vm-with-a-longer-name-000001";
-    let outlook = |names: usize| Outlook {
+    let forecast = |names: usize| DemandForecast {
         late_now: number,
         counted_now: number,
         late_next: number,
         counted_next: number,
         running: number,
         waiting: u32::MAX,
-        startup: u32::MAX,
+        startup_queue: u32::MAX,
         booting: u32::MAX,
-        wanted: number,
-        wanted_spot: number,
-        wanted_else: BTreeMap::from([("another-kind-16".to_owned(), number)]),
+        wanted_machines: number,
+        wanted_spot_machines: number,
+        wanted_substitutes: BTreeMap::from([("another-kind-16".to_owned(), number)]),
         arrived: u32::MAX,
         finished: u32::MAX,
-        held: Vec::new(),
-        idle: vec![longest.to_owned(); names],
+        idle: Vec::new(),
+        idle_names: vec![longest.to_owned(); names],
     };
     let mut trace = String::new();
     for (value, kinds) in [(2048_usize, 2_usize), (2048, 3), (8192, 2), (32768, 3)] {
-        let room = (value / kinds).saturating_sub(OUTLOOK_BYTES) / (longest.len() + 3);
+        let room =
+            (value / kinds).saturating_sub(FORECAST_BYTES) / (longest.len() + NAME_OVERHEAD_BYTES);
         let room = room.max(1);
-        let of = |n: usize| (format!("a-kind-{n:08}"), outlook(room));
+        let of = |n: usize| (format!("a-kind-{n:08}"), forecast(room));
         let record = ForecastSummaryRecord {
             at_ms: u64::MAX >> 11,
             puts_per_s: number,
-            unwritten: number,
-            fallen: true,
-            kinds: (0..kinds).map(of).collect(),
-            blocked: BTreeMap::new(),
+            write_backlog: number,
+            has_lower_quota: true,
+            by_machine_type: (0..kinds).map(of).collect(),
+            blocked_gangs: BTreeMap::new(),
         };
         let bytes = serde_json::to_vec(&record).unwrap().len();
         assert!(bytes <= value, "{bytes} of {value}");
--- a/src/renting/tests.rs
+++ b/src/renting/tests.rs
@@ -1,17 +1,29 @@
-use super::*;
+use super::rules::{ScalingDecision, k_for_amount_of_work, periodic, remedial};
+use super::summary::DemandForecast;
+use crate::policy::ScalingParameters;
 
-fn outlook(now: (i32, i32), next: (i32, i32)) -> Outlook {
-    Outlook {
+/// The text of a decision in the snapshot, which was taken with earlier names: it shows that the decisions are
+/// the same.
+fn trace_decision(decision: ScalingDecision) -> String {
+    match decision {
+        ScalingDecision::ScaleOut(machines) => format!("Rent({machines})"),
+        ScalingDecision::ScaleIn => "Return".to_owned(),
+        ScalingDecision::Hold => "Keep".to_owned(),
+    }
+}
+
+fn forecast(now: (i32, i32), next: (i32, i32)) -> DemandForecast {
+    DemandForecast {
         late_now: now.0.into(),
         counted_now: now.1.into(),
         late_next: next.0.into(),
         counted_next: next.1.into(),
-        ..Outlook::default()
+        ..DemandForecast::default()
     }
 }
 
 #[test]
-fn bands_and_formulas() {
+fn decisions_follow_the_thresholds_and_formulas() {
     let parameters = ScalingParameters {
         alpha: 0.02,
         beta: 0.2,
@@ -29,15 +41,15 @@
         ((3, 10), (0, 10), 1.0),
         ((0, 0), (0, 0), 1.0),
     ] {
-        let verdict = periodic(&outlook(now, next), &parameters, k);
-        trace.push_str(&format!("now {now:?} next {next:?} k {k} -> {verdict:?}\n"));
+        let decision = trace_decision(periodic(&forecast(now, next), &parameters, k));
+        trace.push_str(&format!("now {now:?} next {next:?} k {k} -> {decision}\n"));
     }
     for counted in [10, 100, 1000] {
-        let work = outlook((0, counted), (counted / 4, counted));
-        let k = k_of_size(&work, &parameters).max(1.0);
-        let verdict = periodic(&work, &parameters, k);
+        let work = forecast((0, counted), (counted / 4, counted));
+        let k = k_for_amount_of_work(&work, &parameters).max(1.0);
+        let decision = trace_decision(periodic(&work, &parameters, k));
         trace.push_str(&format!(
-            "a quarter late of {counted}, k {k} -> {verdict:?}\n"
+            "a quarter late of {counted}, k {k} -> {decision}\n"
         ));
     }
     for (startup, booting) in [(0, 0), (1, 0), (2, 0), (3, 0), (16, 0), (16, 5), (16, 9)] {
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -201,7 +201,7 @@
         .values()
         .map(|o| &o.record)
         .collect();
-    let fallen = outlooks.iter().any(|o| o.fallen);
+    let fallen = outlooks.iter().any(|o| o.has_lower_quota);
     trace.push_str(&format!(
         "leader {:?}, {} slots, {} outlooks, limits fallen {fallen}, begun {}\n",
         replica.leader.as_ref().map(|l| &l.record.member),
@@ -352,7 +352,7 @@
         ),
     );
     let mut outlook = replica.forecast_summaries["millstone-0"].record.clone();
-    outlook.fallen = true;
+    outlook.has_lower_quota = true;
     let outlook = written(&outlook);
     say(
         "outlook",
--- a/src/testing/compatibility/cluster_records.rs
+++ b/src/testing/compatibility/cluster_records.rs
@@ -5,7 +5,7 @@
 use crate::jobs::PageLayout;
 use crate::membership::assignment::{Assignment, Member};
 use crate::membership::schema_versions::{FeatureLevel, SchemaVersions};
-use crate::renting::{ForecastSummaryRecord, Held, Outlook};
+use crate::renting::summary::{DemandForecast, ForecastSummaryRecord, IdleMachine};
 use crate::state::RecordKey;
 use crate::state::records::{LeaderRecord, PresenceRecord};
 use rowanmill_limits::{AllocationRecord, ResourceAmount, WaitingUnit};
@@ -153,37 +153,37 @@
     let key = || RecordKey::ForecastSummary("millstone-0").to_string();
     trace.add("no field set", key(), &ForecastSummaryRecord::default());
     let plain = ForecastSummaryRecord {
-        kinds: [("m4".to_owned(), Outlook::default())].into(),
+        by_machine_type: [("m4".to_owned(), DemandForecast::default())].into(),
         ..ForecastSummaryRecord::default()
     };
     trace.add("a kind with no field set", key(), &plain);
-    let kind = Outlook {
+    let forecast = DemandForecast {
         late_now: 0.5,
         counted_now: 19.75,
         late_next: 1.25,
         counted_next: 8.0,
         running: 1.5,
         waiting: 122,
-        startup: 2,
+        startup_queue: 2,
         booting: 3,
-        wanted: 4.5,
-        wanted_spot: 2.5,
-        wanted_else: [("g8".to_owned(), 0.75)].into(),
+        wanted_machines: 4.5,
+        wanted_spot_machines: 2.5,
+        wanted_substitutes: [("g8".to_owned(), 0.75)].into(),
         arrived: 5,
         finished: 6,
-        held: vec![Held {
+        idle: vec![IdleMachine {
             name: "vm-000005".into(),
             remaining_hold_s: -12.5,
         }],
-        idle: vec!["vm-000006".into(), "vm-000007".into()],
+        idle_names: vec!["vm-000006".into(), "vm-000007".into()],
     };
     let full = ForecastSummaryRecord {
         at_ms: 1_796_178_943_111,
         puts_per_s: 3.9563055831410505,
-        unwritten: 0.25,
-        fallen: true,
-        kinds: [("m4".to_owned(), kind)].into(),
-        blocked: [("film".to_owned(), gang())].into(),
+        write_backlog: 0.25,
+        has_lower_quota: true,
+        by_machine_type: [("m4".to_owned(), forecast)].into(),
+        blocked_gangs: [("film".to_owned(), gang())].into(),
     };
     trace.add("all fields set", key(), &full);
     insta::assert_snapshot!("forecast_summary_record", trace.0);
--- a/src/workers/exits.rs
+++ b/src/workers/exits.rs
@@ -64,7 +64,11 @@
         machine_type,
         share,
     } = share;
-    let counts = core.rent.tally.entry(machine_type).or_default();
+    let counts = core
+        .scaling
+        .completion_counts
+        .entry(machine_type)
+        .or_default();
     counts.finished += 1;
     counts.counted += share;
     counts.late += if is_late { share } else { 0.0 };
@@ -100,6 +104,6 @@
     if status.failed_jobs.len() >= FAILED_JOBS_OF_FAULTY_MACHINE {
         let reason = "tasks of several jobs failed";
         tracing::info!(machine, reason, "machine quarantined");
-        core.rent.to_return.push(machine.to_owned());
+        core.scaling.to_drain.push(machine.to_owned());
     }
 }
