--- a/src/placement/machine_snapshot.rs
+++ b/src/placement/machine_snapshot.rs
@@ -5,7 +5,7 @@
 use super::snapshot::BOOT_TIME_FACTOR;
 use super::{FreeSlot, MIN_FETCH_GB_PER_S, MachineSnapshot, NameTable, Resources, capacity_of};
 use crate::cloud::MachineType;
-use crate::fleet::MachineState;
+use crate::fleet::{Machine, MachineState};
 use crate::jobs::{JobSpec, TaskId, TaskRecord};
 use crate::membership::assignment::Member;
 use crate::node::{Core, age_s};
@@ -67,13 +67,13 @@
             return None;
         }
         let acknowledged = worker.filter(|w| w.ownership_acknowledged);
-        let now_s = self.now_s;
-        let up_at_s = match acknowledged {
-            Some(_) => now_s,
-            // Up, but it has yet to show that it receives this controller's responses.
-            None if worker.is_some() => now_s + IMMINENT_S,
-            None => now_s + boot_remainder_s(machine_type, age_s(record.requested_ms, self.now_ms)),
-        };
+        let up_at_s = self.now_s
+            + match acknowledged {
+                Some(_) => 0.0,
+                // Up, but it has yet to show that it receives this controller's responses.
+                None if worker.is_some() => IMMINENT_S,
+                None => boot_remainder_s(machine_type, age_s(record.requested_ms, self.now_ms)),
+            };
         let mut free = capacity_of(machine_type);
         let mut tasks: Vec<FreeSlot> = Vec::new();
         for id in tasks_on(core, name) {
@@ -85,23 +85,8 @@
                 available: spec.resources(),
             });
         }
-        let images = interned_images(names, worker);
-        let snapshot = MachineSnapshot {
-            name: name.into(),
-            machine_type: names.intern(&record.pool.machine_type),
-            zone: names.intern(&record.pool.zone),
-            spot: record.pool.spot,
-            free_slots: Vec::new(),
-            images,
-            fetch_gb_per_s: machine_type.fetch_gb_per_s,
-            slowness: worker.map_or(1.0, |w| w.slowness),
-            price: hourly_price(machine_type, record.pool.spot),
-            cpus_per_gpu: cpus_kept_per_gpu(machine_type),
-            reservations: Vec::new(),
-            reserved_for: None,
-        };
         Some(CachedMachine {
-            snapshot,
+            snapshot: empty_snapshot(names, name, record, machine_type, worker),
             up_at_s,
             free,
             tasks,
@@ -201,6 +186,31 @@
     }
 }
 
+/// A machine's snapshot without free slots.
+fn empty_snapshot(
+    names: &mut NameTable,
+    name: &str,
+    record: &Machine,
+    machine_type: &MachineType,
+    worker: Option<&AgentStatus>,
+) -> MachineSnapshot {
+    let images = interned_images(names, worker);
+    MachineSnapshot {
+        name: name.into(),
+        machine_type: names.intern(&record.pool.machine_type),
+        zone: names.intern(&record.pool.zone),
+        spot: record.pool.spot,
+        free_slots: Vec::new(),
+        images,
+        fetch_gb_per_s: machine_type.fetch_gb_per_s,
+        slowness: worker.map_or(1.0, |w| w.slowness),
+        price: hourly_price(machine_type, record.pool.spot),
+        cpus_per_gpu: cpus_kept_per_gpu(machine_type),
+        reservations: Vec::new(),
+        reserved_for: None,
+    }
+}
+
 /// Seconds until a machine is expected to be up that was requested `age_s` ago.
 fn boot_remainder_s(machine_type: &MachineType, age_s: f64) -> f64 {
     (machine_type.boot_s * BOOT_TIME_FACTOR - age_s).max(IMMINENT_S)
