--- a/crates/rowanmill-state/src/client/tests.rs
+++ b/crates/rowanmill-state/src/client/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Without being told, a node keeps to the lower limits once refusals show
-/// them, not for a single burst, and not where none are to come.
+/// A controller keeps to the lower limits once refusals show them, not for a single burst, and not where
+/// none are announced.
 #[test]
 fn refusals_show_that_the_limits_fell() {
     let addr = SocketAddr::from(([127, 0, 0, 1], 1));
@@ -25,11 +25,11 @@
     let unchanging = StateClient::new(addr, quota(10.0), quota(10.0));
     (0..5).for_each(|_| unchanging.record_refusal());
     assert!(!unchanging.has_lower_quota());
-    let told = StateClient::new(addr, quota(10.0), quota(7.0));
-    told.adopt_lower_quota();
-    say("told by another", &told);
-    told.set_peers_short_of_writes(true);
-    assert!(told.write_headroom() <= MAX_HEADROOM_WHILE_PEERS_SHORT);
+    let informed = StateClient::new(addr, quota(10.0), quota(7.0));
+    informed.adopt_lower_quota();
+    say("told by another", &informed);
+    informed.set_peers_short_of_writes(true);
+    assert!(informed.write_headroom() <= MAX_HEADROOM_WHILE_PEERS_SHORT);
     insta::assert_snapshot!(trace, @r#"
     at first: 8 now, 10 a second
     one refusal: 0 now, 10 a second
--- a/src/state/replica/tests.rs
+++ b/src/state/replica/tests.rs
@@ -38,7 +38,7 @@
 /// brought the dropped record back, and of the drop, which took the machines of the merged
 /// rental along: for seconds they counted as gone, and their tasks were placed again.
 #[test]
-fn what_we_dropped_is_not_brought_back_by_an_older_change() {
+fn a_deleted_record_is_not_restored_by_an_older_change() {
     let rental = |machines: &[&str]| {
         let machines: Vec<_> = machines.iter().map(|m| json!([m, 0, 10, 0])).collect();
         json!({"kind":"m","zone":"a","spot":false,"count":3,"hired_ms":0,
@@ -85,7 +85,7 @@
 /// A controller that the state service refuses alone is in no record after some seconds. Nobody
 /// vouched then for what it had confirmed, and in the outage that followed all tasks ended.
 #[test]
-fn who_was_there_last_is_known_when_it_is_gone() {
+fn the_last_incarnation_is_known_when_a_controller_is_absent() {
     let mut replica = Replica::new(plain_layout(8));
     let there = |incarnation| json!({"incarnation": incarnation, "lease": 1});
     replica.apply(vec![change("r/n/n-1", there(7), 4)], 4);
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Values of a run of production: a store's keys with their marks.
+/// Values of a run of production: a store's keys with their revisions.
 const KEPT: &str = include_str!("kept/production.json");
 
 /// Production's records, with the fields that it knows. Most are read for their shape alone.
@@ -228,7 +228,7 @@
 /// Its wide pages hold until a task on them is touched; from then on the dense page does, also
 /// against what a process of production that ended had on its way.
 #[test]
-fn dense_pages_overrule_what_production_wrote_of_their_tasks() {
+fn compact_pages_override_what_production_wrote_of_their_tasks() {
     let mut replica = replica(LAYOUT);
     let count = |r: &Replica| (r.jobs["job-000304"].done, r.jobs["job-000304"].placed);
     let before = count(&replica);
