--- a/crates/rowanmill-state/tests/protocol.rs
+++ b/crates/rowanmill-state/tests/protocol.rs
@@ -1,5 +1,6 @@
 //! The state service's protocol as this client speaks it: what it sends, and what it reads out of each
 //! answer. The snapshots are the interface: they change only with the protocol.
+#![allow(clippy::too_many_lines, reason = "a test plays a whole scenario")]
 
 use rowanmill_state::{
     KeyValue, Listing, Operation, Precondition, ReadError, ServiceQuota, StateClient,
--- a/crates/rowanmill-testing/src/lib.rs
+++ b/crates/rowanmill-testing/src/lib.rs
@@ -1,6 +1,10 @@
 //! The outside world for tests: stand-ins for the state service, the cloud and its workers, written from the
 //! published protocol, on loopback; users; and checkers of what all of them observe. Only the harness of
 //! [`cluster`] starts controllers; nothing here knows how they work inside.
+#![cfg_attr(
+    test,
+    allow(clippy::too_many_lines, reason = "a test plays a whole scenario")
+)]
 #![deny(missing_docs)]
 
 pub mod cloud;
