--- a/src/workers/ingest.rs
+++ b/src/workers/ingest.rs
@@ -212,7 +212,7 @@
     }
 }
 
-/// PendingChanges the records of exits. True if one of them is new.
+/// Plans the records of exits. True if one of them is new.
 fn plan_exits(core: &mut Core, exits: impl IntoIterator<Item = (TaskId, TaskRecord)>) -> bool {
     let mut is_any_new = false;
     for (task, exit) in exits {
