--- a/src/testing/compatibility/mod.rs
+++ b/src/testing/compatibility/mod.rs
@@ -1,4 +1,4 @@
-//! Versioned traces of every interface. What they show was fixed before names in the code changed: a
+//! Kept traces of every interface. What they show was fixed before names in the code changed: a
 //! snapshot here changes only with the protocol, never with the code's own names.
 //!
 //! Of stored records and of frames between controllers a snapshot holds only what is written (keys, JSON,
