--- a/src/api/admission.rs
+++ b/src/api/admission.rs
@@ -91,7 +91,7 @@
         return Admission::Ineligible("more than the team's limit");
     }
     let core = node.core();
-    if core.kinds.is_empty() {
+    if core.machine_types.is_empty() {
         return Admission::CatalogueUnknown;
     }
     if let Some(reason) = machine_ineligibility(&core, spec) {
@@ -108,7 +108,7 @@
 fn machine_ineligibility(core: &Core, spec: &JobSpec) -> Option<&'static str> {
     let machine_types = eligible_machine_types(core, spec);
     if machine_types.is_empty() {
-        let mut catalogue = core.kinds.iter();
+        let mut catalogue = core.machine_types.iter();
         let fits_any = catalogue.any(|offer| spec.resources().fits(&capacity_of(offer)));
         return Some(if fits_any {
             "no allowed machine type takes a task of it"
@@ -136,7 +136,9 @@
 
 /// Whether a job whose tasks must not all be in one zone may use two.
 fn has_two_zones(core: &Core, spec: &JobSpec, machine_types: &[String]) -> bool {
-    let machine_types = machine_types.iter().filter_map(|name| core.kind(name));
+    let machine_types = machine_types
+        .iter()
+        .filter_map(|name| core.machine_type(name));
     let zones: BTreeSet<&String> = machine_types.flat_map(|kind| &kind.zones).collect();
     !spec.one_zone && spec.zone.is_none() && zones.len() > 1
 }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -153,7 +153,7 @@
 /// Without the state service nothing can be accepted; but while all nodes are without it, taking
 /// them all away from users helps nobody. So this fails only when others have it.
 fn health(node: &Node) -> HttpResponse {
-    let ready = node.core().loaded && !node.core().kinds.is_empty();
+    let ready = node.core().loaded && !node.core().machine_types.is_empty();
     if !node.is_connected_within(UNHEALTHY_AFTER) || !ready {
         let others = node.peer_status().state_service_reached_at;
         let others_have = others.is_some_and(|at| at.elapsed() < PEERS_HEALTHY_FOR);
--- a/src/cells/local_state.rs
+++ b/src/cells/local_state.rs
@@ -62,7 +62,7 @@
 pub(super) fn capacity_summary(core: &Core, now: Instant, now_ms: u64) -> CapacitySummary {
     let machines = core.replica.fleet.machines.values();
     let cpus = machines.map(|machine| {
-        core.kind(&machine.pool.machine_type)
+        core.machine_type(&machine.pool.machine_type)
             .map_or(0.0, |kind| kind.cpus)
     });
     let total_cpus: f64 = cpus.fold(0.0, |total, cpus| total + cpus);
--- a/src/cells/protection.rs
+++ b/src/cells/protection.rs
@@ -34,7 +34,7 @@
         return protected;
     }
     let names = &mut core.snapshots.names;
-    for machine_type in &core.kinds {
+    for machine_type in &core.machine_types {
         for zone in &machine_type.zones {
             for spot in [false, true] {
                 let facts = pool_facts(machine_type, zone, spot);
@@ -80,7 +80,7 @@
         return None;
     }
     let eligible = eligible_machine_types(core, spec);
-    let machine_types = eligible.iter().filter_map(|name| core.kind(name));
+    let machine_types = eligible.iter().filter_map(|name| core.machine_type(name));
     let mut until_ms = None;
     for machine_type in machine_types {
         let zones = machine_type.zones.iter();
--- a/src/membership/load.rs
+++ b/src/membership/load.rs
@@ -29,7 +29,7 @@
 fn job_load(node: &Node, core: &Core, record: &JobRecord, tasks: u32, age: f64) -> Option<JobLoad> {
     let spec = &record.spec;
     let name = eligible_machine_types(core, spec).into_iter().next()?;
-    let machine_type = core.kind(&name)?;
+    let machine_type = core.machine_type(&name)?;
     let share = Resources::dominant_share(&spec.resources(), &capacity_of(machine_type));
     let due = earliest_due_time(node, core, record, age);
     let concurrent_share = match due.milestone {
--- a/src/membership/load/tests.rs
+++ b/src/membership/load/tests.rs
@@ -27,7 +27,7 @@
     );
     let mut core = node.core();
     let kind = json!({"sku":"m","cpus":4.0,"memGb":16.0,"hourly":1.0,"yards":["a"]});
-    core.kinds = vec![serde_json::from_value::<MachineType>(kind).unwrap()];
+    core.machine_types = vec![serde_json::from_value::<MachineType>(kind).unwrap()];
     let members = json!([{"name":"n-0","incarnation":1},{"name":"n-1","incarnation":1}]);
     let assignment =
         json!({"members":members,"teams":{},"gangs":[0],"had_gangs":false,"slots":[0]});
--- a/src/membership/rebalance.rs
+++ b/src/membership/rebalance.rs
@@ -91,7 +91,7 @@
         INTERVAL
     };
     let is_due = state.last_run.is_none_or(|at| at.elapsed() >= interval);
-    if core.kinds.is_empty() || !(is_due || is_takeover) {
+    if core.machine_types.is_empty() || !(is_due || is_takeover) {
         return None;
     }
     core.membership.rebalance = RebalanceState {
--- a/src/node.rs
+++ b/src/node.rs
@@ -58,7 +58,7 @@
     /// Recent failures, by job.
     pub failures: HashMap<String, Failures>,
     /// Machine types of the cloud's catalogue; empty until it was read.
-    pub kinds: Vec<MachineType>,
+    pub machine_types: Vec<MachineType>,
     /// Forecasts, decisions and rentals in progress.
     pub scaling: ScalingState,
     /// What snapshots for placement are made from.
@@ -171,7 +171,7 @@
             workers: Workers::default(),
             runtime_estimates: HashMap::new(),
             failures: HashMap::new(),
-            kinds: Vec::new(),
+            machine_types: Vec::new(),
             scaling: ScalingState::new(now),
             snapshots: SnapshotCache::new(now),
             metrics: Metrics::new(now),
--- a/src/node/tasks.rs
+++ b/src/node/tasks.rs
@@ -33,8 +33,8 @@
     }
 
     /// The machine type of this name, if the cloud's catalogue has it.
-    pub fn kind(&self, name: &str) -> Option<&MachineType> {
-        self.kinds.iter().find(|k| k.name == name)
+    pub fn machine_type(&self, name: &str) -> Option<&MachineType> {
+        self.machine_types.iter().find(|k| k.name == name)
     }
 
     /// The expected run time of a job's tasks, in seconds.
@@ -51,7 +51,10 @@
     /// count, which would keep it at many times the price of its CPUs.
     pub fn runs_intended_work(&self, name: &str, machine_type: &str) -> bool {
         let is_spare = self.snapshots.spare_gpu_machines.contains(name);
-        let needs_gpus = !is_spare && self.kind(machine_type).is_some_and(|k| k.gpus > 0.0);
+        let needs_gpus = !is_spare
+            && self
+                .machine_type(machine_type)
+                .is_some_and(|k| k.gpus > 0.0);
         let tasks = self.replica.tasks_by_machine.get(name);
         tasks
             .into_iter()
--- a/src/placement/inherited_deadlines.rs
+++ b/src/placement/inherited_deadlines.rs
@@ -72,7 +72,9 @@
 /// response, the image is fetched, the task runs, and its end is recorded.
 fn expected_turnaround_s(node: &Node, core: &Core, spec: &JobSpec) -> f64 {
     let machine_types = eligible_machine_types(core, spec);
-    let cheapest = machine_types.first().and_then(|name| core.kind(name));
+    let cheapest = machine_types
+        .first()
+        .and_then(|name| core.machine_type(name));
     let fetch_gb_per_s =
         cheapest.map_or(f64::INFINITY, |t| t.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S));
     // Half a heartbeat interval is the mean wait for the next heartbeat.
--- a/src/placement/job_progress.rs
+++ b/src/placement/job_progress.rs
@@ -117,6 +117,6 @@
 
 /// The dominant share of a task on a machine type; none if the catalogue does not have it.
 fn dominant_share(core: &Core, spec: &JobSpec, machine_type: &str) -> Option<f64> {
-    let machine_type = core.kind(machine_type)?;
+    let machine_type = core.machine_type(machine_type)?;
     Some(spec.resources().dominant_share(&capacity_of(machine_type)))
 }
--- a/src/placement/machine_snapshot.rs
+++ b/src/placement/machine_snapshot.rs
@@ -69,7 +69,7 @@
         if record.owner != *self.me || !is_active || core.scaling.releasing.contains_key(name) {
             return None;
         }
-        let machine_type = core.kind(&record.pool.machine_type)?;
+        let machine_type = core.machine_type(&record.pool.machine_type)?;
         let worker = core.workers.agents.get(name);
         // Taken by the cloud, or unresponsive: nothing new is placed there, and its capacity is not certain.
         if worker.is_some_and(|w| w.preemption_at.is_some() || w.unresponsive_since.is_some()) {
--- a/src/placement/service.rs
+++ b/src/placement/service.rs
@@ -111,7 +111,7 @@
 ) -> Option<ClusterSnapshot> {
     let _charge = node.processor_time.charge(CpuAccount::Snapshots);
     core.update_ownership(&node.identity, now);
-    if core.kinds.is_empty() {
+    if core.machine_types.is_empty() {
         return None;
     }
     evictions::clear_tasks_of_gone_machines(node, core);
--- a/src/placement/service/starts.rs
+++ b/src/placement/service/starts.rs
@@ -116,7 +116,7 @@
     };
     let incarnation = worker.latest_heartbeat.incarnation;
     let machine_type = core
-        .kinds
+        .machine_types
         .iter()
         .find(|t| t.name == worker.latest_heartbeat.machine_type);
     worker.record_image_use(&image, image_gb, machine_type.map_or(0.0, |t| t.cache_gb));
--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -52,7 +52,7 @@
 /// Names of the machine types that a task may run on, cheapest first.
 pub fn eligible_machine_types(core: &Core, spec: &JobSpec) -> Vec<String> {
     let mut eligible: Vec<_> = core
-        .kinds
+        .machine_types
         .iter()
         .filter(|t| spec.resources().fits(&capacity_of(t)))
         .filter(|t| {
@@ -184,7 +184,7 @@
         }
         let schedule = self.schedule(record, progress);
         let within_guarantee = self.within_guarantee.get(spec.team.as_str());
-        let machine_type = self.core.kind(&progress.pool);
+        let machine_type = self.core.machine_type(&progress.pool);
         let failures = self.core.failures.get(&spec.id);
         Some(JobSnapshot {
             id: spec.id.clone(),
--- a/src/placement/snapshot_cache.rs
+++ b/src/placement/snapshot_cache.rs
@@ -213,7 +213,7 @@
     let assignment = core.replica.assignment.as_ref();
     let basis = CacheBasis {
         assignment_revision: assignment.map_or(0, |a| a.revision),
-        machine_types: core.kinds.len(),
+        machine_types: core.machine_types.len(),
     };
     if basis != cache.basis {
         cache.basis = basis;
@@ -229,7 +229,7 @@
     };
     cache.refresh_machines(&builder, &machines);
     cache.refresh_jobs(core, me, &jobs);
-    cache.refresh_spare_gpu_machines(&core.kinds);
+    cache.refresh_spare_gpu_machines(&core.machine_types);
     core.snapshots = cache;
     (machines.len() + jobs.len()) as u64
 }
--- a/src/renting/decide.rs
+++ b/src/renting/decide.rs
@@ -49,7 +49,7 @@
     name: &'a str,
     forecast: &DemandForecast,
 ) -> Option<MachineTypeFacts<'a>> {
-    let machine_type = core.kind(name)?;
+    let machine_type = core.machine_type(name)?;
     let rate = core.scaling.arrival_rates.get(name);
     Some(MachineTypeFacts {
         machine_type: name,
@@ -147,9 +147,10 @@
 /// Whether operators protect a machine now: it is not drained by choice.
 fn is_protected(node: &Node, core: &Core, machine: &Machine, now_ms: u64) -> bool {
     let pool = &machine.pool;
-    core.kind(&pool.machine_type).is_some_and(|machine_type| {
-        protection::is_protected(node, machine_type, &pool.zone, pool.spot, now_ms)
-    })
+    core.machine_type(&pool.machine_type)
+        .is_some_and(|machine_type| {
+            protection::is_protected(node, machine_type, &pool.zone, pool.spot, now_ms)
+        })
 }
 
 /// Between provisioning events: rents by the length of the startup queue (equation 2), at most once a period
@@ -207,7 +208,7 @@
     let max_price = node.policy.max_price_ratio(facts) * facts.price;
     let wanted = forecast.wanted_substitutes.iter();
     let substitutes = wanted.filter_map(|(name, wanted)| {
-        let machine_type = core.kind(name)?;
+        let machine_type = core.machine_type(name)?;
         substitute(machine_type, max_price, count.min(wanted.ceil() as u32))
     });
     ScaleOutRequest {
--- a/src/renting/forecast.rs
+++ b/src/renting/forecast.rs
@@ -171,7 +171,7 @@
     add_running_work(core, &mut demand);
     for (index, job) in snapshot.jobs.iter().enumerate() {
         let name = &snapshot.pools[index];
-        let known = core.kind(name);
+        let known = core.machine_type(name);
         let Some(machine_type) = known.filter(|_| !snapshot.unplaceable[index]) else {
             continue;
         };
@@ -206,7 +206,7 @@
             ..DemandForecast::default()
         }
     };
-    let machine_types = core.kinds.iter();
+    let machine_types = core.machine_types.iter();
     machine_types
         .map(|machine_type| (machine_type.name.clone(), forecast_of(&machine_type.name)))
         .collect()
@@ -289,7 +289,7 @@
 /// How many of these idle machines the record has room for, at least one: it must fit its value, and the
 /// others follow with the next forecast.
 fn max_published_idle(node: &Node, core: &Core, idle: &[IdleMachine]) -> usize {
-    let machine_types = core.kinds.len().max(1);
+    let machine_types = core.machine_types.len().max(1);
     let published_gangs = if core.limits.has_divided_teams(core) {
         MAX_PUBLISHED_BYTES
     } else {
--- a/src/renting/merge.rs
+++ b/src/renting/merge.rs
@@ -115,7 +115,7 @@
 
 /// Whether the machines of a rental are surely up.
 fn is_settled(core: &Core, rental: &Rental, now_ms: u64) -> bool {
-    let machine_type = core.kind(&rental.pool.machine_type);
+    let machine_type = core.machine_type(&rental.pool.machine_type);
     let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
     let age = age_s(rental.requested_ms, now_ms);
     !rental.unconfirmed && age > boot_s * SETTLED_BOOTS + SETTLED_GRACE_S
--- a/src/renting/provision.rs
+++ b/src/renting/provision.rs
@@ -130,7 +130,7 @@
 /// with the fewest machines of the type. Pools that recently had no capacity are left out.
 fn offers(node: &Node, request: &ScaleOutRequest) -> Vec<MachinePool> {
     let core = node.core();
-    let Some(machine_type) = core.kind(&request.machine_type) else {
+    let Some(machine_type) = core.machine_type(&request.machine_type) else {
         return Vec::new();
     };
     let now = Instant::now();
--- a/src/renting/release_decision.rs
+++ b/src/renting/release_decision.rs
@@ -182,7 +182,7 @@
 
 /// Whether a machine should have reported long ago.
 fn never_reported(core: &Core, limits: &Limits, machine: &Machine, owned_since: Instant) -> bool {
-    let machine_type = core.kind(&machine.pool.machine_type);
+    let machine_type = core.machine_type(&machine.pool.machine_type);
     let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
     let is_overdue = age_s(machine.requested_ms, limits.now_ms) > boot_s * MAX_BOOTS + BOOT_GRACE_S;
     // In an outage an owner may keep its workers for as long as that lasts (`may_renew_leases`). An owner before us
--- a/src/renting/service.rs
+++ b/src/renting/service.rs
@@ -32,7 +32,7 @@
         if last_catalog.is_none_or(|at| at.elapsed() > CATALOG_INTERVAL)
             && let Ok(machine_types) = node.cloud.catalog().await
         {
-            node.core().kinds = machine_types;
+            node.core().machine_types = machine_types;
             last_catalog = Some(Instant::now());
             node.wake_up.notify_one();
         }
--- a/src/testing/compatibility/interfaces.rs
+++ b/src/testing/compatibility/interfaces.rs
@@ -118,7 +118,7 @@
         {
             let mut core = served.node.core();
             core.loaded = true;
-            core.kinds = vec![kind("c4", 4.0, &["a"])];
+            core.machine_types = vec![kind("c4", 4.0, &["a"])];
         }
         served.read_now();
         served
@@ -192,7 +192,7 @@
 
 /// Serves a node that follows its state service and knows two machine types.
 async fn following(node: Node) -> Served {
-    node.core().kinds = vec![kind("c4", 4.0, &["a"]), kind("c8", 8.0, &["a", "b"])];
+    node.core().machine_types = vec![kind("c4", 4.0, &["a"]), kind("c8", 8.0, &["a", "b"])];
     let mut served = Served::start(node).await;
     served.follows = true;
     tokio::spawn(crate::state::watch::run(served.node.clone()));
@@ -279,7 +279,7 @@
     served.submit("one that waits for itself", &needs("job-7", "job-7"));
     served.cancel("cancellation of what is waited for", "job-4");
     served.poll("what waited for it is cancelled", "job-5");
-    served.node.core().kinds.clear();
+    served.node.core().machine_types.clear();
     served.submit("a new job before the catalogue is known", &job("job-8"));
     served.submit("a known job before the catalogue is known", &job("job-4"));
     insta::assert_snapshot!(served.trace);
@@ -400,7 +400,7 @@
 async fn the_load_balancer_is_told_when_others_are_better() {
     let mut served = Served::by_hand().await;
     served.health("with the state service");
-    served.node.core().kinds.clear();
+    served.node.core().machine_types.clear();
     served.health("without a catalogue, no other controller better off");
     served.node.peer_status().state_service_reached_at = Some(Instant::now());
     served.health("without a catalogue, another has the state service");
@@ -426,7 +426,7 @@
     let cells = cells_config("127.0.0.1:6".parse().unwrap());
     let node =
         Node::new(FeatureLevel::COMPACT_PAGES, settings, Policy::default()).in_cell(cells, "hanoi");
-    node.core().kinds = vec![kind("c4", 4.0, &["a"])];
+    node.core().machine_types = vec![kind("c4", 4.0, &["a"])];
     let mut served = Served::start(node).await;
     tokio::spawn(BackgroundTasks::of_cells(&served.node).supervise());
     served.read_now();
--- a/src/workers/exits.rs
+++ b/src/workers/exits.rs
@@ -51,7 +51,7 @@
 /// The share of a machine of the type that a job's tasks are counted for.
 fn machine_share(core: &Core, spec: &JobSpec) -> Option<MachineShare> {
     let pool = eligible_machine_types(core, spec);
-    let machine_type = core.kind(pool.first()?)?;
+    let machine_type = core.machine_type(pool.first()?)?;
     let share = spec.resources().dominant_share(&capacity_of(machine_type));
     Some(MachineShare {
         machine_type: machine_type.name.clone(),
--- a/src/workers/ingest.rs
+++ b/src/workers/ingest.rs
@@ -176,7 +176,7 @@
 }
 
 fn record_images(core: &Core, status: &mut AgentStatus, heartbeat: &Heartbeat) {
-    let machine_type = core.kind(&heartbeat.machine_type);
+    let machine_type = core.machine_type(&heartbeat.machine_type);
     let cache_gb = machine_type.map_or(0.0, |machine_type| machine_type.cache_gb);
     for task in &heartbeat.tasks {
         if let Ok(task) = TaskRef::try_from(task.task.as_str())
