--- a/src/limits/usage.rs
+++ b/src/limits/usage.rs
@@ -256,7 +256,7 @@
 fn is_on_time(core: &Core, job: &Job, now_ms: u64) -> bool {
     let record = &job.record;
     let age = age_s(record.eligible_since_ms(), now_ms);
-    let expected = core.duration(&record.spec);
+    let expected = core.expected_run_time_s(&record.spec);
     record
         .deadline_s()
         .is_none_or(|deadline| age + expected <= deadline)
--- a/src/membership/load.rs
+++ b/src/membership/load.rs
@@ -36,7 +36,7 @@
         Milestone::Start => 1.0,
         Milestone::Finish => {
             let time_left = (due.after_arrival_s - age).max(0.1);
-            let share = core.duration(spec) * RUN_TIMES_BEFORE_DEADLINE / time_left;
+            let share = core.expected_run_time_s(spec) * RUN_TIMES_BEFORE_DEADLINE / time_left;
             share.clamp(MIN_CONCURRENT_SHARE, 1.0)
         }
     };
--- a/src/node/tasks.rs
+++ b/src/node/tasks.rs
@@ -38,7 +38,7 @@
     }
 
     /// The expected run time of a job's tasks, in seconds.
-    pub fn duration(&self, spec: &JobSpec) -> f64 {
+    pub fn expected_run_time_s(&self, spec: &JobSpec) -> f64 {
         if spec.is_service() {
             return SERVICE_RUN_TIME_S;
         }
--- a/src/placement/due_times.rs
+++ b/src/placement/due_times.rs
@@ -61,7 +61,7 @@
     age_s: f64,
 ) -> Vec<DueTime> {
     let spec = &record.spec;
-    let expected_s = core.duration(spec);
+    let expected_s = core.expected_run_time_s(spec);
     let mut due_times = Vec::new();
     add_deadlines(core, record, &mut due_times);
     add_objectives(node, record, &mut due_times);
--- a/src/placement/inherited_deadlines.rs
+++ b/src/placement/inherited_deadlines.rs
@@ -79,5 +79,5 @@
         cheapest.map_or(f64::INFINITY, |t| t.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S));
     // Half a heartbeat interval is the mean wait for the next heartbeat.
     let command_s = node.settings.params.workers.report_s * 0.5 + RECORDING_S;
-    command_s + spec.image_gb / fetch_gb_per_s + core.duration(spec)
+    command_s + spec.image_gb / fetch_gb_per_s + core.expected_run_time_s(spec)
 }
--- a/src/placement/machine_snapshot.rs
+++ b/src/placement/machine_snapshot.rs
@@ -118,7 +118,7 @@
             return STOP_S + grace_s;
         }
         let slowness = worker.map_or(1.0, |w| w.slowness);
-        let run_s = self.core.duration(spec) * slowness;
+        let run_s = self.core.expected_run_time_s(spec) * slowness;
         let fetch_s = spec.image_gb / machine_type.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S);
         let Some(worker) = worker else {
             return fetch_s + run_s;
--- a/src/placement/service/evictions.rs
+++ b/src/placement/service/evictions.rs
@@ -81,7 +81,7 @@
             let spec = &job.record.spec;
             let ran = worker.attempts.running_for(id, now);
             let ran_s = ran.map_or(0.0, |ran| ran.as_secs_f64());
-            let ends_in_time = core.duration(spec) - ran_s < left_s;
+            let ends_in_time = core.expected_run_time_s(spec) - ran_s < left_s;
             let can_save = spec.checkpoint_interval_s > 0.0;
             if ends_in_time || (can_save && left_s > last_moment_to_save_s(spec, report_s)) {
                 continue;
--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -206,7 +206,7 @@
             due: schedule.due,
             next_due: schedule.next_due,
             due_milestone: schedule.due_milestone,
-            duration: self.core.duration(spec),
+            duration: self.core.expected_run_time_s(spec),
             provisioning_s: machine_type.map_or(0.0, |t| t.boot_s * BOOT_TIME_FACTOR),
             image: progress.image,
             image_gb: spec.image_gb,
