--- a/src/membership/assignment.rs
+++ b/src/membership/assignment.rs
@@ -51,7 +51,7 @@
 
 /// Hash of a job's identifier, the same in each process and version: bits 20 and up of its FNV-1a, whose lowest bits
 /// are weak.
-pub fn hash_slot(id: &str) -> usize {
+pub fn job_id_hash(id: &str) -> usize {
     let hash = id.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
     });
@@ -85,7 +85,7 @@
 }
 
 fn by_hash(owners: &[usize], id: &str) -> Option<usize> {
-    owners.get(hash_slot(id) % owners.len().max(1)).copied()
+    owners.get(job_id_hash(id) % owners.len().max(1)).copied()
 }
 
 /// What the assignment of jobs depends on besides the controllers.
--- a/src/placement/due_times.rs
+++ b/src/placement/due_times.rs
@@ -3,7 +3,7 @@
 
 use super::Milestone;
 use crate::jobs::{JobRecord, JobSpec, Urgency};
-use crate::membership::assignment::hash_slot;
+use crate::membership::assignment::job_id_hash;
 use crate::node::{Core, Node};
 use crate::policy::JobFacts;
 use crate::settings::ObjectiveKind;
@@ -139,5 +139,5 @@
     } else {
         STARVATION_STEPS_OF_OTHERS
     };
-    STARVATION_LIMIT_S * (1 + hash_slot(&spec.id) % steps) as f64
+    STARVATION_LIMIT_S * (1 + job_id_hash(&spec.id) % steps) as f64
 }
