--- a/src/mesh/attestation.rs
+++ b/src/mesh/attestation.rs
@@ -1,12 +1,12 @@
-//! Attestations: which jobs a controller knows to be cancelled, and that there are no more.
+//! Attestations: a controller's complete list of the jobs that it knows to be cancelled.
 //!
-//! Failure that this prevents: the state service refuses one controller alone, another confirms cancellations, and then
-//! the service is down for all. The first would renew the leases of workers that run what was cancelled, or, in order not
-//! to, let all their tasks end.
+//! An attestation guards against the following sequence: the state service refuses only one controller, another controller
+//! confirms cancellations, and then the state service becomes unreachable for all. Without attestations the first
+//! controller would either renew the leases of workers that run cancelled tasks, or stop renewing and lose all their tasks.
 //!
-//! A job whose cancellation a controller confirmed to anybody is cancelled in its replica at that time, and stays there
-//! until it has ended, when nothing of it is on any machine. So the cancelled jobs of a replica, queried at some time,
-//! include all that its controller confirmed before that time.
+//! When a controller confirms a cancellation to a user, the job is marked as cancelled in its replica. The job stays there
+//! until it has ended, when no machine runs any of its tasks. Therefore the cancelled jobs in a replica at some time include
+//! every unfinished job whose cancellation the controller confirmed before that time.
 
 use super::receive_frame;
 use crate::node::Node;
@@ -19,25 +19,26 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Kind of a query for an attestation, sent in place of a status frame's length. The previous version takes it for a
-/// frame that is too long and closes the connection, which counts as no attestation.
+/// Code of a query for an attestation, sent in place of a status frame's length. A controller of the previous version
+/// takes it for the length of an oversized frame and closes the connection, which counts as no attestation.
 pub const ATTESTATION_QUERY: u16 = u16::MAX;
-/// Most bytes of an attestation.
+/// Maximum size of an encoded attestation.
 const MAX_FRAME_BYTES: usize = 256 << 10;
-/// A controller without contact for less than this may confirm cancellations that it has yet to read itself.
-const MIN_DISCONNECTED: Duration = Duration::from_millis(2500);
+/// A controller counts as disconnected after this time without contact. Until then it may still confirm cancellations that
+/// its replica does not show yet.
+const DISCONNECTED_AFTER: Duration = Duration::from_millis(2500);
 
-/// A controller's answer. Its fields are encoded in this order.
+/// A controller's answer to a query. The fields are encoded in this order.
 #[derive(Debug, bitcode::Encode, bitcode::Decode)]
 pub struct Attestation {
     incarnation: u64,
-    /// Its replica was read completely, and it has no contact with the state service either.
+    /// Whether the controller's replica is complete and it has no contact with the state service.
     is_disconnected: bool,
     cancelled: Vec<String>,
 }
 
 impl Attestation {
-    /// What this controller attests by its own records.
+    /// The attestation of this controller, from its own replica.
     fn of(node: &Node) -> Self {
         let core = node.core();
         let last_read = core.last_read_barrier;
@@ -46,36 +47,38 @@
         Self {
             incarnation: node.identity.incarnation,
             is_disconnected: core.loaded
-                && last_read.is_some_and(|at| at.elapsed() > MIN_DISCONNECTED),
+                && last_read.is_some_and(|at| at.elapsed() > DISCONNECTED_AFTER),
             cancelled: cancelled.map(|(id, _)| id.clone()).collect(),
         }
     }
 }
 
-/// What the peers answered.
+/// The answers of the peers.
 #[derive(Debug, Default)]
 pub struct PeerStatus {
-    /// When a peer last answered that it reaches the state service.
+    /// When a peer last reported that it reaches the state service.
     pub state_service_reached_at: Option<Instant>,
-    /// When any peer last answered at all.
+    /// When any peer last answered a status query.
     pub last_response_at: Option<Instant>,
-    /// Jobs that peers know to be cancelled and this controller may not.
+    /// Jobs that peers reported as cancelled. This controller's replica may not show them as cancelled yet.
     pub cancelled: Arc<BTreeSet<String>>,
-    /// When the last of them was learned.
+    /// When a peer last reported a job as cancelled.
     cancelled_learned_at: Option<Instant>,
-    /// By peer, when the query was sent that it last attested to.
+    /// Send time of the query that each peer last answered with a valid attestation.
     attested_at: HashMap<String, Instant>,
 }
 
 impl PeerStatus {
-    /// The time up to which all of these peers have attested what they confirmed; `None` if one has not.
-    pub fn attested<'a>(&self, peers: impl IntoIterator<Item = &'a str>) -> Option<Instant> {
+    /// The time up to which the attestations of all these peers include every cancellation that they confirmed. `None` if
+    /// a peer has not attested.
+    pub fn attested_until<'a>(&self, peers: impl IntoIterator<Item = &'a str>) -> Option<Instant> {
         let attested_at = |peer| self.attested_at.get(peer).copied();
         peers.into_iter().map(attested_at).min().flatten()
     }
 
-    /// Records the answer to a query sent at `queried_at`. `incarnation` is the peer's by the records that this controller
-    /// has read: of a peer that was another process then, nobody knows what that one had confirmed.
+    /// Records the attestation that answers a query sent at `queried_at`. `incarnation` is the peer's last incarnation that
+    /// this controller has read. An attestation by another incarnation does not count, because it may lack cancellations
+    /// that the earlier process confirmed.
     pub fn record_attestation(
         &mut self,
         peer: &str,
@@ -91,7 +94,7 @@
         }
     }
 
-    /// Records that a peer knows a job to be cancelled.
+    /// Records that a peer reported a job as cancelled.
     pub fn record_cancelled(&mut self, id: &str) {
         if !self.cancelled.contains(id) {
             Arc::make_mut(&mut self.cancelled).insert(id.to_owned());
@@ -99,7 +102,8 @@
         self.cancelled_learned_at = Some(Instant::now());
     }
 
-    /// Discards what the records, read at `last_read`, show by now.
+    /// Called once the state service is reachable again: discards all attestations, and the cancellations that were reported
+    /// before the read at `last_read`, because the replica shows those itself.
     pub fn discard_superseded(&mut self, last_read: Instant) {
         self.attested_at.clear();
         if self.cancelled_learned_at.is_some_and(|at| at < last_read) {
@@ -109,8 +113,8 @@
     }
 }
 
-/// Answers a query. Passes on what this controller learned from its peers, too: the one that confirmed a cancellation
-/// may be unreachable for the asker.
+/// Answers a query for an attestation. The answer includes the cancelled jobs that this controller's own peers reported,
+/// because the querying controller may not reach the one that confirmed a cancellation.
 pub async fn respond(node: &Node, stream: &mut TcpStream) -> io::Result<()> {
     let mut attestation = Attestation::of(node);
     attestation
@@ -121,7 +125,7 @@
     stream.write_all(&frame).await
 }
 
-/// Asks a peer for its attestation.
+/// Queries a peer for its attestation.
 pub async fn query(peer: SocketAddr) -> io::Result<Attestation> {
     let mut stream = TcpStream::connect(peer).await?;
     stream.write_u16(ATTESTATION_QUERY).await?;
--- a/src/mesh/attestation/tests.rs
+++ b/src/mesh/attestation/tests.rs
@@ -9,51 +9,53 @@
     }
 }
 
-/// Rule `ran_cancelled`: leases are renewed past `disconnected_lease_limit` only if every peer, in the incarnation last known,
-/// has attested. One that is silent, restarted, loading its records or in contact with the state service does not count,
-/// whatever it answers.
+/// Rule `ran_cancelled`: a disconnected controller may renew leases past `disconnected_lease_limit` only if every peer has
+/// attested in its last known incarnation. A peer does not count if it does not answer, has restarted, is loading its
+/// records or reaches the state service.
 #[test]
-fn only_all_peers_together_attest_what_was_confirmed() {
+fn cancellations_are_attested_only_once_every_peer_has_attested() {
     let start = Instant::now();
     let at = |s| start + Duration::from_secs(s);
     let mut peers = PeerStatus::default();
     let mut trace = String::new();
-    let mut say = |what: &str, peers: &PeerStatus| {
-        let vouched = peers.attested(["n-1", "n-2"]);
-        let vouched = vouched.map(|at| (at - start).as_secs());
-        let known: Vec<_> = peers.cancelled.iter().cloned().collect();
-        trace.push_str(&format!("{what}: up to {vouched:?}, cancelled {known:?}\n"));
+    let mut record = |step: &str, peers: &PeerStatus| {
+        let attested_until = peers.attested_until(["n-1", "n-2"]);
+        let attested_s = attested_until.map(|at| (at - start).as_secs());
+        let cancelled: Vec<_> = peers.cancelled.iter().cloned().collect();
+        trace.push_str(&format!(
+            "{step}: up to {attested_s:?}, cancelled {cancelled:?}\n"
+        ));
     };
     peers.record_attestation("n-1", Some(7), attestation(7, true, &["job-1"]), at(3));
-    say("one of two", &peers);
+    record("n-1 attests", &peers);
     peers.record_attestation("n-2", Some(8), attestation(9, true, &["job-2"]), at(4));
-    say("the other restarted", &peers);
+    record("n-2 attests after a restart", &peers);
     peers.record_attestation("n-2", None, attestation(8, true, &[]), at(4));
-    say("the other is in no record", &peers);
+    record("n-2 attests, its incarnation is unknown", &peers);
     peers.record_attestation("n-2", Some(8), attestation(8, false, &[]), at(4));
-    say("it has the state service", &peers);
+    record("n-2 reaches the state service", &peers);
     peers.record_attestation("n-2", Some(8), attestation(8, true, &[]), at(5));
-    say("it vouches", &peers);
+    record("n-2 attests", &peers);
     peers.record_attestation("n-1", Some(7), attestation(7, true, &["job-1"]), at(9));
-    say("the first again, the other is silent", &peers);
+    record("n-1 attests again, n-2 does not answer", &peers);
     peers.discard_superseded(start);
-    say("contact, but from before what was told", &peers);
+    record("records read before the last answer", &peers);
     peers.discard_superseded(Instant::now() + Duration::from_secs(1));
-    say("contact", &peers);
+    record("records read after the last answer", &peers);
     insta::assert_snapshot!(trace, @r#"
-    one of two: up to None, cancelled ["job-1"]
-    the other restarted: up to None, cancelled ["job-1", "job-2"]
-    the other is in no record: up to None, cancelled ["job-1", "job-2"]
-    it has the state service: up to None, cancelled ["job-1", "job-2"]
-    it vouches: up to Some(3), cancelled ["job-1", "job-2"]
-    the first again, the other is silent: up to Some(5), cancelled ["job-1", "job-2"]
-    contact, but from before what was told: up to None, cancelled ["job-1", "job-2"]
-    contact: up to None, cancelled []
+    n-1 attests: up to None, cancelled ["job-1"]
+    n-2 attests after a restart: up to None, cancelled ["job-1", "job-2"]
+    n-2 attests, its incarnation is unknown: up to None, cancelled ["job-1", "job-2"]
+    n-2 reaches the state service: up to None, cancelled ["job-1", "job-2"]
+    n-2 attests: up to Some(3), cancelled ["job-1", "job-2"]
+    n-1 attests again, n-2 does not answer: up to Some(5), cancelled ["job-1", "job-2"]
+    records read before the last answer: up to None, cancelled ["job-1", "job-2"]
+    records read after the last answer: up to None, cancelled []
     "#);
 }
 
 #[test]
-fn attestation_frames_keep_their_bytes() {
+fn attestation_frame_encoding_is_stable() {
     let mut trace = String::new();
     let attestations: [(u64, bool, &[&str]); 4] = [
         (0, false, &[]),
@@ -75,9 +77,9 @@
     insta::assert_snapshot!("attestation_frames", trace);
 }
 
-/// The kind of a query, and an answer in the bytes that another controller sends.
+/// Checks the bytes of a query, and that the bytes of another controller's answer are decoded.
 #[tokio::test]
-async fn a_query_for_an_attestation_keeps_its_bytes() {
+async fn attestation_query_encoding_is_stable() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let peer = listener.local_addr().unwrap();
     let answering = tokio::spawn(async move {
--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -1,13 +1,14 @@
-//! The mesh: what the controllers tell each other directly, past the state service. A controller that has lost the state
-//! service learns from its peers whether they reach it, and which jobs they know to be cancelled.
+//! The mesh: direct connections between controllers, without the state service. A controller that has lost the state
+//! service asks its peers whether they reach it and which jobs they know to be cancelled.
 //!
-//! Nothing is agreed on over the mesh, and no record is changed by it. Frames are `bitcode`, each behind its length.
+//! The mesh is used for queries only: the controllers reach no agreement over it, and no answer changes a record. Frames
+//! are encoded with `bitcode` and prefixed with their length.
 
 pub mod attestation;
-mod gossip;
+mod peer_polling;
 pub mod status;
 
-pub use gossip::poll_peers;
+pub use peer_polling::poll_peers;
 
 use crate::cells;
 use crate::node::Node;
@@ -17,12 +18,12 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
 
-/// How long one request of a peer may take in all.
+/// Time limit for serving one request of a peer.
 const SERVE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a connection could not be accepted.
+/// Pause after accepting a connection has failed.
 const ACCEPT_RETRY: Duration = Duration::from_millis(100);
 
-/// Answers peers, one request a connection.
+/// Serves the requests of peers, one per connection.
 pub async fn serve(node: Arc<Node>, listener: TcpListener) {
     loop {
         let Ok((mut stream, _)) = listener.accept().await else {
@@ -32,13 +33,13 @@
         let node = node.clone();
         tokio::spawn(async move {
             let response = respond(&node, &mut stream);
-            // Whoever gets no answer counts this controller as silent and asks again.
+            // A peer that receives no answer counts this controller as unreachable and asks again.
             let _ = tokio::time::timeout(SERVE_TIMEOUT, response).await;
         });
     }
 }
 
-/// Answers one request by its kind, which takes the place of a status frame's length.
+/// Answers one request. Its first two bytes are either the code of a query or the length of a status frame.
 async fn respond(node: &Arc<Node>, stream: &mut TcpStream) -> io::Result<()> {
     match stream.read_u16().await? {
         attestation::ATTESTATION_QUERY => attestation::respond(node, stream).await,
@@ -47,7 +48,7 @@
     }
 }
 
-/// Decodes a frame of `length` bytes, at most `max_length`.
+/// Reads and decodes a frame of `length` bytes. A `length` above `max_length` is an error.
 async fn receive_frame<T: bitcode::DecodeOwned>(
     stream: &mut TcpStream,
     length: usize,
--- a/src/mesh/gossip.rs
+++ b/src/mesh/peer_polling.rs
@@ -1,4 +1,4 @@
-//! The loop by which a controller without the state service asks its peers what they know.
+//! The loop in which a controller without the state service queries its peers.
 
 use super::attestation;
 use super::status::{self, StatusFrame};
@@ -11,21 +11,22 @@
 
 /// Interval between rounds of queries.
 const QUERY_INTERVAL: Duration = Duration::from_millis(1000);
-/// How long one query may take.
+/// Time limit for one query.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Contact with the state service at most this long ago leaves nothing to ask.
+/// Peers are not queried if the last contact with the state service is at most this long ago.
 const RECENT_CONTACT: Duration = Duration::from_millis(2000);
 
-/// What a peer answered of its contact with the state service.
+/// A peer's answer to whether it reaches the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PeerContact {
     Connected,
     Disconnected,
-    /// It did not answer in time.
+    /// The peer did not answer in time.
     Unknown,
 }
 
-/// Asks the peers, but only while this controller itself lacks the state service.
+/// Queries the peers periodically while this controller has no contact with the state service. Runs for as long as the
+/// process lives.
 pub async fn poll_peers(node: Arc<Node>) {
     let mut was_attested = None;
     loop {
@@ -37,19 +38,20 @@
             continue;
         }
         let contacts = query_peers(&node).await;
-        // What a peer answered a moment before must not keep redirecting workers that nobody else answers.
+        // Once every peer is disconnected too, an earlier answer that one was connected must not cause any more
+        // redirects: no other controller would answer the redirected workers.
         if contacts.iter().all(|c| *c == PeerContact::Disconnected) {
             node.peer_status().state_service_reached_at = None;
         }
         let is_lost = last_read.is_none_or(|at| at.elapsed() > CONTACT_TIMEOUT);
-        let (all_attest, cancelled) = attestations(&node);
+        let (all_attest, cancelled) = attestation_summary(&node);
         if is_lost && was_attested.replace(all_attest) != Some(all_attest) {
             tracing::info!(all_attest, cancelled, "state service lost, peers queried");
         }
     }
 }
 
-/// Asks all peers at once and records their answers.
+/// Queries all peers concurrently and records their answers.
 async fn query_peers(node: &Arc<Node>) -> Vec<PeerContact> {
     let mut queries = JoinSet::new();
     for peer in &node.settings.peers {
@@ -63,7 +65,7 @@
     contacts
 }
 
-/// Asks one peer for its status, then for its attestation.
+/// Queries one peer for its status, then for its attestation.
 async fn query_peer(node: Arc<Node>, peer: String, addr: SocketAddr) -> PeerContact {
     let own = StatusFrame::of(&node);
     let contact = match tokio::time::timeout(QUERY_TIMEOUT, status::query(addr, own)).await {
@@ -73,8 +75,8 @@
     let queried_at = Instant::now();
     let attestation = tokio::time::timeout(QUERY_TIMEOUT, attestation::query(addr)).await;
     if let Ok(Ok(attestation)) = attestation {
-        // A peer that alone was refused by the state service has no presence record any more, and attests all the
-        // same: it is the process that it was.
+        // The peer's incarnation is taken from the last known ones, not from the presence records: the presence of a
+        // peer that the state service refuses has expired, but its process and its attestation are still valid.
         let incarnation = node.core().replica.incarnations.get(&peer).copied();
         let mut peers = node.peer_status();
         peers.record_attestation(&peer, incarnation, attestation, queried_at);
@@ -93,9 +95,9 @@
     PeerContact::Connected
 }
 
-/// Whether all peers have attested, and how many cancelled jobs this controller learned of from them.
-fn attestations(node: &Node) -> (bool, usize) {
+/// Whether all peers have attested, and the number of cancelled jobs that the peers have reported.
+fn attestation_summary(node: &Node) -> (bool, usize) {
     let names = node.settings.peers.iter().map(|p| p.member.as_str());
     let peers = node.peer_status();
-    (peers.attested(names).is_some(), peers.cancelled.len())
+    (peers.attested_until(names).is_some(), peers.cancelled.len())
 }
--- a/src/mesh/status.rs
+++ b/src/mesh/status.rs
@@ -1,4 +1,4 @@
-//! Status frames: how long ago a controller last had contact with the state service.
+//! Status frames: controllers exchange how long ago each last had contact with the state service.
 
 use super::receive_frame;
 use crate::node::Node;
@@ -7,9 +7,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Most bytes of a status frame, which holds a name and a time.
+/// Maximum size of a status frame, which holds a name and a time.
 const MAX_FRAME_BYTES: usize = 4096;
-/// Contact at most this long ago, in milliseconds, counts as reaching the state service.
+/// A controller reaches the state service if its last contact is less than this many milliseconds ago.
 const MAX_CONTACT_AGE_MS: u64 = 2500;
 
 /// A controller's status. Its fields are encoded in this order.
@@ -30,14 +30,14 @@
         }
     }
 
-    /// Whether the sender reaches the state service.
+    /// Whether the sender of this status reaches the state service.
     pub(super) fn is_connected(&self) -> bool {
         self.state_age_ms
             .is_some_and(|age| age < MAX_CONTACT_AGE_MS)
     }
 }
 
-/// Asks a peer for its status, in exchange for this controller's own.
+/// Sends this controller's status to a peer and returns the peer's status.
 pub(super) async fn query(peer: SocketAddr, own: StatusFrame) -> io::Result<StatusFrame> {
     let mut stream = TcpStream::connect(peer).await?;
     send(&mut stream, &own).await?;
@@ -45,7 +45,7 @@
     receive_frame(&mut stream, length.into(), MAX_FRAME_BYTES).await
 }
 
-/// Answers a peer whose status frame has this length.
+/// Receives a peer's status frame of `length` bytes and answers with this controller's status.
 pub(super) async fn respond(node: &Node, stream: &mut TcpStream, length: u16) -> io::Result<()> {
     let _peer: StatusFrame = receive_frame(stream, length.into(), MAX_FRAME_BYTES).await?;
     send(stream, &StatusFrame::of(node)).await
--- a/src/node/contact.rs
+++ b/src/node/contact.rs
@@ -1,24 +1,26 @@
-//! What a controller may do by its contact with the state service and its peers.
+//! Decisions that depend on whether a controller reaches the state service and its peers: whether it answers the
+//! heartbeats of workers or redirects them.
 
 use super::Node;
 use std::time::{Duration, Instant};
 
-/// Without an answer of any peer for this long, each queried once a second, all count as silent.
-const PEERS_SILENT: Duration = Duration::from_secs(5);
-/// A peer that reached the state service at most this long ago still does.
+/// Peers, which are queried once a second, count as unreachable when none has answered for this long.
+const PEER_RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a peer's report that it reaches the state service stays valid.
 const PEER_CONTACT_LIFETIME: Duration = Duration::from_secs(4);
 
 impl Node {
-    /// Whether this controller is cut off from the state service while peers reach it: then its presence has expired,
-    /// and its machines belong to others. In an outage for all, leases stand still and the machines stay.
+    /// Whether this controller has lost the state service while a peer still reaches it. Its presence has then expired
+    /// and its machines are reassigned. In an outage of the state service for every controller, no lease expires and
+    /// the machines keep their owners.
     pub fn is_partitioned(&self) -> bool {
         let reached_at = self.peer_status().state_service_reached_at;
         self.has_lost_presence_for(self.settings.presence_ttl())
             && reached_at.is_some_and(|at| at.elapsed() < PEER_CONTACT_LIFETIME)
     }
 
-    /// Whether a heartbeat of this worker is answered by a redirection: the worker must find its new owner, and as
-    /// long as it gets a 200 it stays here.
+    /// Whether a heartbeat from this machine's worker is answered with a redirect to another controller. A worker that
+    /// receives a 200 stays with this controller, even if the machine has a new owner.
     pub fn redirects_worker(&self, machine: &str) -> bool {
         if self.is_partitioned() {
             return true;
@@ -29,26 +31,26 @@
         probe.redirects(machine, is_isolated, Instant::now())
     }
 
-    /// Whether this controller has lost both the state service, with its presence, and all peers.
+    /// Whether this controller reaches neither the state service nor any peer, and its presence has expired.
     fn is_isolated(&self) -> bool {
         self.settings.params.size > 1
-            && self.has_lost_presence_for(self.settings.presence_ttl() + PEERS_SILENT)
+            && self.has_lost_presence_for(self.settings.presence_ttl() + PEER_RESPONSE_TIMEOUT)
             && self
                 .peer_status()
                 .last_response_at
-                .is_none_or(|at| at.elapsed() > PEERS_SILENT)
+                .is_none_or(|at| at.elapsed() > PEER_RESPONSE_TIMEOUT)
     }
 
-    /// Whether the presence lease was last renewed longer ago than this, or never.
+    /// Whether the presence lease has not been renewed within `length`.
     fn has_lost_presence_for(&self, length: Duration) -> bool {
         let renewed_at = self.core().membership.election.lease_renewed_at();
         renewed_at.is_none_or(|at| at.elapsed() > length)
     }
 
-    /// Whether a worker's heartbeat may be answered, which renews its lease. A cancellation that this controller does not
-    /// know would outlive `cancel_s` on a machine that it keeps alive. So it must have read the records within
-    /// `disconnected_lease_limit`, or every peer, disconnected itself, must have attested within that time what
-    /// was cancelled.
+    /// Whether this controller may answer workers' heartbeats, which renews their leases. While a lease is renewed, a
+    /// cancelled task that this controller does not know to be cancelled would run for longer than `cancel_s`.
+    /// Therefore, within `disconnected_lease_limit`, either this controller must have read the records, or every peer
+    /// must have been disconnected from the state service too and have attested the cancelled jobs.
     pub fn may_renew_leases(&self) -> bool {
         let limit = self.settings.disconnected_lease_limit();
         let core = self.core();
@@ -56,13 +58,14 @@
             return false;
         };
         let peers = self.settings.peers.iter().map(|p| p.member.as_str());
-        let are_all_known = self.settings.peers.len() + 1 >= self.settings.params.size as usize;
-        let attested = self.peer_status().attested(peers);
-        let attested = attested.filter(|_| are_all_known);
+        let are_all_peers_configured =
+            self.settings.peers.len() + 1 >= self.settings.params.size as usize;
+        let attested = self.peer_status().attested_until(peers);
+        let attested = attested.filter(|_| are_all_peers_configured);
         last_read.max(attested.unwrap_or(last_read)).elapsed() <= limit
     }
 
-    /// Whether the state service answered at most this long ago.
+    /// Whether the last answer of the state service was to a request sent within `length`.
     pub fn is_connected_within(&self, length: Duration) -> bool {
         let last_read = self.core().last_read_barrier;
         last_read.is_some_and(|at| at.elapsed() <= length)
