--- a/src/node.rs
+++ b/src/node.rs
@@ -1,5 +1,6 @@
-//! One controller: its identity and clients, and the state that its slices share behind one lock, which is held for short
-//! computations alone and never while waiting. What a slice keeps is a type of its own; here is only what relates several.
+//! A controller process: its identity, its clients, and the state that its modules share behind one mutex. The mutex is
+//! held only for short computations and never across an `await`. Each module defines the type of its own part of the
+//! state; the methods here combine several parts.
 
 mod clock;
 mod contact;
@@ -37,31 +38,32 @@
 use std::time::Instant;
 use tokio::sync::Notify;
 
-/// The state that the slices share, each in a part of its own.
+/// The state that the modules of a controller share.
 pub struct Core {
-    /// All live records, as last read.
+    /// Local copy of the live records in the state service.
     pub replica: Replica,
-    /// When the request was sent whose answer last proved contact with the state service and brought all changes up
-    /// to then.
+    /// Send time of the last request that the state service answered with all changes; the replica holds every
+    /// change that was committed before this time.
     pub last_read_barrier: Option<Instant>,
-    /// Since when there has been contact without a longer break.
+    /// Start of the current period of contact with the state service, without a break longer than
+    /// `state::watch::CONTACT_TIMEOUT`.
     pub connected_since: Option<Instant>,
-    /// Whether the replica was read completely.
+    /// Whether the initial load of the replica is complete.
     pub loaded: bool,
     pub membership: MembershipState,
-    /// Changes of tasks' records that are planned and not written yet.
+    /// Changes to task records that are planned but not written yet.
     pub pending_changes: PendingChanges,
     pub limits: TeamQuotas,
     pub workers: Workers,
-    /// By job class.
+    /// Run time estimates, by job class.
     pub runtime_estimates: HashMap<String, RuntimeEstimate>,
-    /// Recent failures, by job.
+    /// Recent task failures, by job.
     pub failures: HashMap<String, Failures>,
-    /// Machine types of the cloud's catalogue; empty until it was read.
+    /// Machine types in the cloud's catalogue; empty until the catalogue has been read.
     pub machine_types: Vec<MachineType>,
-    /// Forecasts, decisions and rentals in progress.
+    /// Demand forecasts, scaling decisions and rentals in progress.
     pub scaling: ScalingState,
-    /// What snapshots for placement are made from.
+    /// Cached input of the snapshots that placement works on.
     pub snapshots: SnapshotCache,
     pub metrics: Metrics,
 }
@@ -71,24 +73,24 @@
     pub settings: Settings,
     pub policy: Policy,
     pub identity: Member,
-    /// What this process supports, see `membership::schema_versions`.
+    /// Features that this process supports, see `membership::schema_versions`.
     pub supported_level: FeatureLevel,
     pub state: StateClient,
     pub cloud: CloudClient,
     core: Mutex<Core>,
     pub read_barriers: ReadBarriers,
-    /// Starts the next scheduling cycle early: something changed that it should consider.
+    /// Starts the next scheduling cycle early, after a change that it should consider.
     pub wake_up: Notify,
     pub scheduling_cycles: SchedulingCycles,
     peer_status: Mutex<PeerStatus>,
-    /// The cells that share work, if an operators' file names them.
+    /// Exchanges jobs with other cells; `None` unless the operators configured cells.
     pub cells: Option<Arc<CellCoordinator>>,
     pub processor_time: ProcessorTime,
     pub memory: MemoryPressure,
 }
 
 impl Node {
-    /// A controller before its first contact with anything, as a new incarnation.
+    /// Creates a controller with a new random incarnation. It contacts no other service yet.
     pub fn new(supported_level: FeatureLevel, settings: Settings, policy: Policy) -> Self {
         let now = Instant::now();
         Self {
@@ -116,7 +118,8 @@
         }
     }
 
-    /// Divides teams' quotas with the other controllers, as far as all of them support it.
+    /// Sets the limits. With a `config`, this controller announces that it can divide the teams' quotas among the
+    /// controllers, which happens once all of them support it.
     pub fn with_limits(mut self, config: Option<LimitsConfig>) -> Self {
         let config = match config {
             Some(config) => {
@@ -129,7 +132,7 @@
         self
     }
 
-    /// Takes part in the cells of an operators' file, as a controller of `cell`.
+    /// Joins the cells configured by the operators, as a controller of `cell`.
     pub fn in_cell(mut self, config: CellsConfig, cell: &str) -> Self {
         let Member { name, incarnation } = &self.identity;
         self.cells = Some(Arc::new(CellCoordinator::new(
@@ -141,18 +144,18 @@
         self
     }
 
-    /// Locks the shared state. Never hold the guard across an `await`.
+    /// Locks the shared state. The guard must not be held across an `await`.
     pub fn core(&self) -> MutexGuard<'_, Core> {
         self.core.lock().unwrap()
     }
 
-    /// Locks what the peers answered over the mesh. Locked after the shared state, if both are.
+    /// Locks the peers' latest answers. Lock order: if both are needed, lock the shared state first.
     pub fn peer_status(&self) -> MutexGuard<'_, PeerStatus> {
         self.peer_status.lock().unwrap()
     }
 
-    /// Waits for a read of the state service that was sent after this call; whether it succeeded. Whatever any
-    /// controller answered any user before this call is then in the replica.
+    /// Waits for a read of the state service that is sent after this call, and returns whether it succeeded. After a
+    /// success, the replica holds everything that any controller confirmed to a user before this call.
     pub async fn read_barrier(&self) -> bool {
         self.read_barriers.wait().await
     }
@@ -178,10 +181,11 @@
         }
     }
 
-    /// Applies this controller's own transaction as soon as it is answered.
+    /// Applies a transaction of this controller that the state service committed at `revision`, without waiting for
+    /// the watch to report it.
     pub fn apply(&mut self, ops: Vec<Operation>, revision: u64) {
         if revision <= self.replica.revision {
-            // The watch was faster, and may have brought the record's deletion since.
+            // The watch has already reported this transaction, and possibly a later deletion of the same record.
             return;
         }
         for op in ops {
--- a/src/node/ownership.rs
+++ b/src/node/ownership.rs
@@ -1,4 +1,4 @@
-//! What a controller keeps in memory of the machines that it owns, brought in line with the records of their owners.
+//! Keeps a controller's in-memory state of machines consistent with the recorded owners of the machines.
 
 use super::Core;
 use crate::jobs::TaskId;
@@ -8,14 +8,15 @@
 use std::time::Instant;
 
 impl Core {
-    /// Whether a controller places a job's tasks and ends it.
+    /// Whether `member` owns a job, that is, places its tasks and ends it.
     pub fn owns_job(&self, member: &Member, id: &str) -> bool {
         let job = self.replica.jobs.get(id);
         job.is_some_and(|job| self.replica.owner_of(&job.record) == Some(member))
     }
 
-    /// The precondition under which what is planned on a machine holds: its rental's record, which changes with the
-    /// machine's owner and state. `None` for a machine in no record, which is provably gone.
+    /// The precondition for writing a change that was planned for a machine: its rental's record is unchanged. That
+    /// record changes whenever the machine's owner or state does. `None` for a machine without a record, which is
+    /// known to be gone.
     pub fn machine_precondition(&self, machine: &str) -> Option<Precondition> {
         let machine = self.replica.fleet.machines.get(machine)?;
         let rental = self.replica.fleet.rentals.get(&machine.rental)?;
@@ -25,16 +26,17 @@
         })
     }
 
-    /// Limits what is kept in memory to the machines that `identity`, this controller, owns. Only machines whose records changed
-    /// are examined.
+    /// Updates the in-memory ownership of every machine whose record has changed since the last call. `identity` is
+    /// this controller.
     pub fn update_ownership(&mut self, identity: &Member, now: Instant) {
         for name in self.replica.fleet.take_changed_machines() {
             self.update_owner(identity, &name, now);
         }
     }
 
-    /// Does so for one machine. A new fencing token of an owned machine means that another controller owned it in
-    /// between and acted on it: what was observed before is void, and what is true of it will be reported again.
+    /// Updates the in-memory ownership of one machine. If the fencing token of an owned machine has changed, another
+    /// controller may have owned the machine and acted on it in between. Earlier observations are then discarded; the
+    /// agent's next heartbeat replaces them.
     pub fn update_owner(&mut self, identity: &Member, name: &str, now: Instant) {
         self.pending_changes.mark_machine_changed(name);
         let machine = self.replica.fleet.machines.get(name);
@@ -61,14 +63,14 @@
         self.forget_observations(name);
     }
 
-    /// Forgets what a machine's agent reported, and the changes planned by it.
+    /// Discards what a machine's agent reported, and the pending changes that are based on it.
     fn forget_observations(&mut self, name: &str) {
         self.workers.agents.remove(name);
-        // A response that is held back there now names the owner.
+        // A heartbeat response that is being held back for this machine is sent now and redirects to the new owner.
         self.workers.release_held_response(name);
         let recorded = self.replica.tasks_by_machine.get(name).cloned();
-        // Starts planned there and not written yet, too: nobody else would ever discard them, and their tasks would
-        // count as placed for good.
+        // Planned starts that are not written yet are also discarded: no other code would do so, and their tasks
+        // would count as placed indefinitely.
         let planned: Vec<TaskId> = self.pending_changes.starts_on(name).cloned().collect();
         for id in recorded.unwrap_or_default().into_iter().chain(planned) {
             self.discard_change(&id);
--- a/src/node/scheduling_cycles.rs
+++ b/src/node/scheduling_cycles.rs
@@ -1,13 +1,13 @@
-//! Counts of scheduling cycles, by which a request waits until its effect was planned and recorded.
+//! Counts scheduling cycles, so that a request can wait until a cycle has planned and recorded its effect.
 
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Cycles of this process so far.
+/// The cycles that this process has started and completed.
 #[derive(Debug, Clone, Copy, Default)]
 struct CycleCounts {
     started: u64,
-    /// The cycle, counted from 1, that completed last.
+    /// Number of the last completed cycle; the first cycle is 1.
     completed: u64,
 }
 
@@ -32,7 +32,7 @@
         let mut counts = self.counts.subscribe();
         let next = counts.borrow().started + 1;
         let completed = counts.wait_for(|counts| counts.completed >= next);
-        // A caller that waited in vain goes on with what is known.
+        // After the time limit, the caller continues with the current state.
         let _ = tokio::time::timeout(limit, completed).await;
     }
 }
