--- a/src/membership/election.rs
+++ b/src/membership/election.rs
@@ -1,12 +1,12 @@
-//! Election of the leader among the controllers: each controller's state in it, and every transition.
+//! Election of the leader among the controllers: a controller's state in the election, and its transitions.
 //!
-//! A controller registers by a presence record on a lease. A registered controller is a [`Role::Candidate`] while
-//! there is no leader record, the [`Role::Leader`] if the record names this very process, and a
-//! [`Role::Follower`] otherwise. The leader record is on the leader's presence lease, so leadership ends with
-//! it. A controller that cannot reach most of its machines steps down: it gives up the lease, and with it its
-//! jobs, machines and leadership, and registers again some time later.
+//! A controller registers with a presence record that is attached to a lease. A registered controller is a
+//! [`Role::Candidate`] while there is no leader record, the [`Role::Leader`] if the leader record names this process,
+//! and a [`Role::Follower`] otherwise. The leader record is attached to the leader's presence lease, so leadership ends
+//! with that lease. A controller that cannot reach most of its machines steps down: it gives up the lease, and with it
+//! its jobs, machines and leadership, and registers again later.
 //!
-//! Agreement is the state service's alone: nothing here decides who leads from what controllers say.
+//! Only the leader record in the state service determines who leads. Controllers do not vote or negotiate.
 
 use super::assignment::Member;
 use crate::node::Node;
@@ -16,19 +16,20 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// A controller's part in the election, by the leader record as last read.
+/// A controller's role in the election, according to the leader record as last read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Nobody leads; a registered controller stands for election.
+    /// There is no leader; a registered controller stands for election.
     Candidate,
-    /// Another process leads, or an earlier process of this controller's name.
+    /// Another process leads; it may be an earlier process with this controller's name.
     Follower,
-    /// This process leads. `revision` is the leader record's, which guards every write of the leader.
+    /// This process leads. `revision` is that of the leader record and a precondition of every write that only the
+    /// leader may make.
     Leader { revision: u64 },
 }
 
 impl Role {
-    /// The part of the process `identity`.
+    /// The role of the process `identity`.
     pub fn of(identity: &Member, replica: &Replica) -> Self {
         let Some(leader) = replica.leader.as_ref() else {
             return Self::Candidate;
@@ -44,16 +45,16 @@
     }
 }
 
-/// What a controller's membership loop has to do next.
+/// A controller's registration state, which determines what the membership loop does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// It has no presence lease and must obtain one.
+    /// The controller has no presence lease and must obtain one.
     Unregistered,
-    /// It has a presence lease, which must be renewed.
+    /// The controller has a presence lease, which must be renewed.
     Registered { lease: u64 },
-    /// It stepped down and has yet to give up its presence lease.
+    /// The controller has stepped down and must still give up its presence lease.
     SteppingDown { lease: u64 },
-    /// It stepped down and has no presence lease.
+    /// The controller has stepped down and has no presence lease.
     SteppedDown,
 }
 
@@ -62,7 +63,7 @@
 pub struct Leadership {
     /// Revision of the leader record.
     pub revision: u64,
-    /// When this process first acted under it.
+    /// When this process first recorded this term.
     pub since: Instant,
 }
 
@@ -85,12 +86,12 @@
         }
     }
 
-    /// When the last request was sent that renewed the presence lease; it outlives the lease.
+    /// Send time of the last successful request that granted or renewed a presence lease. Kept after the lease ends.
     pub fn lease_renewed_at(&self) -> Option<Instant> {
         self.lease_renewed_at
     }
 
-    /// The term that this process last acted under as the leader.
+    /// This process's current term of leadership, as last recorded; `None` if it does not lead.
     pub fn leadership(&self) -> Option<Leadership> {
         self.leadership
     }
@@ -99,7 +100,7 @@
         self.stepped_down_until.is_some()
     }
 
-    /// Takes over a presence lease that was granted by a request sent at `requested_at`.
+    /// Records a new presence lease, granted by a request sent at `requested_at`.
     pub(super) fn register(&mut self, lease: u64, requested_at: Instant) {
         self.lease_renewed_at = Some(requested_at);
         self.lease = Some(lease);
@@ -110,18 +111,19 @@
         self.lease_renewed_at = Some(requested_at);
     }
 
-    /// Forgets a presence lease that expired or was given up.
+    /// Discards a presence lease that has expired or was given up.
     pub(super) fn unregister(&mut self) {
         self.lease = None;
     }
 
-    /// Leaves leadership, jobs and machines to the other controllers until then.
+    /// Steps down: leaves leadership, jobs and machines to the other controllers until the given time.
     pub fn step_down(&mut self, until: Instant) {
         self.stepped_down_until = Some(until);
     }
 
-    /// Registers again from the next turn of the membership loop on, if the time is up or no controller is
-    /// registered: if all stepped down at once, the machines are gone rather than the network paths to them.
+    /// Lets the membership loop register again if the time for which this controller stepped down is over, or if no
+    /// controller is registered. If all controllers have stepped down, the machines themselves are gone, and the cause is
+    /// not this controller's network.
     pub(super) fn resume_candidacy(&mut self, is_any_registered: bool, now: Instant) {
         let is_over = self.stepped_down_until.is_some_and(|until| until <= now);
         if is_over || !is_any_registered {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Starts or ends a term: `revision` is the leader record's if this process leads.
+    /// Starts or ends a term of leadership. `revision` is that of the leader record if this process leads.
     fn record_leadership(&mut self, revision: Option<u64>, now: Instant) {
         let previous = self.leadership.map(|leadership| leadership.revision);
         if previous != revision {
@@ -142,7 +144,7 @@
     }
 }
 
-/// Revision of the leader record if this very process leads.
+/// Revision of the leader record if this process leads.
 pub fn leader_revision(node: &Node) -> Option<u64> {
     match Role::of(&node.identity, &node.core().replica) {
         Role::Leader { revision } => Some(revision),
@@ -150,15 +152,15 @@
     }
 }
 
-/// Records whether this process leads, and since when; `revision` as from [`leader_revision`].
+/// Records whether this process leads, and since when. `revision` is the result of [`leader_revision`].
 pub fn record_leadership(node: &Node, revision: Option<u64>) {
     let mut core = node.core();
     let election = &mut core.membership.election;
     election.record_leadership(revision, Instant::now());
 }
 
-/// Stands for election if nobody leads. The winner is whose record is written first; who fails or loses stands
-/// again at the next turn if there is still no leader.
+/// Stands for election if there is no leader. The controller whose leader record is written first wins. A controller
+/// that loses or fails tries again in the next iteration if there is still no leader.
 pub(super) async fn campaign(node: &Arc<Node>, lease: u64) {
     if Role::of(&node.identity, &node.core().replica) != Role::Candidate {
         return;
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,7 +1,7 @@
-//! Membership of the controllers: presence records on leases, the election of a leader, and the assignment of
-//! jobs and machines to the controllers that are registered.
+//! Membership of the controllers: presence records attached to leases, the election of a leader, and the assignment
+//! of jobs and machines to the registered controllers.
 //!
-//! Nothing here talks to workers or starts tasks; whoever owns a job or a machine does.
+//! This module does not communicate with workers and does not start tasks. The owners of jobs and machines do.
 
 pub mod assignment;
 pub mod election;
@@ -20,25 +20,25 @@
 use crate::state::{Operation, Precondition, RecordKey, TransactionError};
 use election::{ElectionState, Phase, campaign};
 use load::LoadEstimate;
-use probe::Probe;
+use probe::PartitionProbe;
 use rebalance::RebalanceState;
 use rowanmill_state::ReadError;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What membership keeps in memory.
+/// The in-memory state of membership.
 #[derive(Debug, Default)]
 pub struct MembershipState {
     pub election: ElectionState,
-    pub probe: Probe,
+    pub probe: PartitionProbe,
     rebalance: RebalanceState,
     load: Option<LoadEstimate>,
 }
 
-/// Renewals that are tried within the length of a presence lease.
+/// Attempts to renew a presence lease within its length.
 const RENEWALS_PER_LEASE: u32 = 4;
 
-/// Keeps this controller registered, and stands for election whenever nobody leads.
+/// The membership loop: keeps this controller registered, and stands for election whenever there is no leader.
 pub async fn run(node: Arc<Node>) {
     let lease_length = node.settings.presence_ttl();
     let interval = lease_length / RENEWALS_PER_LEASE;
@@ -50,6 +50,7 @@
     }
 }
 
+/// One iteration of the membership loop.
 async fn advance(node: &Arc<Node>, lease_length: Duration) {
     let phase = node.core().membership.election.phase();
     match phase {
@@ -76,7 +77,8 @@
     }
 }
 
-/// Revokes the presence lease of an earlier process of this name, which would only keep the others waiting.
+/// Revokes the presence lease of an earlier process with this controller's name. Otherwise the jobs and machines of that
+/// process would stay assigned to it until the lease expires.
 async fn revoke_predecessor(node: &Node) {
     let previous = {
         let core = node.core();
@@ -86,12 +88,13 @@
     if let Some(previous) = previous
         && previous.incarnation != node.identity.incarnation
     {
-        // A failure costs time alone: the lease expires by itself.
+        // A failure only costs time, because the lease expires anyway.
         let _ = node.state.revoke_lease(previous.lease).await;
     }
 }
 
-/// Renews the presence lease, and then sees to all that a registered controller keeps up to date.
+/// Renews the presence lease. Then updates the presence record, stands for election if there is no leader, and updates
+/// the record of schema versions.
 async fn renew(node: &Arc<Node>, lease: u64) {
     let requested_at = Instant::now();
     match node.state.extend_lease(lease).await {
@@ -101,7 +104,7 @@
             node.core().membership.election.unregister();
             return;
         }
-        // Tried again at the next turn.
+        // The next iteration tries again.
         Err(_) => return,
     }
     node.core().membership.election.record_renewal(requested_at);
@@ -111,7 +114,7 @@
     }
 }
 
-/// Ends the presence lease, with which this controller's jobs, machines and leadership go to others.
+/// Revokes the presence lease, which passes this controller's jobs, machines and leadership on to other controllers.
 async fn give_up_presence(node: &Node, lease: u64) {
     if node.state.revoke_lease(lease).await.is_ok() {
         node.core().membership.election.unregister();
@@ -125,11 +128,11 @@
     election.resume_candidacy(is_any_registered, Instant::now());
 }
 
-/// Ensures that this controller's presence record is on its current lease; whether it is.
+/// Ensures that this controller's presence record is attached to its current lease, and returns whether it is.
 ///
-/// A put without an answer may be carried out seconds later, after the next one: it would move the record to a
-/// lease that nobody extends, with which it expires, and the controller would own nothing for good. So each
-/// put is guarded by the revision before it, and the record as read is compared at each turn.
+/// The state service may apply an unanswered put seconds later, after a newer one. The record would then be attached to
+/// a lease that is no longer renewed and expire with it, and the controller would never own anything again. Therefore
+/// each put has the record's previous revision as its precondition, and each iteration checks the record as read.
 async fn publish_presence(node: &Node, lease: u64) -> bool {
     let record = PresenceRecord {
         incarnation: node.identity.incarnation,
--- a/src/membership/probe.rs
+++ b/src/membership/probe.rs
@@ -1,31 +1,32 @@
-//! Tells a network partition from an outage for a controller that reaches neither the state service nor its peers, but its
-//! workers.
+//! Distinguishes a network partition from an outage of the state service for a controller that reaches neither the state
+//! service nor its peers, but still reaches its workers.
 //!
-//! From within both look the same, and the wrong guess is costly: in an outage, workers that are redirected find nobody else
-//! who may answer them, and lose what they run when their leases expire; of a partitioned controller, the others
-//! wait for its workers. So an outage is assumed and tested: one worker is redirected. In an outage the others know of no
-//! other owner and redirect it back at once; from a partition it does not return, since it has found its new owner.
+//! The controller cannot observe the difference, and a wrong decision is costly. In an outage, no other controller may
+//! answer redirected workers, so their leases expire and their tasks are lost. In a partition, the other controllers have
+//! taken over the machines and wait for their workers. Therefore the controller assumes an outage and tests the
+//! assumption by redirecting a single worker. In an outage, the other controllers know no other owner and redirect the
+//! worker back at once. In a partition, the worker finds its new owner and does not return.
 
 use std::time::{Duration, Instant};
 
-/// A redirected worker returns within this if nobody else answers it: it tries the next controller a second later,
-/// and may pass a few that do not answer.
+/// A redirected worker that no other controller answers returns within this time. It tries one controller per second,
+/// some of which may not respond.
 const RETURN_TIMEOUT: Duration = Duration::from_secs(7);
-/// How long a worker's return counts as evidence of an outage.
+/// How long an outage is assumed after a redirected worker has returned.
 const OUTAGE_EVIDENCE_LIFETIME: Duration = Duration::from_secs(6);
 
-/// The state of the test.
+/// The state of the test for a partition.
 #[derive(Debug, Default)]
-pub struct Probe {
-    /// The redirected worker's machine, and when it was redirected.
+pub struct PartitionProbe {
+    /// The machine of the redirected worker, and when the worker was redirected.
     redirected: Option<(String, Instant)>,
     outage_until: Option<Instant>,
     is_partitioned: bool,
 }
 
-impl Probe {
-    /// Whether a worker that reports now is redirected. `is_isolated`: this controller has lost both the state service
-    /// and its peers, and its presence has expired.
+impl PartitionProbe {
+    /// Whether to redirect the worker of `machine`, which has sent a heartbeat at `now`. `is_isolated` says whether this
+    /// controller reaches neither the state service nor its peers and its presence has expired.
     pub fn redirects(&mut self, machine: &str, is_isolated: bool, now: Instant) -> bool {
         if !is_isolated {
             *self = Self::default();
--- a/src/membership/schema_versions.rs
+++ b/src/membership/schema_versions.rs
@@ -1,9 +1,9 @@
 //! Activation of new encodings of durable records during a rolling upgrade.
 //!
-//! A controller of the previous version would run a job with dependencies at once, and cannot read a compact
-//! progress page. So each controller publishes its [`FeatureLevel`] in its presence record, and the new encodings
-//! are activated once every configured controller was seen at the required level. The activation is a durable
-//! record that nothing removes: it must never be undone, since compact pages may exist from then on.
+//! A controller of the previous version would run a job with dependencies without waiting for them, and cannot read a
+//! compact progress page. Therefore each controller publishes its [`FeatureLevel`] in its presence record, and the new
+//! encodings are activated once every configured controller has been seen at the required level. The activation is a
+//! durable record that is never removed, since compact pages may exist from then on.
 
 use crate::jobs::PageLayout;
 use crate::node::Node;
@@ -19,11 +19,12 @@
 pub struct FeatureLevel(u32);
 
 impl FeatureLevel {
-    /// The previous version, which publishes no level.
+    /// The level of the previous version, which does not publish one.
     pub const NONE: Self = Self(0);
     /// Jobs with dependencies, and compact progress pages.
     pub const COMPACT_PAGES: Self = Self(1);
-    /// In addition, the process was configured to divide teams' quotas among the controllers.
+    /// In addition, dividing the teams' quotas among the controllers. A process has this level only if it is configured
+    /// to do so.
     pub const DIVIDED_QUOTAS: Self = Self(2);
 }
 
@@ -39,14 +40,14 @@
     }
 }
 
-/// Durable record of the upgrade: who supports the new encodings, and whether they are activated.
+/// Durable record of the upgrade: which controllers support the new encodings, and whether these are activated.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct SchemaVersions {
     /// Controllers that were at [`FeatureLevel::COMPACT_PAGES`] or above when last seen.
     #[serde(rename = "seen")]
     pub upgraded_members: BTreeSet<String>,
-    /// How jobs are divided into pages, present once activated: it must not follow the settings while there
-    /// are pages.
+    /// How jobs are divided into pages; present once the new encodings are activated. It is stored because later changes
+    /// of the settings must not affect existing pages.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub layout: Option<PageLayout>,
 }
@@ -58,10 +59,10 @@
     }
 }
 
-/// Decides what the record should become, `None` if it is up to date or already activated.
+/// The record's next value; `None` if the record is up to date or the new encodings are already activated.
 ///
-/// An absent controller counts as last seen: one of this version is not downgraded once the new encodings are
-/// activated, and before that its next presence record shows its level.
+/// An absent controller counts with the level at which it was last seen. This is safe: a controller of this version is
+/// not downgraded after the activation, and before it the controller's next presence record shows its level.
 pub fn next_record(
     members: &[&str],
     layout: &PageLayout,
@@ -95,8 +96,8 @@
     is_changed.then_some(next)
 }
 
-/// Brings the durable record up to date. Every controller of this version does so, not the leader alone, which
-/// may be of the previous version. A refused transaction is tried again by the next call.
+/// Updates the durable record. Every controller of this version does so, because the leader may be of the previous
+/// version. If the transaction is refused, the next call tries again.
 pub async fn update_record(node: &Node) {
     if node.supported_level < FeatureLevel::COMPACT_PAGES {
         return;
@@ -117,12 +118,12 @@
     }
 }
 
-/// The record to write, and the revisions that it was derived from.
+/// The record to write, with the revisions of the records that it is based on as preconditions.
 fn prepare_update(node: &Node) -> Option<(SchemaVersions, Vec<Precondition>)> {
     let core = node.core();
     let members = node.settings.member_names();
     let record = next_record(&members, &node.settings.page_layout(), &core.replica)?;
-    // Under the presence records that it was derived from: a controller may have returned with the previous version.
+    // The presence records must be unchanged: a controller may have been restarted with the previous version.
     let mut preconditions: Vec<Precondition> = members
         .iter()
         .map(|name| Precondition {
@@ -137,7 +138,7 @@
             .replica
             .schema_versions
             .as_ref()
-            .map_or(0, |f| f.revision),
+            .map_or(0, |versioned| versioned.revision),
     });
     Some((record, preconditions))
 }
