--- a/src/membership/assignment.rs
+++ b/src/membership/assignment.rs
@@ -1,56 +1,57 @@
-//! Assignment of jobs to controllers: each job belongs to one, which places its tasks and ends it. The leader decides,
-//! from the durable records alone; this module is the pure decision.
+//! Assignment of jobs to controllers: each job is owned by one controller, which places its tasks and ends it. The leader
+//! computes the assignment from the durable records alone. This module contains the computation and has no side effects.
 //!
-//! Arrays are spread by a hash of their identifier: assigned by team, one team's burst of jobs kept one controller busy while
-//! the others were idle. Only a team with an undivided quota is assigned whole, since the quota must hold exactly and
-//! only a single controller can ensure that. Gangs go to few controllers, so that machines are not
-//! divided into pieces too small for them.
+//! Array jobs are distributed by a hash of their identifier. When they were assigned by team, a burst of jobs of one team
+//! kept one controller busy while the others were idle. Only the jobs of a team with an undivided quota are all assigned to
+//! the same controller, because a single controller can enforce the quota exactly. Gangs are assigned to few controllers, so
+//! that the machines are not divided among owners that each have too few for a gang.
 
 use crate::jobs::{JobRecord, JobSpec};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A controller process: after a restart it is another one.
+/// A controller process. A restarted controller has the same name and a new incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
     pub name: String,
     pub incarnation: u64,
 }
 
-/// The leader's durable record of which controller owns which jobs. Controllers are denoted by their index in
-/// `members`.
+/// The leader's durable record of which controller owns which jobs. The other fields refer to controllers by their index
+/// in `members`.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Assignment {
     pub members: Vec<Member>,
-    /// Owners of the teams with an undivided quota.
+    /// Owners of the jobs of teams with an undivided quota, by team.
     pub teams: BTreeMap<String, usize>,
     /// Owners of gangs.
     pub gangs: Vec<usize>,
-    /// Whether there have been gangs since the first assignment.
+    /// Whether there has been any gang since the first assignment.
     pub had_gangs: bool,
-    /// Owners of arrays, by hash slot.
+    /// Owners of array jobs, by hash slot.
     pub slots: Vec<usize>,
 }
 
-/// Hash slots of array jobs: divisible by most numbers of controllers.
+/// Number of hash slots of array jobs; divisible by most small numbers of controllers.
 const SLOTS: usize = 60;
-/// Weight, in slots, of a controller that places gangs, relative to one that does not.
+/// Share of hash slots of a controller that places gangs, relative to one that does not.
 const GANG_OWNER_WEIGHT: f64 = 0.4;
-/// Weight, in slots, of the leader, which has its own duties.
+/// Share of hash slots of the leader, relative to another controller, because the leader has additional work.
 const LEADER_WEIGHT: f64 = 0.8;
-/// Controllers for each one that places gangs.
+/// One of this many controllers places gangs.
 const MEMBERS_PER_GANG_OWNER: usize = 4;
-/// Machines that a team counts for beyond its work, so that teams without work are spread, too.
+/// Load, in machines, that each team counts for in addition to its work, so that teams without work are distributed too.
 const LOAD_PER_TEAM: f64 = 0.1;
-/// Machines less that a controller counts as having for its weight, by which ties between idle ones are broken.
+/// Load, in machines, that is subtracted from a controller per unit of its weight, so that among idle controllers the one
+/// with the largest weight is chosen.
 const LOAD_PER_WEIGHT: f64 = 0.01;
 
-/// FNV-1a's offset basis and prime for 64 bits.
+/// Offset basis and prime of 64-bit FNV-1a.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// Hash of a job's identifier, the same in each process and version: bits 20 and up of its FNV-1a, whose lowest bits
-/// are weak.
+/// Hash of a job's identifier, which is the same in every process and version. It consists of bits 20 and up of the 64-bit
+/// FNV-1a hash, because the lowest bits are poorly distributed.
 pub fn job_id_hash(id: &str) -> usize {
     let hash = id.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
@@ -59,20 +60,20 @@
 }
 
 impl Assignment {
-    /// The controller that places a job and ends it; `None` before the first assignment.
+    /// The controller that owns a job; `None` before the first assignment.
     pub fn owner(&self, job: &JobRecord) -> Option<&Member> {
         let spec = &job.spec;
         let index = match self.teams.get(&spec.team) {
             Some(index) => Some(*index),
-            None if spec.is_gang() => by_hash(&self.gangs, &spec.id),
+            None if spec.is_gang() => owner_by_hash(&self.gangs, &spec.id),
             None => self
                 .chosen_placer(job)
-                .or_else(|| by_hash(&self.slots, &spec.id)),
+                .or_else(|| owner_by_hash(&self.slots, &spec.id)),
         };
         self.members.get(index?)
     }
 
-    /// Whether a job's placer is chosen by load when the job is accepted.
+    /// Whether the controller that places a job is chosen by load when the job is accepted.
     pub fn is_placer_chosen(&self, spec: &JobSpec) -> bool {
         !spec.is_gang() && !self.teams.contains_key(&spec.team)
     }
@@ -84,21 +85,22 @@
     }
 }
 
-fn by_hash(owners: &[usize], id: &str) -> Option<usize> {
+/// Selects one of `owners` by the hash of a job's identifier.
+fn owner_by_hash(owners: &[usize], id: &str) -> Option<usize> {
     owners.get(job_id_hash(id) % owners.len().max(1)).copied()
 }
 
-/// What the assignment of jobs depends on besides the controllers.
+/// The work that the assignment of jobs depends on.
 pub struct Workload<'a> {
-    /// Teams with an undivided quota, and the machines that their work would fill.
+    /// Teams with an undivided quota, with the number of machines that their work would fill.
     pub undivided_teams: &'a BTreeMap<String, f64>,
-    /// Whether there are gangs to place.
+    /// Whether any unfinished job is a gang.
     pub has_gangs: bool,
 }
 
-/// Assigns the jobs to the controllers present. What belongs to one that is still present stays with it as far as
-/// its part allows; the assignment only changes when controllers, teams with an undivided quota or the first gangs
-/// come or go.
+/// Assigns the jobs to the present controllers. A controller that is still present keeps what it owns, up to its share. The
+/// assignment changes only if the present controllers or the teams with an undivided quota change, or if there are gangs for
+/// the first time.
 pub fn assign_jobs(
     present: &BTreeSet<Member>,
     leader: &Member,
@@ -132,7 +134,7 @@
     }
 }
 
-/// An assignment in the making.
+/// Inputs of the computation of an assignment. Controllers are referred to by their index in `members`.
 struct JobAssigner<'a> {
     members: Vec<Member>,
     leader: &'a Member,
@@ -141,8 +143,8 @@
 }
 
 impl JobAssigner<'_> {
-    /// The present index of a controller by its previous one, if it is still present.
-    fn retained(&self, previous_index: usize) -> Option<usize> {
+    /// The index in `members` of a controller of the previous assignment, if it is still present.
+    fn current_index(&self, previous_index: usize) -> Option<usize> {
         let member = self.previous.members.get(previous_index)?;
         self.members.iter().position(|m| m == member)
     }
@@ -151,12 +153,12 @@
         self.members[index] == *self.leader
     }
 
-    /// Owners of gangs: the previous ones, then others, the leader last because of its own duties.
+    /// Owners of gangs: the previous owners, then other controllers. The leader comes last because it has additional work.
     fn assign_gangs(&self) -> Vec<usize> {
         let wanted = (self.members.len() / MEMBERS_PER_GANG_OWNER).max(1);
         let previous = self.previous.gangs.iter();
         let mut owners: Vec<usize> = previous
-            .filter_map(|index| self.retained(*index))
+            .filter_map(|index| self.current_index(*index))
             .take(wanted)
             .collect();
         let mut others: Vec<usize> = (0..self.members.len())
@@ -167,7 +169,7 @@
         owners
     }
 
-    /// Relative parts of the arrays, by controller.
+    /// Relative shares of the array jobs, by controller.
     fn weights(&self, gang_owners: &[usize]) -> Vec<f64> {
         let weight = |index: usize| {
             let mut weight = 1.0;
@@ -182,14 +184,15 @@
         (0..self.members.len()).map(weight).collect()
     }
 
-    /// Owners of the hash slots: each controller keeps its slots up to its part, the others fill the rest.
+    /// Owners of the hash slots: each controller keeps its previous slots up to its share, and the remaining slots go to the
+    /// controllers that are below their share.
     fn assign_slots(&self, weights: &[f64]) -> Vec<usize> {
         let mut slots_left = apportion(weights);
         let mut slots: Vec<Option<usize>> = vec![None; SLOTS];
         for (slot, owner) in slots.iter_mut().enumerate() {
             let previous = self.previous.slots.get(slot);
-            let retained = previous.and_then(|index| self.retained(*index));
-            if let Some(index) = retained.filter(|index| slots_left[*index] > 0) {
+            let current = previous.and_then(|index| self.current_index(*index));
+            if let Some(index) = current.filter(|index| slots_left[*index] > 0) {
                 slots_left[index] -= 1;
                 *owner = Some(index);
             }
@@ -204,8 +207,8 @@
             .collect()
     }
 
-    /// Owners of the teams with an undivided quota: the previous ones, then for the largest team first the
-    /// controller with the least work of such teams.
+    /// Owners of the teams with an undivided quota: the previous owner if it is still present. The other teams, largest
+    /// first, go to the controller with the least work of such teams.
     fn assign_teams(
         &self,
         weights: &[f64],
@@ -216,7 +219,7 @@
         let mut unassigned = Vec::new();
         for (team, machines) in teams {
             let previous = self.previous.teams.get(team);
-            match previous.and_then(|index| self.retained(*index)) {
+            match previous.and_then(|index| self.current_index(*index)) {
                 Some(index) => {
                     load[index] += machines + LOAD_PER_TEAM;
                     owners.insert(team.clone(), index);
@@ -235,7 +238,7 @@
     }
 }
 
-/// Divides the hash slots in proportion to the weights, by the method of largest remainders.
+/// Divides the hash slots in proportion to the weights, using the largest remainder method.
 fn apportion(weights: &[f64]) -> Vec<usize> {
     let total: f64 = weights.iter().sum();
     let exact: Vec<f64> = weights.iter().map(|w| w / total * SLOTS as f64).collect();
--- a/src/membership/assignment/tests.rs
+++ b/src/membership/assignment/tests.rs
@@ -9,11 +9,11 @@
 
 fn show(assignment: &Assignment) -> String {
     let mut text = String::new();
-    for (at, member) in assignment.members.iter().enumerate() {
-        let slots = assignment.slots.iter().filter(|s| **s == at).count();
-        let teams = assignment.teams.iter().filter(|t| *t.1 == at);
+    for (index, member) in assignment.members.iter().enumerate() {
+        let slots = assignment.slots.iter().filter(|s| **s == index).count();
+        let teams = assignment.teams.iter().filter(|t| *t.1 == index);
         let teams: Vec<&str> = teams.map(|t| t.0.as_str()).collect();
-        let gangs = if assignment.gangs.contains(&at) {
+        let gangs = if assignment.gangs.contains(&index) {
             ", gangs"
         } else {
             ""
@@ -28,41 +28,41 @@
 
 #[test]
 fn jobs_are_reassigned_only_if_their_controller_left_and_teams_with_undivided_quotas_stay_whole() {
-    let limited = BTreeMap::from([("plans".to_string(), 5.0), ("scores".to_string(), 3.0)]);
+    let undivided_teams = BTreeMap::from([("plans".to_string(), 5.0), ("scores".to_string(), 3.0)]);
     let workload = Workload {
-        undivided_teams: &limited,
+        undivided_teams: &undivided_teams,
         has_gangs: true,
     };
     let a = member("a", 1);
     let three: BTreeSet<Member> = ["a", "b", "c"].map(|n| member(n, 1)).into();
     let first = assign_jobs(&three, &a, &Assignment::default(), &workload);
     let two: BTreeSet<Member> = [member("a", 1), member("b", 1)].into();
-    let after_end = assign_jobs(&two, &a, &first, &workload);
-    // c is back within a moment: another incarnation, which owns nothing by right.
-    let mut back = two.clone();
-    back.insert(member("c", 2));
-    let after_return = assign_jobs(&back, &a, &after_end, &workload);
-    let kept = (0..SLOTS).filter(|s| {
-        after_end.members[after_end.slots[*s]] == after_return.members[after_return.slots[*s]]
+    let after_exit = assign_jobs(&two, &a, &first, &workload);
+    // Controller c restarts. Its new incarnation inherits nothing from the previous one.
+    let mut restarted = two.clone();
+    restarted.insert(member("c", 2));
+    let after_restart = assign_jobs(&restarted, &a, &after_exit, &workload);
+    let unchanged = (0..SLOTS).filter(|s| {
+        after_exit.members[after_exit.slots[*s]] == after_restart.members[after_restart.slots[*s]]
     });
     insta::assert_snapshot!(format!(
-        "all there\n{}c ended\n{}c is back\n{}slots that stayed: {}",
+        "a, b and c\n{}c exited\n{}c restarted\n{}slots with unchanged owner: {}",
         show(&first),
-        show(&after_end),
-        show(&after_return),
-        kept.count()
+        show(&after_exit),
+        show(&after_restart),
+        unchanged.count()
     ), @r#"
-    all there
+    a, b and c
     a (1): 22 slots ["scores"]
     b (1): 11 slots, gangs []
     c (1): 27 slots ["plans"]
-    c ended
+    c exited
     a (1): 40 slots ["scores"]
     b (1): 20 slots, gangs ["plans"]
-    c is back
+    c restarted
     a (1): 22 slots ["scores"]
     b (1): 11 slots, gangs ["plans"]
     c (2): 27 slots []
-    slots that stayed: 33
+    slots with unchanged owner: 33
     "#);
 }
--- a/src/membership/load.rs
+++ b/src/membership/load.rs
@@ -1,5 +1,5 @@
-//! Estimates of how much work each controller has for its machines, and the choice of the controller that places a
-//! new job by them.
+//! Estimates each controller's work relative to its machines, and uses the estimates to choose the controller that places
+//! a new job.
 
 use super::assignment::{Assignment, Member};
 use super::machine_assignment::{DemandByMember, MachineDemand};
@@ -13,19 +13,21 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Machines of one type that a job's tasks would fill.
+/// The number of machines that a job's tasks would fill, and their type.
 struct JobLoad {
     machine_type: String,
     machines: f64,
 }
 
-/// Run times of a task that should fit before its deadline: half of one is reserve.
-const RUN_TIMES_BEFORE_DEADLINE: f64 = 1.5;
-/// Share of a job's tasks that counts as running at once, however far its deadline is.
+/// Time that should be left before a deadline to run each task, in multiples of its expected run time. Half a run time is
+/// reserve.
+const DEADLINE_TIME_IN_RUN_TIMES: f64 = 1.5;
+/// Minimum share of a job's tasks that counts as running concurrently, however distant its deadline is.
 const MIN_CONCURRENT_SHARE: f64 = 0.2;
 
-/// Machines that `tasks` tasks of a job would fill, of the type that they prefer, `age` seconds after the job's
-/// times began. Tasks with time before their deadline need not all run at once.
+/// Estimates how many machines `tasks` tasks of a job would fill, in machines of the cheapest type that suits them. `age` is
+/// the time in seconds since the job's tasks could first start. If there is time before the deadline, not all tasks need to
+/// run concurrently.
 fn job_load(node: &Node, core: &Core, record: &JobRecord, tasks: u32, age: f64) -> Option<JobLoad> {
     let spec = &record.spec;
     let name = eligible_machine_types(core, spec).into_iter().next()?;
@@ -36,7 +38,7 @@
         Milestone::Start => 1.0,
         Milestone::Finish => {
             let time_left = (due.after_arrival_s - age).max(0.1);
-            let share = core.expected_run_time_s(spec) * RUN_TIMES_BEFORE_DEADLINE / time_left;
+            let share = core.expected_run_time_s(spec) * DEADLINE_TIME_IN_RUN_TIMES / time_left;
             share.clamp(MIN_CONCURRENT_SHARE, 1.0)
         }
     };
@@ -46,17 +48,19 @@
     })
 }
 
-/// How many machines all unfinished work would fill, in machines of the type that it prefers.
+/// How many machines the unfinished jobs would fill, in machines of the cheapest type that suits each job.
 #[derive(Debug)]
 pub struct WorkloadEstimate {
+    /// Machines by controller, machine type and urgency.
     pub by_member: DemandByMember,
-    /// Teams with a quota, also those without work.
+    /// Machines by team with a quota, including teams without work.
     pub by_limited_team: BTreeMap<String, f64>,
+    /// Whether any of the jobs is a gang.
     pub has_gangs: bool,
 }
 
 impl WorkloadEstimate {
-    /// Estimates the work of all jobs as `assignment` assigns them.
+    /// Estimates the work of all unfinished jobs, with their owners according to `assignment`.
     pub fn new(node: &Node, core: &Core, assignment: &Assignment) -> Self {
         let limited_teams = node.settings.params.teams.iter().filter(|t| t.is_limited());
         let mut estimate = Self {
@@ -91,20 +95,20 @@
     }
 }
 
-/// Work and machines of each controller, kept for a moment and updated by the jobs accepted meanwhile. Estimated again
-/// for each submission it took time in proportion to all jobs and machines: when users returned after an outage,
-/// hundreds at a time, heartbeats waited behind it.
+/// Work and machines of each controller. The estimate is cached for a short time and updated with the jobs accepted
+/// meanwhile. A new estimate takes time proportional to the number of jobs and machines. When it was made for each
+/// submission, hundreds of submissions after an outage delayed the answers to heartbeats.
 #[derive(Debug)]
 pub(super) struct LoadEstimate {
     estimated_at: Instant,
     assignment_revision: u64,
-    /// Machines that the work would fill, by controller and machine type.
+    /// Number of machines that the work would fill, by controller and machine type.
     demand: BTreeMap<(Member, String), f64>,
-    /// Machines, by controller, machine type and whether they are spot machines.
+    /// Number of machines, by controller, machine type and whether they are spot machines.
     machines: BTreeMap<(Member, String, bool), f64>,
 }
 
-/// How long an estimate is used.
+/// How long a cached estimate is used.
 const ESTIMATE_LIFETIME: Duration = Duration::from_millis(500);
 
 impl LoadEstimate {
@@ -138,7 +142,7 @@
             && self.assignment_revision == assignment_revision
     }
 
-    /// A controller's work per machine of a type; spot machines count for work that may use them.
+    /// A controller's work per machine of a type. Spot machines count only if `may_use_spot`.
     fn load(&self, member: &Member, machine_type: &str, may_use_spot: bool) -> f64 {
         let key = (member.clone(), machine_type.to_owned());
         let demand = self.demand.get(&key).copied().unwrap_or(0.0);
@@ -148,7 +152,7 @@
         };
         let spot_machines = if may_use_spot { count(true) } else { 0.0 };
         let machines = count(false) + spot_machines;
-        // Work counts even without any machine, so that jobs that arrive before the first boot are spread.
+        // The added one makes work count even without machines, so that jobs are distributed before any machine has booted.
         (demand + 1.0) / (machines + 1.0)
     }
 
@@ -158,9 +162,9 @@
     }
 }
 
-/// Chooses the controller that places a new job: the one with the least work per machine that the job may use, so that
-/// arrays fill what machines a gang's controller has to spare. `None` if the assignment alone decides, or if there
-/// is none yet.
+/// Chooses the controller that places a new job: the one with the least work per machine that the job may use. Array jobs
+/// can thus also use spare machines of a controller that places gangs. `None` if the assignment alone determines the
+/// controller, if there is no assignment yet or if no machine type suits the job.
 pub fn choose_placer(node: &Node, core: &mut Core, record: &JobRecord) -> Option<String> {
     let spec = &record.spec;
     let assignment = core.replica.assignment.as_ref()?;
@@ -168,8 +172,8 @@
         return None;
     }
     let load = job_load(node, core, record, spec.tasks, 0.0)?;
-    let kept = core.membership.load.take();
-    let mut estimate = kept
+    let cached = core.membership.load.take();
+    let mut estimate = cached
         .filter(|estimate| estimate.is_current(assignment.revision))
         .unwrap_or_else(|| LoadEstimate::new(node, core, &assignment.record, assignment.revision));
     let load_of = |member: &Member| estimate.load(member, &load.machine_type, spec.spot);
--- a/src/membership/load/tests.rs
+++ b/src/membership/load/tests.rs
@@ -6,10 +6,10 @@
 use rowanmill_config::ConfigFile;
 use serde_json::json;
 
-/// Users that return together after an outage: the load is estimated once for all of their submissions, and these are
-/// spread all the same.
+/// Guards against a new load estimate for each of many submissions, which delayed heartbeats when users returned after an
+/// outage. The submissions share one estimate and are still distributed among the controllers.
 #[test]
-fn many_submissions_at_once_are_spread_by_one_estimate_of_the_load() {
+fn concurrent_submissions_are_distributed_by_a_single_load_estimate() {
     let settings = json!({"member": "n-0", "site": "a", "api_addr": "127.0.0.1:1",
         "mesh_addr": "127.0.0.1:2", "known": [],
         "endpoints": {"cloud": "127.0.0.1:3", "state": "127.0.0.1:4"},
--- a/src/membership/machine_assignment.rs
+++ b/src/membership/machine_assignment.rs
@@ -1,11 +1,12 @@
-//! Assignment of machines to controllers: each machine belongs to one, and machines follow the work. This module is the
-//! pure decision; it neither writes records nor looks at limits of writes.
+//! Assignment of machines to controllers: each machine is owned by one controller, and machines are reassigned to
+//! controllers whose work lacks them. This module computes the reassignments. It does not write records and does not
+//! consider write limits.
 
 use super::assignment::Member;
 use crate::jobs::Urgency;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine as far as its assignment is concerned.
+/// The properties of a machine that its assignment depends on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AssignableMachine<'a> {
     pub name: &'a str,
@@ -13,7 +14,7 @@
     pub zone: &'a str,
     pub spot: bool,
     pub owner: &'a Member,
-    /// Tasks recorded as placed on it.
+    /// Number of tasks recorded as placed on the machine.
     pub tasks: u32,
 }
 
@@ -24,19 +25,19 @@
     pub owner: Member,
 }
 
-/// Machines that work would fill.
+/// Number of machines that work would fill.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct MachineDemand {
-    /// By work that may use any machine.
+    /// For work that may use any machine.
     pub any: f64,
-    /// By work that may not use spot machines.
+    /// For work that may not use spot machines.
     pub on_demand: f64,
 }
 
-/// Machines that each controller's work would fill, by machine type and urgency.
+/// Number of machines that each controller's work would fill, by machine type and urgency.
 pub type DemandByMember = BTreeMap<(Member, String), BTreeMap<Urgency, MachineDemand>>;
 
-/// How many machines of a type each controller should have.
+/// The number of spot and on-demand machines of a type that each controller should own.
 #[derive(Debug, Default)]
 pub struct MachineTargets {
     pub spot: BTreeMap<Member, f64>,
@@ -44,21 +45,23 @@
 }
 
 impl MachineTargets {
+    /// The targets for spot machines or for on-demand machines.
     pub fn of(&self, spot: bool) -> &BTreeMap<Member, f64> {
         if spot { &self.spot } else { &self.on_demand }
     }
 }
 
-/// Machines of a type that are there.
+/// The number of existing machines of a type.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MachineCounts {
     pub spot: f64,
     pub on_demand: f64,
 }
 
-/// Divides machines of a type: more urgent work first, in proportion where it lacks machines. What nobody's work
-/// would fill is in no target, so it stays where it is: a reassignment would only restart the time for which an idle
-/// machine is kept. Spot machines go to work that may use them, which leaves the others to work that may not.
+/// Divides the machines of a type among the controllers, more urgent work first. If there are too few machines for an
+/// urgency, they are divided in proportion to demand. Machines beyond the total demand are in no target, so they keep their
+/// owners; reassigning an idle machine would only restart the time for which it is kept. Spot machines cover the work that
+/// may use them first, which leaves on-demand machines for work that may not.
 pub fn machine_targets(
     present: &BTreeSet<Member>,
     machine_type: &str,
@@ -84,7 +87,7 @@
         };
         let any: f64 = present.iter().map(|m| demand_at(m).any).sum();
         let spot_share = covered_share(left.spot, any);
-        // What spot machines do not cover falls to the others.
+        // Demand that spot machines do not cover is added to the demand for on-demand machines.
         let rest = |m: &Member| demand_at(m).on_demand + demand_at(m).any * (1.0 - spot_share);
         let all: f64 = present.iter().map(rest).sum();
         let on_demand_share = covered_share(left.on_demand, all);
@@ -100,7 +103,7 @@
     targets
 }
 
-/// The part of a demand that so many machines cover.
+/// The share of a demand that the given number of machines covers.
 fn covered_share(machines: f64, demand: f64) -> f64 {
     if demand > 0.0 {
         (machines / demand).min(1.0)
@@ -109,35 +112,38 @@
     }
 }
 
-/// Least surplus and deficit, in machines, for which a machine in use is reassigned. It takes no work until its worker
-/// has found its new owner: for less than this it is not worth it.
+/// Minimum surplus and minimum deficit, in machines, for reassigning a machine in use. The machine receives no new work
+/// until its worker has found the new owner, which a smaller imbalance does not justify.
 const MIN_IMBALANCE_IN_USE: f64 = 1.2;
-/// The same as a part of a controller's target, where that is more.
+/// The same minimum as a share of a controller's target. The larger of the two minimums applies.
 const MIN_IMBALANCE_SHARE: f64 = 0.04;
-/// Least surplus and deficit for which an idle machine is reassigned, which loses nothing by it. With a part of the target for
-/// these too, 39 of 4,000 machines stayed idle at one controller while 78 tasks waited without end at the other.
+/// Minimum surplus and minimum deficit, in machines, for reassigning an idle machine, which costs nothing. There is no
+/// minimum relative to the target: with one, 39 of 4,000 machines stayed idle at one controller while 78 tasks waited
+/// indefinitely at the other.
 const MIN_IMBALANCE_IDLE: f64 = 0.6;
-/// An idle machine that is wholly in surplus is reassigned for a far smaller deficit: two tasks that fill half a machine
-/// waited without end at a controller without one, while the other was given each that was rented for them. Least surplus
-/// and least deficit are above 1 together in either case, or a machine would move back and forth.
-const MIN_SURPLUS_WHOLE: f64 = 0.95;
-const MIN_DEFICIT_FOR_WHOLE: f64 = 0.1;
+/// With a surplus of nearly a whole machine, a smaller deficit suffices for reassigning an idle machine. Otherwise two tasks
+/// that filled half a machine waited indefinitely at a controller without machines, because every machine rented for them
+/// was assigned to the other controller. In both rules, minimum surplus and minimum deficit add up to more than 1, so that a
+/// machine does not move back and forth.
+const MIN_SURPLUS_FOR_SMALL_DEFICIT: f64 = 0.95;
+const MIN_SMALL_DEFICIT: f64 = 0.1;
 
-/// How far a controller's machines are from its target.
+/// The difference between the number of machines that a controller owns and its target.
 #[derive(Debug, Clone, Copy)]
 struct Imbalance {
-    /// Machines above or below the target, as the case may be.
+    /// Machines above the target for a surplus, below it for a deficit.
     machines: f64,
     target: f64,
 }
 
 impl Imbalance {
+    /// Whether the imbalance is large enough for reassigning a machine in use.
     fn justifies_move_in_use(self) -> bool {
         self.machines >= MIN_IMBALANCE_IN_USE.max(self.target * MIN_IMBALANCE_SHARE)
     }
 }
 
-/// Whether a machine should move from a controller with a surplus to one with a deficit.
+/// Whether a machine should be reassigned from a controller with this surplus to one with this deficit.
 fn exceeds_migration_threshold(
     machine: &AssignableMachine,
     surplus: Imbalance,
@@ -148,13 +154,14 @@
     }
     let (surplus, deficit) = (surplus.machines, deficit.machines);
     (surplus >= MIN_IMBALANCE_IDLE && deficit >= MIN_IMBALANCE_IDLE)
-        || (surplus >= MIN_SURPLUS_WHOLE && deficit >= MIN_DEFICIT_FOR_WHOLE)
+        || (surplus >= MIN_SURPLUS_FOR_SMALL_DEFICIT && deficit >= MIN_SMALL_DEFICIT)
 }
 
-/// Tolerance of comparisons of machine counts.
+/// Tolerance for comparing machine counts.
 const EPSILON: f64 = 1e-9;
 
-/// Machines of one pool of a type, spot or not, by owner, while they are being reassigned.
+/// The spot or on-demand machines of one type: each controller's target and current number of machines. Updated with each
+/// reassignment.
 struct PoolBalance<'a> {
     targets: BTreeMap<Member, f64>,
     owned: BTreeMap<Member, f64>,
@@ -162,7 +169,7 @@
 }
 
 impl<'a> PoolBalance<'a> {
-    /// The machines as their owners have them; machines of absent owners count for nobody.
+    /// The balance before any reassignment. Machines of absent owners do not count for any controller.
     fn new(
         present: &BTreeSet<Member>,
         targets: BTreeMap<Member, f64>,
@@ -179,26 +186,28 @@
         balance
     }
 
+    /// Machines that a controller lacks; negative for a surplus.
     fn deficit(&self, member: &Member) -> f64 {
         self.targets[member] - self.owned[member]
     }
 
-    /// Of the controllers with a deficit of a machine, or with the largest if there is none, the one that
-    /// owns most in the zone already, then the one with the largest deficit: whole zones keep space for gangs in
-    /// one piece. `None` without controllers.
-    fn neediest(&self, zone: &'a str) -> Option<Member> {
+    /// The controller that should receive a machine in `zone`. Candidates are the controllers that lack at least one
+    /// machine; if there are none, those with the largest deficit. Among the candidates, the one with the most machines
+    /// in the zone is chosen, then the one with the largest deficit. Concentrating a zone at one controller keeps
+    /// capacity together for gangs that must run in a single zone. `None` if there is no controller.
+    fn choose_recipient(&self, zone: &'a str) -> Option<Member> {
         let deficits = self.owned.keys().map(|m| self.deficit(m));
         let largest = deficits.max_by(f64::total_cmp)?;
-        let is_near = |m: &&Member| self.deficit(m) >= largest.min(1.0) - EPSILON;
+        let is_candidate = |m: &&Member| self.deficit(m) >= largest.min(1.0) - EPSILON;
         let in_zone = |m: &Member| {
             let owned = self.owned_by_zone.get(&(m.clone(), zone));
             owned.copied().unwrap_or(0)
         };
-        let neediest = self.owned.keys().filter(is_near).max_by(|a, b| {
+        let recipient = self.owned.keys().filter(is_candidate).max_by(|a, b| {
             let by_zone = in_zone(a).cmp(&in_zone(b));
             by_zone.then(self.deficit(a).total_cmp(&self.deficit(b)))
         })?;
-        Some(neediest.clone())
+        Some(recipient.clone())
     }
 
     fn add(&mut self, owner: &Member, zone: &'a str) {
@@ -211,14 +220,14 @@
         *self.owned_by_zone.entry((owner.clone(), zone)).or_default() -= 1;
     }
 
-    /// Gives a machine of an absent owner to the neediest controller.
-    fn adopt(&mut self, machine: &AssignableMachine<'a>) -> Option<Reassignment> {
-        let owner = self.neediest(machine.zone)?;
+    /// Reassigns a machine of an absent owner.
+    fn reassign_orphan(&mut self, machine: &AssignableMachine<'a>) -> Option<Reassignment> {
+        let owner = self.choose_recipient(machine.zone)?;
         self.add(&owner, machine.zone);
         Some(reassignment(machine, owner))
     }
 
-    /// Moves a machine to the neediest controller, if that is worth it.
+    /// Reassigns a machine of a present owner if the imbalance between the owner and the recipient is large enough.
     fn migrate(&mut self, machine: &AssignableMachine<'a>) -> Option<Reassignment> {
         let surplus = Imbalance {
             machines: -self.deficit(machine.owner),
@@ -227,7 +236,7 @@
         if surplus.machines <= 0.0 {
             return None;
         }
-        let owner = self.neediest(machine.zone)?;
+        let owner = self.choose_recipient(machine.zone)?;
         let deficit = Imbalance {
             machines: self.deficit(&owner),
             target: self.targets[&owner],
@@ -248,9 +257,9 @@
     }
 }
 
-/// Which machines are reassigned, and to whom. Those whose owner is absent go where the deficit is largest.
-/// Beyond that, each controller gets as many of each type as its work would fill, in proportion where there are too few;
-/// emptiest machines first, and of those in use at most `max_in_use` of each pool at a time.
+/// Computes which machines are reassigned, and their new owners. All machines of absent owners are reassigned,
+/// preferably to controllers with a deficit. Then machines of present owners are moved towards the targets of
+/// [`machine_targets`], those with the fewest tasks first. Of the machines with tasks, at most `max_in_use` of each pool are moved in one call.
 pub fn assign_machines(
     machines: &[AssignableMachine],
     present: &BTreeSet<Member>,
@@ -274,8 +283,8 @@
         pool.sort_by_key(|m| (m.zone, m.name));
         let mut balance = PoolBalance::new(present, targets.of(spot).clone(), &pool);
         let orphaned = pool.iter().filter(|m| !present.contains(m.owner));
-        reassignments.extend(orphaned.filter_map(|machine| balance.adopt(machine)));
-        // Without demand for the type, moving its machines helps nobody.
+        reassignments.extend(orphaned.filter_map(|machine| balance.reassign_orphan(machine)));
+        // Without demand for the machine type, moving its machines has no benefit.
         if demand.keys().any(|(_, demanded)| demanded == machine_type) {
             pool.retain(|m| present.contains(m.owner));
             pool.sort_by_key(|m| m.tasks);
@@ -285,7 +294,7 @@
     reassignments
 }
 
-/// Moves machines of a pool, emptiest first, to where they are lacking.
+/// Moves machines from controllers with a surplus to controllers with a deficit. `pool` is sorted by number of tasks.
 fn migrations<'a>(
     balance: &mut PoolBalance<'a>,
     pool: &[&AssignableMachine<'a>],
--- a/src/membership/machine_assignment/tests.rs
+++ b/src/membership/machine_assignment/tests.rs
@@ -17,7 +17,7 @@
 #[test]
 fn machines_follow_the_work_and_leave_absent_controllers() {
     let (a, b, gone) = (member("a", 1), member("b", 1), member("c", 1));
-    let shared = |name: &'static str, owner, tasks| AssignableMachine {
+    let machine = |name: &'static str, owner, tasks| AssignableMachine {
         name,
         machine_type: "m",
         zone: "z",
@@ -26,14 +26,14 @@
         tasks,
     };
     let machines = vec![
-        shared("vm-1", &a, 3),
-        shared("vm-2", &a, 0),
-        shared("vm-3", &a, 1),
-        shared("vm-4", &b, 2),
-        shared("vm-5", &gone, 2),
+        machine("vm-1", &a, 3),
+        machine("vm-2", &a, 0),
+        machine("vm-3", &a, 1),
+        machine("vm-4", &b, 2),
+        machine("vm-5", &gone, 2),
     ];
     let present = BTreeSet::from([a.clone(), b.clone()]);
-    let wants = |member: &Member, urgency, n: f64| {
+    let demand_of = |member: &Member, urgency, n: f64| {
         (
             (member.clone(), "m".to_string()),
             BTreeMap::from([(urgency, any(n))]),
@@ -46,21 +46,25 @@
             .collect()
     };
     let (low, high) = (Urgency::BestEffort, Urgency::Standard);
-    let alike = show(&BTreeMap::from([wants(&a, low, 1.0), wants(&b, low, 4.0)]));
+    let equal = show(&BTreeMap::from([
+        demand_of(&a, low, 1.0),
+        demand_of(&b, low, 4.0),
+    ]));
     let urgent = show(&BTreeMap::from([
-        wants(&a, high, 4.0),
-        wants(&b, low, 40.0),
+        demand_of(&a, high, 4.0),
+        demand_of(&b, low, 40.0),
     ]));
-    insta::assert_snapshot!(format!("alike\n{alike}a's is more urgent\n{urgent}"), @r"
-    alike
+    insta::assert_snapshot!(format!("equal urgency\n{equal}more urgent work at a\n{urgent}"), @r"
+    equal urgency
     vm-5 to b
     vm-2 to b
-    a's is more urgent
+    more urgent work at a
     vm-5 to a
     ");
 }
 
-/// Gangs in one zone need whole zones: three controllers take over two zones' machines.
+/// Some gangs need all their machines in one zone. Three controllers take over the machines of two zones, and each zone
+/// is divided among as few controllers as possible.
 #[test]
 fn machines_of_a_zone_stay_together() {
     let gone = member("gone", 1);
@@ -92,19 +96,20 @@
     insta::assert_snapshot!(format!("{counts:?}"), @r#"{("a", "west"): 20, ("b", "east"): 10, ("b", "west"): 10, ("c", "east"): 20}"#);
 }
 
-/// Found by a takeover of a cell: two tasks that filled half a machine waited for ever at a controller
-/// without one, beside idle machines of the other; and before that, of 4,000 machines 39 stood idle.
+/// Guards against two cases of work that waited indefinitely beside idle machines. After the takeover of a cell, two tasks
+/// that filled half a machine waited at a controller without machines while the other had idle ones. Before that, 39 of
+/// 4,000 machines stayed idle.
 #[test]
 fn an_idle_machine_moves_to_a_controller_that_lacks_part_of_one_and_stays_there() {
     let (a, b) = (member("a", 1), member("b", 1));
     let present: BTreeSet<Member> = [a.clone(), b.clone()].into();
-    let wants = |m: &Member, n: f64| {
+    let demand_of = |m: &Member, n: f64| {
         let levels = BTreeMap::from([(Urgency::Standard, any(n))]);
         ((m.clone(), "m".to_owned()), levels)
     };
-    let moves = |machines: usize, of_a: usize, wanted: (f64, f64)| {
+    let moves = |machines: usize, of_a: usize, demand: (f64, f64)| {
         let names: Vec<String> = (0..machines).map(|n| format!("vm-{n:05}")).collect();
-        let demand: DemandByMember = [wants(&a, wanted.0), wants(&b, wanted.1)].into();
+        let demand: DemandByMember = [demand_of(&a, demand.0), demand_of(&b, demand.1)].into();
         let machines: Vec<AssignableMachine> = names
             .iter()
             .enumerate()
@@ -122,11 +127,15 @@
         (to_b, moves.len() - to_b)
     };
     assert_eq!(moves(4, 4, (1.5, 0.5)), (1, 0));
-    assert_eq!(moves(4, 3, (1.5, 0.5)), (0, 0), "it does not go back");
+    assert_eq!(
+        moves(4, 3, (1.5, 0.5)),
+        (0, 0),
+        "the machine does not move back"
+    );
     assert_eq!(
         moves(2, 2, (1.5, 0.5)),
         (0, 0),
-        "a part of one is not spared"
+        "a surplus of half a machine moves no machine"
     );
     assert_eq!(moves(4_000, 2_039, (2_000.0, 2_000.0)), (39, 0));
     assert_eq!(moves(4_000, 2_000, (2_000.0, 2_000.0)), (0, 0));
--- a/src/membership/rebalance.rs
+++ b/src/membership/rebalance.rs
@@ -1,7 +1,8 @@
-//! The leader's reconciliation of the durable assignment with the controllers that are registered: each job and each
-//! machine belongs to one of them, and machines follow the work.
+//! The leader's reconciliation of the recorded owners of jobs and machines with the registered controllers: each job and
+//! each machine gets a registered owner, and machines are reassigned to controllers whose work lacks them.
 //!
-//! [`plan`] decides, [`prepare`] turns the decision into one transaction within the limits, [`rebalance`] writes it.
+//! [`plan`] decides on the changes, [`prepare`] puts as many as the limits allow into one transaction, and [`rebalance`]
+//! writes it.
 
 use super::assignment::{Assignment, Member, Workload, assign_jobs};
 use super::load::WorkloadEstimate;
@@ -16,47 +17,48 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// One machine in use of so many is reassigned at a time while all controllers are registered.
+/// Out of this many machines, one in use may be moved between registered controllers at a time.
 const MACHINES_PER_MOVE_IN_USE: usize = 50;
-/// Interval between rebalancings while no controller comes or goes.
-const INTERVAL: Duration = Duration::from_secs(1);
-/// The same while writes are scarce: rental records then take the place of starts of tasks.
+/// Interval between rebalancings while no takeover is needed.
+const REBALANCE_INTERVAL: Duration = Duration::from_secs(1);
+/// The same interval while writes are scarce. Rental records then use up writes that starting tasks needs.
 const INTERVAL_AT_SCARCE_WRITES: Duration = Duration::from_secs(2);
-/// Part of the write rate below whose headroom writes count as scarce.
+/// Writes are scarce while the write headroom, from 0 to 1, is below this value.
 const SCARCE_WRITE_HEADROOM: f64 = 0.5;
-/// Most rental records that a rebalancing among registered controllers writes: more would keep starts of tasks from
-/// being recorded.
-const MAX_RECORDS: usize = 4;
-/// Rental records that a takeover may always write at once, whatever this controller's part of the write rate.
+/// Maximum number of rental records that a rebalancing among registered controllers writes. More would keep the
+/// starts of tasks from being recorded.
+const MAX_INTERVAL_RECORDS: usize = 4;
+/// Number of rental records that a takeover may always write at once, even beyond this controller's share of the write
+/// rate.
 const MIN_TAKEOVER_RECORDS: usize = 10;
 
-/// When the leader rebalanced last, and among whom.
+/// When this controller last rebalanced as the leader, and the controllers that were registered then.
 #[derive(Debug, Default)]
 pub(super) struct RebalanceState {
     last_run: Option<Instant>,
     members: BTreeSet<Member>,
 }
 
-/// Why a rebalancing runs.
+/// The reason for a rebalancing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Trigger {
-    /// The interval is over, and everything belongs to a registered controller.
+    /// The interval has passed, and every job and machine has a registered owner.
     Interval,
-    /// Controllers came or went, or something belongs to none of them. `is_due` says whether the interval
-    /// is over, too.
+    /// The registered controllers have changed, there is no assignment of jobs yet, or a machine has no registered owner.
+    /// `is_due` says whether the interval has passed too.
     Takeover { is_due: bool },
 }
 
 impl Trigger {
-    /// Whether machines in use may be reassigned from one registered controller to another.
+    /// Whether machines in use may be moved from one registered controller to another.
     fn may_move_machines_in_use(self) -> bool {
         matches!(self, Self::Interval | Self::Takeover { is_due: true })
     }
 }
 
-/// What has to change so that everything belongs to a registered controller.
+/// The changes of owners that a rebalancing decides on.
 struct Plan {
-    /// The new assignment of jobs, and the revision of the record that it replaces; `None` if it stays.
+    /// The new assignment of jobs, and the revision of the record that it replaces; `None` if it is unchanged.
     assignment: Option<(Assignment, u64)>,
     machines: Vec<Reassignment>,
 }
@@ -65,19 +67,19 @@
 struct Transaction {
     preconditions: Vec<Precondition>,
     operations: Vec<Operation>,
-    /// Machines that the plan reassigns; rentals beyond the limits follow in a later transaction.
+    /// Number of machines that the plan reassigns. Rental records beyond the limits are left to a later transaction.
     machines: usize,
 }
 
-/// Whether quotas are divided among the controllers: only once every registered one is configured to. One of the previous
-/// version takes no part in it, and its quotas are undivided again from its registration on.
+/// Whether the teams' quotas are divided among the controllers, which requires that every registered controller is
+/// configured to do so. As soon as a controller of the previous version registers, the quotas are undivided again.
 fn divides_quotas(node: &Node, core: &Core) -> bool {
     let mut present = core.replica.presence.values();
     node.supported_level >= FeatureLevel::DIVIDED_QUOTAS
         && present.all(|p| p.record.supported_level >= FeatureLevel::DIVIDED_QUOTAS)
 }
 
-/// Decides whether to rebalance now, and records that it does.
+/// Decides whether to rebalance now. If so, records the time and the registered controllers.
 fn trigger(node: &Node, core: &mut Core) -> Option<Trigger> {
     let present = core.replica.present_members();
     let machines = &core.replica.fleet.machines;
@@ -88,7 +90,7 @@
     let interval = if node.state.write_headroom() < SCARCE_WRITE_HEADROOM {
         INTERVAL_AT_SCARCE_WRITES
     } else {
-        INTERVAL
+        REBALANCE_INTERVAL
     };
     let is_due = state.last_run.is_none_or(|at| at.elapsed() >= interval);
     if core.machine_types.is_empty() || !(is_due || is_takeover) {
@@ -105,7 +107,7 @@
     }
 }
 
-/// Decides which jobs and machines are reassigned.
+/// Decides which jobs and machines to reassign.
 fn plan(node: &Node, core: &Core, trigger: Trigger) -> Plan {
     let replica = &core.replica;
     let present = replica.present_members();
@@ -139,6 +141,7 @@
     }
 }
 
+/// All machines, with their recorded owners and numbers of tasks.
 fn assignable_machines(core: &Core) -> Vec<AssignableMachine<'_>> {
     let replica = &core.replica;
     let machines = replica.fleet.machines.iter();
@@ -157,23 +160,24 @@
         .collect()
 }
 
-/// How many rental records a rebalancing may write now.
+/// The maximum number of rental records that a rebalancing may write now.
 fn max_rental_records(node: &Node, trigger: Trigger) -> usize {
     match trigger {
-        // Until a takeover is done its workers' leases run out and nobody's tasks start: it may use what is
-        // reserved for users, and what the absent controllers do not write.
+        // Until a takeover is complete, the leases of the affected workers run out and no tasks start on their machines.
+        // Therefore it may use the writes reserved for users, and the share of the write rate of absent controllers.
         Trigger::Takeover { .. } => {
             let available = node.state.available_writes(WritePriority::UserFacing);
-            let most = node.settings.max_transaction_operations() - 1;
-            most.min(available.max(MIN_TAKEOVER_RECORDS))
+            let limit = node.settings.max_transaction_operations() - 1;
+            limit.min(available.max(MIN_TAKEOVER_RECORDS))
         }
         Trigger::Interval => {
-            MAX_RECORDS.min(node.state.available_writes(WritePriority::Background))
+            MAX_INTERVAL_RECORDS.min(node.state.available_writes(WritePriority::Background))
         }
     }
 }
 
-/// The transaction that carries out as much of a plan as the limits allow, under the leader record's `revision`.
+/// The transaction that makes as many of the planned changes as the limits allow. `revision` is that of the leader record,
+/// which must be unchanged.
 fn prepare(node: &Node, plan: &Plan, trigger: Trigger, revision: u64) -> Transaction {
     let mut transaction = Transaction {
         preconditions: vec![Precondition {
@@ -196,9 +200,9 @@
     transaction
 }
 
-/// Adds the rental records of reassigned machines, whole rentals at a time. A reassigned machine gets the next
-/// fencing token, so that whatever its previous owner still writes fails on its preconditions, and the worker drops that
-/// owner's answers.
+/// Adds the rental records of reassigned machines to the transaction, each rental completely or not at all. The fencing
+/// token of a reassigned machine is incremented. Later writes of the previous owner then fail on their preconditions, and
+/// the worker ignores the previous owner's answers.
 fn add_rentals(
     node: &Node,
     machines: &[Reassignment],
@@ -242,8 +246,9 @@
     }
 }
 
-/// Reassigns what belongs to no registered controller, and machines to where work lacks them. Only the leader
-/// may call it, with the leader record's `revision`. A refused transaction is planned again by a later call.
+/// Reassigns jobs and machines without a registered owner, and moves machines to controllers whose work lacks them. Only the
+/// leader may call this. `revision` is that of the leader record. If the transaction is refused, a later call makes a new
+/// plan.
 pub async fn rebalance(node: &Arc<Node>, revision: u64) {
     let (plan, trigger) = {
         let _charge = node.processor_time.charge(CpuAccount::Scaling);
--- a/src/membership/schema_versions.rs
+++ b/src/membership/schema_versions.rs
@@ -131,6 +131,7 @@
             revision: core.replica.presence.get(*name).map_or(0, |p| p.revision),
         })
         .collect();
+    // Leaves room for the precondition below within the limit on preconditions, see `state::max_preconditions`.
     preconditions.truncate(node.settings.max_transaction_operations() * 4 - 1);
     preconditions.push(Precondition {
         key: RecordKey::SchemaVersions.into(),
