--- a/src/membership/machine_assignment/tests.rs
+++ b/src/membership/machine_assignment/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn machines_follow_the_work_and_leave_absent_controllers() {
+fn machines_are_reassigned_by_demand_and_away_from_absent_controllers() {
     let (a, b, gone) = (member("a", 1), member("b", 1), member("c", 1));
     let machine = |name: &'static str, owner, tasks| AssignableMachine {
         name,
--- a/src/node/contact.rs
+++ b/src/node/contact.rs
@@ -48,9 +48,9 @@
     }
 
     /// Whether this controller may answer workers' heartbeats, which renews their leases. While a lease is renewed, a
-    /// cancelled task that this controller does not know to be cancelled would run for longer than `cancel_s`.
-    /// Therefore, within `disconnected_lease_limit`, either this controller must have read the records, or every peer
-    /// must have been disconnected from the state service too and have attested the cancelled jobs.
+    /// cancelled task that this controller does not know to be cancelled could run for longer than `cancel_s`.
+    /// Therefore one of two conditions must hold within the last `disconnected_lease_limit`: this controller has read the
+    /// records, or every peer was also disconnected from the state service and has attested the cancelled jobs.
     pub fn may_renew_leases(&self) -> bool {
         let limit = self.settings.disconnected_lease_limit();
         let core = self.core();
@@ -65,7 +65,7 @@
         last_read.max(attested.unwrap_or(last_read)).elapsed() <= limit
     }
 
-    /// Whether the last answer of the state service was to a request sent within `length`.
+    /// Whether the state service has answered a request that was sent at most `length` ago.
     pub fn is_connected_within(&self, length: Duration) -> bool {
         let last_read = self.core().last_read_barrier;
         last_read.is_some_and(|at| at.elapsed() <= length)
--- a/src/node/ownership.rs
+++ b/src/node/ownership.rs
@@ -60,13 +60,14 @@
                 self.scaling.releasing.remove(name);
             }
         }
-        self.forget_observations(name);
+        self.discard_observations(name);
     }
 
     /// Discards what a machine's agent reported, and the pending changes that are based on it.
-    fn forget_observations(&mut self, name: &str) {
+    fn discard_observations(&mut self, name: &str) {
         self.workers.agents.remove(name);
-        // A heartbeat response that is being held back for this machine is sent now and redirects to the new owner.
+        // A heartbeat response that is being held back for this machine is sent now. If another controller owns the
+        // machine, the response names that controller.
         self.workers.release_held_response(name);
         let recorded = self.replica.tasks_by_machine.get(name).cloned();
         // Planned starts that are not written yet are also discarded: no other code would do so, and their tasks
