--- a/src/limits/blocked.rs
+++ b/src/limits/blocked.rs
@@ -12,7 +12,7 @@
 /// The most bytes that one of them takes in a record.
 const MAX_BYTES_EACH: usize = 200;
 /// The most bytes that published gangs take in a record.
-pub const MAX_PUBLISHED_BYTES: usize = MAX_PUBLISHED * MAX_BYTES_EACH;
+pub const MAX_PUBLISHED_GANG_BYTES: usize = MAX_PUBLISHED * MAX_BYTES_EACH;
 
 /// Headroom that is reserved for a blocked gang.
 pub struct GangReservation<'a> {
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -18,7 +18,7 @@
 use crate::node::Core;
 use crate::settings::Settings;
 use crate::state::records::Versioned;
-pub use blocked::{MAX_PUBLISHED_BYTES, record_blocked_gangs};
+pub use blocked::{MAX_PUBLISHED_GANG_BYTES, record_blocked_gangs};
 pub use charge::QuotaCharge;
 pub use leader::allocate_limits;
 pub use report::log_team_quotas;
--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -195,7 +195,7 @@
         .unwrap()
         .len();
     assert!(
-        published <= MAX_PUBLISHED_BYTES,
+        published <= MAX_PUBLISHED_GANG_BYTES,
         "{published} bytes published"
     );
 }
--- a/src/renting/forecast.rs
+++ b/src/renting/forecast.rs
@@ -9,7 +9,7 @@
 use super::summary::{DemandForecast, ForecastSummaryRecord, IdleMachine};
 use super::write_rate::adjust_write_rate;
 use crate::fleet::MachineState;
-use crate::limits::MAX_PUBLISHED_BYTES;
+use crate::limits::MAX_PUBLISHED_GANG_BYTES;
 use crate::node::{Core, Node, age_s};
 use crate::placement::batch_order;
 use crate::placement::forecast::{Forecast, forecast};
@@ -291,7 +291,7 @@
 fn max_published_idle(node: &Node, core: &Core, idle: &[IdleMachine]) -> usize {
     let machine_types = core.kinds.len().max(1);
     let published_gangs = if core.limits.has_divided_teams(core) {
-        MAX_PUBLISHED_BYTES
+        MAX_PUBLISHED_GANG_BYTES
     } else {
         0
     };
