--- a/crates/rowanmill-limits/src/allocation.rs
+++ b/crates/rowanmill-limits/src/allocation.rs
@@ -1,8 +1,10 @@
-//! The leader's side: it allocates a team's limit to the controllers whenever these or the limit changed.
+//! The leader's side: it divides a team's limit into allocations, and does so again after the limit or the
+//! assignment of jobs has changed.
 //!
-//! It may do so only while nothing can be started under the previous record, since it must know what is in
-//! use. That is the case under another assignment, whose revision each start requires, and once the record
-//! is frozen; and what is in use is known once the leader's replica has applied all changes up to then.
+//! New allocations must cover everything in use, so the leader may write them only when no further start can
+//! be recorded under the previous record. This holds once the assignment has changed, since each start
+//! requires the assignment's revision, or once the record is frozen. The leader knows the usage as soon as
+//! its replica has applied all changes up to that revision.
 
 use crate::amount::ResourceAmount;
 use crate::demand::MemberDemand;
@@ -10,10 +12,10 @@
 use crate::record::{AllocationRecord, Versioned};
 use crate::targets::allocation_targets;
 
-/// What the leader should do about one team's record.
+/// The leader's decision about one team's record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AllocationDecision {
-    /// Leave it: it is valid, or nothing can be done yet.
+    /// Keep the present record: it is valid, or it cannot be replaced yet.
     Keep,
     /// Write a record under which no controller may start anything.
     Freeze(AllocationRecord),
@@ -21,7 +23,7 @@
     Allocate(AllocationRecord),
 }
 
-/// What the leader's replica holds about one team.
+/// The contents of the leader's replica that concern one team.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaderView<'a> {
     /// The team's limit in the settings.
@@ -30,11 +32,11 @@
     pub record: Option<Versioned<&'a AllocationRecord>>,
     /// The revision of the assignment of jobs.
     pub assignment_revision: u64,
-    /// The replica has applied all changes up to this revision.
+    /// The revision up to which the replica has applied all changes.
     pub applied_revision: u64,
-    /// What each controller's jobs use and wait for.
+    /// The demand of the team's jobs at each controller.
     pub members: &'a [MemberDemand],
-    /// What tasks use whose jobs are assigned to no controller.
+    /// Resources that are used by tasks whose jobs are assigned to no controller.
     pub unowned: ResourceAmount,
 }
 
@@ -47,14 +49,14 @@
         })
     }
 
-    /// Whether controllers may start tasks under the present record, whatever limit it divides.
+    /// Whether controllers may start tasks under the present record, even if it divides an outdated limit.
     fn permits_starts(&self) -> bool {
         self.record.is_some_and(|Versioned { record, .. }| {
             record.assignment_revision == self.assignment_revision && !record.is_frozen()
         })
     }
 
-    /// The revision from which on nothing can have been started under the previous record.
+    /// The revision after which no start can be recorded under the previous record.
     fn starts_fenced_at(&self) -> u64 {
         let record_revision = self.record.map_or(0, |versioned| versioned.revision);
         record_revision.max(self.assignment_revision)
@@ -77,8 +79,9 @@
     allocate(view).map_or(AllocationDecision::Keep, AllocationDecision::Allocate)
 }
 
-/// A record in which each controller has at least what its tasks use. `None` as long as that is more than
-/// the limit: it was lowered, and nothing starts before enough tasks have ended.
+/// A record that allocates to each controller at least the amount that its tasks use. `None` without
+/// controllers, or while the tasks use more than a lowered limit: nothing starts until enough of them have
+/// ended.
 fn allocate(view: &LeaderView) -> Option<AllocationRecord> {
     let limit = view.limit.as_amount();
     let used: ResourceAmount = view.members.iter().map(|demand| demand.used).sum();
--- a/crates/rowanmill-limits/src/amount.rs
+++ b/crates/rowanmill-limits/src/amount.rs
@@ -1,14 +1,15 @@
-//! Amounts of CPUs and GPUs in whole millionths, so that sums are exact in whatever order they are added.
+//! Amounts of CPUs and GPUs as whole millionths, so that sums are exact and do not depend on the order of
+//! addition.
 
 use serde::{Deserialize, Serialize};
 
-/// Integer units in one CPU or GPU.
+/// Units in one CPU or GPU.
 const UNITS_PER_RESOURCE: f64 = 1e6;
-/// Tolerance, in units: decimal fractions are not exact in binary, and a smaller part of a unit is taken for
-/// an error of representation.
+/// Tolerance, in units, for decimal fractions without an exact binary representation: a smaller excess is a
+/// rounding error.
 const REPRESENTATION_TOLERANCE: f64 = 0.01;
-/// The largest amount of either resource, in CPUs or GPUs: in units, sums of a million such amounts still
-/// fit into 64 bits.
+/// The largest amount of either resource, in CPUs or GPUs. In units, the sum of a million such amounts fits
+/// into 64 bits.
 const MAX_AMOUNT: f64 = 1e7;
 
 /// Why a number cannot be used as an amount.
@@ -20,7 +21,7 @@
     /// It is infinite or not a number.
     #[error("{0} is not a finite number")]
     NotFinite(f64),
-    /// It is larger than any cluster.
+    /// It exceeds the largest supported amount, which is more than any cluster has.
     #[error("{0} is larger than {MAX_AMOUNT}")]
     TooLarge(f64),
 }
@@ -39,15 +40,15 @@
     Ok(value)
 }
 
-/// The units that `tasks` tasks of `each` CPUs or GPUs use, rounded up. More than any limit is capped at
-/// twice the largest amount.
+/// The units used by `tasks` tasks with `each` CPUs or GPUs, rounded up and capped at twice the largest
+/// amount, which exceeds any limit.
 fn units_rounded_up(each: f64, tasks: u32) -> Result<u64, AmountError> {
     let total = (validated(each)? * f64::from(tasks)).min(MAX_AMOUNT * 2.0);
     let units = (total * UNITS_PER_RESOURCE - REPRESENTATION_TOLERANCE).ceil();
     Ok(units.max(0.0) as u64)
 }
 
-/// The units of `value` CPUs or GPUs, rounded down.
+/// The units in `value` CPUs or GPUs, rounded down.
 pub(crate) fn units_rounded_down(value: f64) -> Result<u64, AmountError> {
     Ok((validated(value)? * UNITS_PER_RESOURCE + REPRESENTATION_TOLERANCE).floor() as u64)
 }
@@ -84,11 +85,11 @@
         micro_gpus: 0,
     };
 
-    /// What `tasks` tasks of `cpus` CPUs and `gpus` GPUs each use together, rounded up by less than one unit
-    /// for all of them. More than any limit is capped at twice the largest amount.
+    /// The total usage of `tasks` tasks with `cpus` CPUs and `gpus` GPUs each. Only the total is rounded up,
+    /// by less than one unit. It is capped at twice the largest amount, which exceeds any limit.
     ///
     /// # Errors
-    /// If what one task uses is negative, not finite or larger than any cluster.
+    /// If the amount per task is negative, not finite or larger than any cluster.
     pub fn for_tasks(cpus: f64, gpus: f64, tasks: u32) -> Result<Self, AmountError> {
         Ok(Self {
             micro_cpus: units_rounded_up(cpus, tasks)?,
--- a/crates/rowanmill-limits/src/config.rs
+++ b/crates/rowanmill-limits/src/config.rs
@@ -1,23 +1,25 @@
-//! The operators' file that enables quota allocations.
+//! The configuration file with which operators enable quota allocations.
 
 use crate::amount::ResourceAmount;
 use rowanmill_config::{ConfigFile, InvalidField};
 use serde::Deserialize;
 use std::time::Duration;
 
-/// The contents of the file. Fields that it omits are as in [`LimitsConfig::default`].
+/// The contents of the file. Omitted fields have the values of [`LimitsConfig::default`].
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LimitsConfig {
-    /// The least time between two changes of a team's record by one controller, in seconds.
+    /// The minimum time between two changes of a team's record by one controller, in seconds.
     pub change_every_s: f64,
-    /// A transfer moves at least this fraction of the limit, or the recipient's whole shortfall.
+    /// The minimum size of a transfer, as a fraction of the limit. A smaller transfer is made only if it
+    /// covers the recipient's whole shortfall, or if the recipient's oldest waiting work does not fit into
+    /// its allocation.
     pub step: f64,
-    /// A controller hands on headroom that its waiting work has not used for this long, in seconds: that
-    /// work waits for machines.
+    /// How long a controller keeps headroom that its waiting work does not use, in seconds, before it
+    /// transfers that headroom to others. Such work waits for machines, not for the limit.
     pub idle_after_s: f64,
-    /// After this long, in seconds, a gang that only its team's limit keeps from starting has headroom
-    /// reserved for it as it becomes free.
+    /// How long a gang waits, in seconds, before headroom that becomes free is reserved for it. Applies to
+    /// gangs that only their team's limit keeps from starting.
     pub reserve_after_s: f64,
 }
 
@@ -32,10 +34,10 @@
     }
 }
 
-/// The least pause between two changes of a record, in seconds: any less would spend the state service's
-/// writes on transfers.
+/// The smallest accepted `change_every_s`, in seconds. With a smaller one, transfers would use up the rate of
+/// writes that the state service allows.
 const MIN_CHANGE_INTERVAL_S: f64 = 0.05;
-/// The largest fraction of a limit that a transfer may be required to move.
+/// The largest accepted `step`.
 const MAX_STEP: f64 = 0.5;
 /// The longest duration that any field accepts, in seconds.
 const MAX_DURATION_S: f64 = 3600.0;
@@ -70,17 +72,17 @@
 }
 
 impl LimitsConfig {
-    /// The least time between two changes of a team's record by one controller.
+    /// The minimum time between two changes of a team's record by one controller.
     pub fn change_interval(&self) -> Duration {
         Duration::from_secs_f64(self.change_every_s)
     }
 
-    /// How long headroom may be idle before it is handed to others.
+    /// How long headroom may be idle before it is transferred to others.
     pub fn idle_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.idle_after_s)
     }
 
-    /// The least that a transfer of a part of `limit` moves.
+    /// The minimum size of a transfer under `limit`, see [`LimitsConfig::step`].
     pub fn min_transfer(&self, limit: ResourceAmount) -> ResourceAmount {
         let fraction_of = |units: u64| (units as f64 * self.step) as u64;
         ResourceAmount {
--- a/crates/rowanmill-limits/src/holder.rs
+++ b/crates/rowanmill-limits/src/holder.rs
@@ -13,38 +13,39 @@
 /// Why a controller changes a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordChangeKind {
-    /// It moves some of its own allocation to others.
+    /// It transfers a part of its own allocation to others.
     Transfer,
-    /// It writes the same record again: transactions in doubt require the revision before and fail from
-    /// then on.
+    /// It writes the same record again. Transactions in doubt require the previous revision, so they fail
+    /// from then on.
     Fence,
 }
 
-/// A change of a team's record, to be written on condition that the record still has `base_revision`.
+/// A change of a team's record, which may be written only if the record still has `base_revision`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecordChange {
     /// The record after the change.
     pub record: AllocationRecord,
     /// The revision of the record that was changed.
     pub base_revision: u64,
-    /// What the controller hands to others.
+    /// The amount that the controller transfers to others.
     pub transferred: ResourceAmount,
     /// The reason for the change.
     pub kind: RecordChangeKind,
 }
 
-/// What a controller remembers of one team beside the records.
+/// A controller's state of one team that is not in the records.
 #[derive(Debug, Default)]
 struct TeamState {
     in_doubt: Vec<InDoubtTransaction>,
     /// When the controller last changed the team's record.
     last_change: Option<Instant>,
-    /// Since when the controller has had headroom that its waiting work does not use.
+    /// When the controller was first seen to have headroom that its waiting work does not use; `None` if it
+    /// has none.
     idle_since: Option<Instant>,
 }
 
 impl TeamState {
-    /// Updates how long the controller has had headroom that its waiting work does not use, and returns it.
+    /// Updates and returns for how long the controller has had headroom that its waiting work does not use.
     fn observe_idle(
         &mut self,
         plan: &TransferPlan,
@@ -65,11 +66,11 @@
     }
 }
 
-/// A controller's quota state of all teams: what its records do not say.
+/// A controller's quota state of all teams that is not in the records.
 #[derive(Debug, Default)]
 pub struct QuotaHolder {
     config: LimitsConfig,
-    /// The controller's name, as the records use it.
+    /// The controller's name in the records.
     member: String,
     teams: BTreeMap<String, TeamState>,
 }
@@ -84,13 +85,13 @@
         }
     }
 
-    /// Charges a transaction without an answer to a team until its outcome is known.
+    /// Charges a transaction that got no answer to a team until its outcome is known.
     pub fn record_in_doubt(&mut self, team: &str, transaction: InDoubtTransaction) {
         let state = self.teams.entry(team.to_owned()).or_default();
         state.in_doubt.push(transaction);
     }
 
-    /// Forgets the team's transactions in doubt whose outcome the replica shows.
+    /// Removes the team's transactions in doubt whose outcome the replica shows.
     pub fn resolve_in_doubt(&mut self, team: &str, view: &TeamView) {
         if let Some(state) = self.teams.get_mut(team) {
             state
@@ -99,7 +100,7 @@
         }
     }
 
-    /// What the team's transactions in doubt take if all of them were applied.
+    /// The total that the team's transactions in doubt take if all of them are applied.
     pub fn in_doubt_amount(&self, team: &str) -> ResourceAmount {
         self.teams.get(team).map_or(ResourceAmount::ZERO, |state| {
             let amounts = state.in_doubt.iter().map(|transaction| transaction.amount);
@@ -107,7 +108,7 @@
         })
     }
 
-    /// What the controller's tasks of a team may use in all: zero without a valid record.
+    /// The controller's allocation of a team; zero without a valid record.
     pub fn allocation(&self, view: &TeamView) -> ResourceAmount {
         view.valid_record()
             .map_or(ResourceAmount::ZERO, |versioned| {
@@ -115,8 +116,9 @@
             })
     }
 
-    /// What the controller may start now beside `charged`, which its tasks use or are planned to use. Less
-    /// than its allocation leaves while another controller is held up and should have a part of it.
+    /// The resources with which the controller may start tasks now, in addition to `charged`, which its tasks
+    /// use or are planned to use. While another controller needs a part of its allocation to start waiting
+    /// work, this is less than the allocation leaves.
     pub fn headroom(&self, team: &str, view: &TeamView, charged: ResourceAmount) -> ResourceAmount {
         let mut usable = self.allocation(view);
         if let Some(versioned) = view.valid_record() {
@@ -127,8 +129,8 @@
     }
 
     /// The change that the controller should make to a team's record now, if any: a transfer, or a fence
-    /// while transactions are in doubt. At most one is returned in the configured interval, and none without
-    /// a valid record. `charged` is as for [`QuotaHolder::headroom`].
+    /// while transactions are in doubt. At most one change is returned per configured interval, and none
+    /// without a valid record. `charged` is as for [`QuotaHolder::headroom`].
     pub fn next_change(
         &mut self,
         team: &str,
--- a/crates/rowanmill-limits/src/key.rs
+++ b/crates/rowanmill-limits/src/key.rs
@@ -1,8 +1,8 @@
-//! Team names as parts of the state service's keys, which allow neither spaces nor slashes.
+//! Encoding of team names in the state service's keys, which allow neither spaces nor slashes.
 
 use std::fmt::Write;
 
-/// Begins an encoded byte, which two hexadecimal digits follow.
+/// Precedes the two hexadecimal digits of an encoded byte.
 const ESCAPE: u8 = b'~';
 
 /// Encodes a team's name for use in a key: letters, digits, `-`, `_` and `.` stay, any other byte becomes
@@ -21,7 +21,7 @@
     encoded
 }
 
-/// Decodes what [`encode_team`] returned; `None` if the text is no encoded name.
+/// Decodes what [`encode_team`] returned; `None` if the text is not an encoded name.
 pub fn decode_team(encoded: &str) -> Option<String> {
     let mut name = Vec::with_capacity(encoded.len());
     let mut rest = encoded.bytes();
--- a/crates/rowanmill-limits/src/lib.rs
+++ b/crates/rowanmill-limits/src/lib.rs
@@ -1,24 +1,24 @@
 //! Team limits that hold while several controllers start tasks at the same time.
 //!
 //! A team's limit is divided into *quota allocations*, one for each controller, in one record of the state
-//! service. A controller starts tasks within its own allocation only, and each transaction that records
-//! starts requires the revision of that record and of the assignment of jobs to controllers.
-//! `docs/concurrent-limits.md` weighs the alternatives and proves the invariant.
+//! service. A controller starts tasks only within its own allocation, and each transaction that records
+//! starts requires the revisions of that record and of the assignment of jobs to controllers.
+//! `docs/concurrent-limits.md` compares the alternatives and proves the invariant.
 //!
-//! Dependencies between the modules go one way, in this order:
+//! Each module depends only on those before it in this list:
 //! - [`amount`] and [`limit`] count resources in exact integer units;
-//! - [`config`] and [`teams`] read and check what operators set;
-//! - [`record`] and [`key`] define what the state service holds;
-//! - [`demand`] describes what each controller's jobs use and wait for; [`targets`] derives from that what
-//!   each allocation should come to;
-//! - [`view`] is a controller's picture of one team;
-//! - [`in_doubt`] tracks transactions without an answer; `transfer` plans what a controller hands to
+//! - [`config`] and [`teams`] read and validate what operators set;
+//! - [`record`] and [`key`] define what the state service stores;
+//! - [`demand`] describes what each controller's jobs use and wait for; from this, [`targets`] derives the
+//!   allocation that each controller should have;
+//! - [`view`] is what a controller's replica holds about one team;
+//! - [`in_doubt`] tracks transactions that got no answer; `transfer` plans what a controller transfers to
 //!   others; [`holder`] combines both into a controller's side of the protocol;
 //! - [`allocation`] is the leader's side;
-//! - [`report`] answers the command-line client.
+//! - [`report`] builds the reports of the command-line client.
 //!
-//! The crate decides and computes only: it does no input or output besides reading the operators' file, and
-//! it takes the time as an argument.
+//! The crate contains decisions and calculations only: it performs no input or output except reading the
+//! operators' file, and callers pass in the time.
 #![deny(missing_docs)]
 
 pub mod allocation;
--- a/crates/rowanmill-limits/src/limit.rs
+++ b/crates/rowanmill-limits/src/limit.rs
@@ -1,8 +1,8 @@
-//! A team's limit: the most that its tasks may use at any time, of each resource that has one.
+//! A team's limit: the most of each limited resource that its tasks may use at any time.
 
 use crate::amount::{AmountError, ResourceAmount, units_rounded_down};
 
-/// A team's limit. A resource without one is not counted.
+/// A team's limit. Resources that are unlimited are not counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TeamLimit {
     /// Millionths of a CPU; `None` if CPUs are unlimited.
@@ -12,8 +12,8 @@
 }
 
 impl TeamLimit {
-    /// The limit that the platform's settings give in CPUs and GPUs, where 0 means no limit. Rounded down to
-    /// a unit.
+    /// Converts the limit of the platform's settings, given in CPUs and GPUs with 0 for no limit. Rounded
+    /// down to a unit.
     ///
     /// # Errors
     /// If a number is negative, not finite or larger than any cluster.
--- a/crates/rowanmill-limits/src/record.rs
+++ b/crates/rowanmill-limits/src/record.rs
@@ -1,4 +1,4 @@
-//! The record of a team's quota allocations, as the state service holds it.
+//! The record of a team's quota allocations as the state service stores it.
 
 use crate::amount::ResourceAmount;
 use crate::limit::TeamLimit;
@@ -17,7 +17,7 @@
 /// Why a record cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// It is not JSON, or of another shape.
+    /// It is not valid JSON, or not the JSON of such a record.
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
     /// Its allocations exceed the limit that they divide.
@@ -25,7 +25,7 @@
     OverLimit {
         /// The sum of the allocations.
         allocated: ResourceAmount,
-        /// The limit that the record names.
+        /// The limit in the record.
         limit: ResourceAmount,
     },
 }
@@ -33,13 +33,14 @@
 /// How a team's limit is divided among the controllers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AllocationRecord {
-    /// The revision of the assignment of jobs under which the record is valid. Under any other it permits
-    /// nothing.
+    /// The revision of the assignment of jobs under which the record is valid. Under any other it permits no
+    /// starts.
     #[serde(rename = "assignment")]
     pub assignment_revision: u64,
     /// The limit that is divided, with zero for a resource that has none.
     pub limit: ResourceAmount,
-    /// What each controller's tasks may use. Empty while the record is frozen.
+    /// The allocation of each controller: the maximum that its tasks may use. Empty while the record is
+    /// frozen.
     #[serde(rename = "allotments")]
     pub allocations: BTreeMap<String, ResourceAmount>,
 }
@@ -87,13 +88,13 @@
             && !self.is_frozen()
     }
 
-    /// What the tasks of the controller `member` may use; zero if it has no allocation.
+    /// The allocation of the controller `member`; zero if it has none.
     pub fn allocation_of(&self, member: &str) -> ResourceAmount {
         self.allocations.get(member).copied().unwrap_or_default()
     }
 
-    /// Moves `amount` from one controller's allocation to another's. The sum of all allocations stays the
-    /// same as long as `from` has that much.
+    /// Moves `amount` from one controller's allocation to another's. The sum of all allocations does not
+    /// change if `from` has at least that much.
     pub(crate) fn transfer(&mut self, from: &str, to: &str, amount: ResourceAmount) {
         if amount.is_zero() || from == to {
             return;
--- a/crates/rowanmill-limits/src/targets.rs
+++ b/crates/rowanmill-limits/src/targets.rs
@@ -1,16 +1,20 @@
-//! What each controller's allocation should come to. All controllers compute the same targets from the same
-//! records, so that no two of them work against one another.
+//! The allocation that each controller should have. All controllers compute the same targets from the same
+//! records, so that their transfers do not undo one another.
 
 use crate::amount::ResourceAmount;
 use crate::demand::MemberDemand;
 
-/// The allocation that each controller should have, in the order of `members`. Their sum is `limit` at most.
+/// The allocation that each controller should have, in the order of `members`. Their sum does not exceed
+/// `limit`.
 ///
-/// Where all demand fits, each has what it demands and an equal share of the rest, so that the next job finds
-/// headroom wherever it is submitted. Where it does not, the oldest waiting gang is to start beside what runs
-/// at its controller, then each controller is to have what its own oldest unit needs, oldest first. The rest
-/// is shared in proportion to what each demands beyond that for work that can still meet its deadline, and
-/// what then is left in proportion to the demand of late work.
+/// If the limit covers all demand, each controller gets its demand and an equal share of the rest, so that
+/// the next job finds headroom wherever it is submitted. Otherwise the limit is distributed in this order:
+/// - the controller of the oldest waiting gang gets the amount that the gang needs in addition to the tasks
+///   that run there;
+/// - each other controller gets at least the amount that its own oldest unit needs, gangs first and then by
+///   age;
+/// - the rest is shared in proportion to unmet demand, first that of work that can still meet its deadline
+///   and then that of late work.
 pub fn allocation_targets(limit: ResourceAmount, members: &[MemberDemand]) -> Vec<ResourceAmount> {
     let minimums = minimum_allocations(limit, members);
     let targets_of = |units: fn(ResourceAmount) -> u64| {
@@ -34,10 +38,10 @@
         .collect()
 }
 
-/// What the oldest waiting unit of each controller needs, as far as all of these fit together. The order is
-/// the same at every controller: of two gangs that need more than half each, the older one is served and the
-/// other waits for it, and neither holds what the other lacks. Only the first gang is given headroom beside
-/// what runs there: if all were, none of them could count on it.
+/// The need of each controller's oldest waiting unit, as far as these fit into the limit together. The order
+/// is the same at every controller: if two gangs need more than half of the limit each, the older one is
+/// served and the other waits, so that neither holds headroom that the other lacks. Only the first gang gets
+/// headroom in addition to the tasks that run at its controller: if all did, none could rely on getting it.
 fn minimum_allocations(limit: ResourceAmount, members: &[MemberDemand]) -> Vec<ResourceAmount> {
     let mut waiting: Vec<_> = members
         .iter()
@@ -65,17 +69,17 @@
     minimums
 }
 
-/// One controller's demand of one resource, in its units.
+/// One controller's demand for one resource, in units.
 struct ResourceDemand {
-    /// What the controller has before any other demand is met.
+    /// The amount that the controller gets before any other demand is met.
     minimum: u64,
-    /// What it uses and wants for work that can still meet its deadline.
+    /// Its usage plus the demand of waiting work that can still meet its deadline.
     on_time: u64,
-    /// What it uses and wants for all work.
+    /// Its usage plus the demand of all waiting work.
     total: u64,
 }
 
-/// Divides `limit` units of one resource, in the order of `demands`.
+/// Divides `limit` units of one resource into allocations, in the order of `demands`.
 fn divide_resource(limit: u64, demands: &[ResourceDemand]) -> Vec<u64> {
     let total: u64 = demands.iter().map(|demand| demand.total).sum();
     if total <= limit {
@@ -100,7 +104,8 @@
     allocated
 }
 
-/// Shares what `allocated` leaves of `limit` in proportion to what each demand exceeds its allocation by.
+/// Distributes the part of `limit` that is not allocated yet in proportion to the unmet part of each demand,
+/// and no more than that part.
 fn add_proportionally(limit: u64, allocated: &mut [u64], demands: impl Iterator<Item = u64>) {
     let unmet: Vec<u64> = demands
         .zip(allocated.iter())
@@ -113,14 +118,14 @@
     }
 }
 
-/// `count` shares of `total` that differ by one unit at most.
+/// `count` shares of `total` that differ by at most one unit.
 fn equal_shares(total: u64, count: usize) -> impl Iterator<Item = u64> {
     let count = count.max(1) as u64;
     (0..count).map(move |index| total / count + u64::from(index < total % count))
 }
 
-/// Shares of `total` in proportion to `weights`, rounded down; the first with a weight takes what rounding
-/// leaves.
+/// Shares of `total` in proportion to `weights`, rounded down. The first share with a weight above zero also
+/// gets the units that rounding leaves.
 fn proportional_shares(total: u64, weights: &[u64]) -> Vec<u64> {
     let weight_sum: u128 = weights.iter().map(|weight| u128::from(*weight)).sum();
     if weight_sum == 0 {
--- a/crates/rowanmill-limits/src/transfer.rs
+++ b/crates/rowanmill-limits/src/transfer.rs
@@ -1,5 +1,5 @@
-//! What a controller hands of its allocation to others, and how much of it it should use meanwhile. This
-//! only plans: a transfer takes effect when the changed record is written.
+//! Plans which part of its allocation a controller transfers to others, and how much of the allocation it
+//! should use until then. A transfer takes effect when the changed record is written, which is not done here.
 
 use crate::amount::ResourceAmount;
 use crate::config::LimitsConfig;
@@ -20,7 +20,7 @@
         || (waiting.micro_gpus > 0 && free.micro_gpus < step.micro_gpus)
 }
 
-/// What a controller's allocation leaves beside what its tasks use, by the records.
+/// The free part of a controller's allocation, which its tasks do not use according to the records.
 fn free_at(record: &AllocationRecord, demand: &MemberDemand) -> ResourceAmount {
     record
         .allocation_of(&demand.member)
@@ -31,41 +31,43 @@
 struct Recipient<'a> {
     demand: &'a MemberDemand,
     shortfall: ResourceAmount,
-    /// Its oldest waiting unit does not fit into what its allocation leaves.
+    /// Whether its oldest waiting unit does not fit into the free part of its allocation.
     is_blocked: bool,
 }
 
-/// Another controller that may have what is too little here for the oldest waiting unit.
+/// The controller that gets unusable remainders: headroom that is too small for the oldest waiting unit of
+/// the controller that has it. May be the planning controller, which then keeps its remainder.
 struct RemainderRecipient<'a> {
     demand: &'a MemberDemand,
     shortfall: ResourceAmount,
 }
 
-/// One controller's allocation of a team beside what it and the others should have.
+/// One controller's allocation of a team, compared with the targets of all controllers.
 pub(crate) struct TransferPlan<'a> {
     record: &'a AllocationRecord,
     members: &'a [MemberDemand],
-    /// The controller that plans.
+    /// The planning controller.
     member: &'a str,
-    /// Less than this is not worth a change of the record.
+    /// The smallest amount for which the record is changed. Blocked recipients and small shortfalls are
+    /// exceptions.
     step: ResourceAmount,
-    /// What the controller's allocation should come to.
+    /// The allocation that the controller should have.
     target: ResourceAmount,
-    /// A gang of the controller's own waits for the limit and accumulates headroom.
+    /// Whether a gang of the controller waits for the limit, so that headroom accumulates for it.
     accumulates_for_gang: bool,
-    /// What the controller's oldest waiting unit needs to start.
+    /// Resources that the controller's oldest waiting unit needs to start.
     oldest_need: ResourceAmount,
-    /// What all its waiting tasks would use.
+    /// Resources that all its waiting tasks would use.
     waiting: ResourceAmount,
-    /// It has no machine, and leaves idle headroom to others that have some.
+    /// Whether it has no machine and leaves idle headroom to controllers that have some.
     yields: bool,
-    /// In the order of their oldest waiting units.
+    /// In the order of their oldest waiting units; those that only receive released headroom come last.
     recipients: Vec<Recipient<'a>>,
     remainder_recipient: Option<RemainderRecipient<'a>>,
 }
 
 impl<'a> TransferPlan<'a> {
-    /// Compares the allocations in `record` with the targets that follow from the team's demand.
+    /// Compares the allocations in `record` with the targets that result from the team's demand.
     pub fn new(
         config: &LimitsConfig,
         view: &TeamView<'a>,
@@ -93,7 +95,7 @@
         }
     }
 
-    /// The controller that plans.
+    /// The planning controller.
     pub fn member(&self) -> &'a str {
         self.member
     }
@@ -102,16 +104,18 @@
         self.record.allocation_of(self.member)
     }
 
-    /// Whether the controller has headroom beside `charged` that its waiting work does not use, because that
-    /// waits for machines and not for the limit. What a gang accumulates is not idle.
+    /// Whether the controller has headroom in addition to `charged` that its waiting work does not use,
+    /// because that work waits for machines and not for the limit. Headroom that accumulates for a gang is
+    /// not idle.
     pub fn has_idle_headroom(&self, charged: ResourceAmount) -> bool {
         let spare = self.own_allocation().saturating_sub(charged);
         !self.accumulates_for_gang && !is_constrained(spare, self.step, self.waiting)
     }
 
-    /// Lowers the target to what is in use and one step, or what the oldest waiting unit needs; without a machine
-    /// for that unit, to what is in use. Controllers that use what they have and wait for more may have an equal
-    /// share of the rest, or what their oldest unit needs, whatever their targets are.
+    /// Lowers the target so that idle headroom can be transferred. The controller keeps the amount in use
+    /// plus one step or the need of its oldest waiting unit, whichever is larger; if it yields, it keeps only
+    /// the amount in use. Whatever their targets are, controllers that wait for a larger allocation may get
+    /// an equal share of the released headroom, or the amount that their oldest unit lacks if that is larger.
     pub fn release_idle_headroom(&mut self, charged: ResourceAmount) {
         let kept_for_next = if self.yields {
             ResourceAmount::ZERO
@@ -148,11 +152,11 @@
     }
 
     fn raise_shortfall(&mut self, demand: &'a MemberDemand, shortfall: ResourceAmount) {
-        let known = self
+        let existing = self
             .recipients
             .iter_mut()
             .find(|recipient| recipient.demand.member == demand.member);
-        match known {
+        match existing {
             Some(recipient) => {
                 recipient.shortfall = recipient.shortfall.componentwise_max(shortfall);
             }
@@ -164,8 +168,9 @@
         }
     }
 
-    /// The most that the controller should use now. While another is held up that is its target, so that
-    /// what its ending tasks free can be handed on.
+    /// The maximum that the controller should use now. Without recipients it is the whole limit. While
+    /// another controller is blocked, it is the target, so that resources freed by ending tasks can be
+    /// transferred. While others should have more but are not blocked, it is one step above the target.
     pub fn usage_cap(&self) -> ResourceAmount {
         if self.recipients.is_empty() {
             return self.record.limit;
@@ -176,8 +181,9 @@
         self.target.saturating_add(self.step)
     }
 
-    /// The record after the controller handed what it neither uses nor should have to the recipients, in the
-    /// order of their oldest waiting units; `None` if nothing is worth a transfer.
+    /// The record after the transfers: first the unusable remainder goes to its recipient, then the amount
+    /// that the controller neither uses nor should keep goes to the recipients in their order. `None` if no
+    /// transfer is worthwhile.
     pub fn apply(&self, charged: ResourceAmount) -> Option<AllocationRecord> {
         let mut record = self.record.clone();
         if let Some(recipient) = &self.remainder_recipient {
@@ -198,8 +204,8 @@
         (record != *self.record).then_some(record)
     }
 
-    /// What the controller has free, if that is too little for its own oldest waiting unit. For a gang it is
-    /// accumulated instead.
+    /// The free part of the allocation if it is too small for the controller's own oldest waiting unit,
+    /// otherwise zero. Headroom that accumulates for a gang is not a remainder.
     fn unusable_remainder(&self, charged: ResourceAmount) -> ResourceAmount {
         let free = self.own_allocation().saturating_sub(charged);
         if self.accumulates_for_gang || self.oldest_need.fits_within(free) {
@@ -208,8 +214,8 @@
         free
     }
 
-    /// Whether `amount` covers the recipient's shortfall or a whole step of it. Any amount is worth it for a
-    /// blocked recipient: several controllers may each have too little for its unit that is enough together.
+    /// Whether `amount` covers the recipient's shortfall or one step of it. For a blocked recipient any
+    /// amount is worthwhile: several controllers may each have too little for its unit, but enough together.
     fn is_worth_transfer(&self, recipient: &Recipient, amount: ResourceAmount) -> bool {
         let is_enough = |shortfall: u64, step: u64, units: u64| {
             units > 0 && units >= shortfall.min(step.max(1))
@@ -224,7 +230,7 @@
     }
 }
 
-/// The controllers besides `member` that should have more, in the order of their oldest waiting units.
+/// The controllers other than `member` that should have more, in the order of their oldest waiting units.
 fn recipients<'a>(
     record: &AllocationRecord,
     step: ResourceAmount,
@@ -233,7 +239,7 @@
     member: &str,
 ) -> Vec<Recipient<'a>> {
     let demand_fits = total_demand_fits(record.limit, members);
-    // One without a machine gets more only if nobody loses by it.
+    // A controller that yields gets more only if the limit covers all demand, so that no other loses by it.
     let may_receive = |demand: &MemberDemand| demand_fits || !yields_headroom(demand, members);
     let mut recipients: Vec<Recipient> = members
         .iter()
@@ -245,8 +251,8 @@
     recipients
 }
 
-/// The controller of `demand` as a recipient, if its allocation holds it up and it should have more.
-/// `demand_fits`: the limit is enough for the demand of all controllers.
+/// Returns the controller of `demand` as a recipient, if its allocation keeps its work from starting and it
+/// should have more. `demand_fits` tells whether the limit covers the demand of all controllers.
 fn recipient<'a>(
     record: &AllocationRecord,
     step: ResourceAmount,
@@ -258,13 +264,13 @@
     let free = free_at(record, demand);
     let is_blocked = |oldest: &WaitingUnit| !oldest.need.fits_within(free);
     let is_blocked = demand.oldest.as_ref().is_some_and(is_blocked);
-    // Work that waits beside free headroom waits for machines.
+    // Work that waits although headroom is free waits for machines.
     let uses_its_allocation = is_constrained(free, step, demand.waiting);
     let waits_for_more = !demand.waiting.fits_within(free);
-    // Where all demand fits, no controller loses by a transfer.
+    // If the limit covers all demand, no controller loses by a transfer.
     let is_worthwhile = demand_fits || (uses_its_allocation && reaches_step(shortfall, step));
     let is_held_up = is_blocked || (waits_for_more && is_worthwhile);
-    // An amount with which its oldest unit still cannot start would be of no use there.
+    // An amount that still does not let its oldest unit start would be of no use there.
     let enables = |oldest: &WaitingUnit| oldest.need.fits_within(free.saturating_add(shortfall));
     let enables_oldest = demand.oldest.as_ref().is_none_or(enables);
     (is_held_up && enables_oldest && !shortfall.is_zero()).then_some(Recipient {
@@ -274,9 +280,10 @@
     })
 }
 
-/// Of the controllers whose oldest waiting unit does not fit into what they have left, the first in the order
-/// of these units that could start with what all of them have left together. If each kept its own remainder,
-/// a limit of eight CPUs over three controllers would let only seven tasks of one CPU run.
+/// Selects the controller that gets the unusable remainders. Candidates are the controllers whose oldest
+/// waiting unit does not fit into the free part of their allocation. The one with the oldest unit that could
+/// start with the remainders of all candidates is selected. If each kept its own remainder, a limit of eight
+/// CPUs over three controllers would let only seven tasks of one CPU run.
 fn remainder_recipient<'a>(
     record: &AllocationRecord,
     members: &'a [MemberDemand],
--- a/crates/rowanmill-limits/src/view.rs
+++ b/crates/rowanmill-limits/src/view.rs
@@ -1,21 +1,21 @@
-//! A controller's picture of one team, taken from its replica of the records.
+//! A controller's view of one team, taken from its replica of the records.
 
 use crate::demand::MemberDemand;
 use crate::limit::TeamLimit;
 use crate::record::{AllocationRecord, Versioned};
 
-/// What a controller's replica holds about one team.
+/// The contents of a controller's replica that concern one team.
 #[derive(Debug, Clone, Copy)]
 pub struct TeamView<'a> {
     /// The team's limit in the settings.
     pub limit: TeamLimit,
-    /// The record of its allocations.
+    /// The record of its allocations, if there is one.
     pub record: Option<Versioned<&'a AllocationRecord>>,
     /// The revision of the assignment of jobs.
     pub assignment_revision: u64,
-    /// The replica has applied all changes up to this revision.
+    /// The revision up to which the replica has applied all changes.
     pub applied_revision: u64,
-    /// What each controller's jobs use and wait for.
+    /// The demand of the team's jobs at each controller.
     pub members: &'a [MemberDemand],
 }
 
