--- a/crates/rowanmill-limits/src/teams.rs
+++ b/crates/rowanmill-limits/src/teams.rs
@@ -4,7 +4,7 @@
 use rowanmill_config::InvalidField;
 use std::collections::BTreeSet;
 
-/// CPUs and GPUs as the platform's settings give them, with 0 for none.
+/// CPUs and GPUs in the platform's settings, where 0 means none.
 #[derive(Debug, Clone, Copy)]
 pub struct SettingAmount {
     /// CPUs.
@@ -18,13 +18,13 @@
 pub struct TeamSettings<'a> {
     /// The team.
     pub name: &'a str,
-    /// What the team is guaranteed.
+    /// The team's guarantee.
     pub guarantee: SettingAmount,
-    /// The most that the team may use.
+    /// The maximum that the team may use.
     pub limit: SettingAmount,
 }
 
-/// The longest name of a team, in bytes: the key of its record takes up to three bytes for each of them.
+/// Maximum length of a team's name, in bytes. In the key of the team's record, each byte takes up to three.
 const MAX_NAME_BYTES: usize = 60;
 
 /// Checks that every team's limit can be divided and that its guarantee can be met.
@@ -38,7 +38,7 @@
     for team in teams {
         let mut problem = problem_with(&team);
         if problem.is_none() && !names.insert(team.name) {
-            problem = Some("is named twice".to_owned());
+            problem = Some("is defined twice".to_owned());
         }
         if let Some(problem) = problem {
             let reason = format!("team `{}` {problem}", team.name);
@@ -48,18 +48,19 @@
     Ok(())
 }
 
-/// What is wrong with a team on its own, as the rest of a sentence that its name begins.
+/// Returns why a team's settings are invalid on their own, as a phrase that follows the team's name in the
+/// message.
 fn problem_with(team: &TeamSettings) -> Option<String> {
     if team.name.is_empty() || team.name.len() > MAX_NAME_BYTES {
         return Some(format!("needs a name of 1 to {MAX_NAME_BYTES} bytes"));
     }
     let limit = match TeamLimit::from_settings(team.limit.cpus, team.limit.gpus) {
         Ok(limit) => limit,
-        Err(error) => return Some(format!("has a limit of which {error}")),
+        Err(error) => return Some(format!("has an invalid limit: {error}")),
     };
     let guarantee = match TeamLimit::from_settings(team.guarantee.cpus, team.guarantee.gpus) {
         Ok(guarantee) => guarantee,
-        Err(error) => return Some(format!("has a guarantee of which {error}")),
+        Err(error) => return Some(format!("has an invalid guarantee: {error}")),
     };
     if exceeds(guarantee.micro_cpus, limit.micro_cpus) {
         return Some("is guaranteed more CPUs than its limit".to_owned());
@@ -70,7 +71,7 @@
     None
 }
 
-/// Whether a guarantee of one resource is larger than its limit.
+/// Whether a guarantee of one resource exceeds the limit, if there is one.
 fn exceeds(guarantee: Option<u64>, limit: Option<u64>) -> bool {
     limit.is_some() && guarantee > limit
 }
