--- a/crates/rowanmill-limits/src/report/explanation.rs
+++ b/crates/rowanmill-limits/src/report/explanation.rs
@@ -1,4 +1,4 @@
-//! Why a job waits, as far as limits are concerned.
+//! Explains whether a team's limit keeps a job from starting.
 
 use super::{FORMAT, ResourceReport};
 use crate::amount::ResourceAmount;
@@ -6,24 +6,25 @@
 use crate::view::TeamView;
 use serde::Serialize;
 
-/// What a job waits for, as far as limits are concerned.
+/// Why a job waits, as far as limits are concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WaitReason {
-    /// None of its tasks waits.
+    /// None of its tasks is waiting.
     Nothing,
-    /// Its team has no limit, or the limit has headroom: it waits for machines, or its turn.
+    /// Its team has no limit, or the limit leaves enough: the job waits for machines or for its turn.
     Machines,
-    /// The team uses its whole limit: one of its tasks must end first.
+    /// The team's limit leaves too little: tasks of the team must end first.
     Limit,
-    /// The limit has headroom at other controllers, which is being transferred.
+    /// The limit leaves enough, but a part of that is allocated to other controllers and is being
+    /// transferred.
     #[serde(rename = "allotment")]
     Allocation,
-    /// The limit is about to be divided among the controllers.
+    /// The leader has yet to divide the limit among the controllers.
     Division,
 }
 
-/// Which job is explained, and where it is placed.
+/// The job that is explained, and the controller that places it.
 #[derive(Debug, Clone, Copy)]
 pub struct JobIdentity<'a> {
     /// The job.
@@ -34,7 +35,7 @@
     pub controller: Option<&'a str>,
 }
 
-/// Why a job waits.
+/// Explains why a job waits.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Explanation {
     /// See [`FORMAT`].
@@ -45,21 +46,21 @@
     pub team: String,
     /// The controller that places it.
     pub controller: Option<String>,
-    /// What it waits for.
+    /// The reason why it waits.
     #[serde(rename = "held_by")]
     pub reason: WaitReason,
-    /// When its objectives began to count, in milliseconds since the epoch.
+    /// When its tasks could first start, in milliseconds since the epoch.
     pub since_ms: u64,
-    /// The least that it can start with.
+    /// Resources that the smallest part of it that can start needs.
     pub needs: ResourceReport,
-    /// What its controller's allocation leaves.
+    /// Resources that its controller's allocation leaves free.
     pub free_here: ResourceReport,
-    /// What the team's limit leaves.
+    /// Resources that the team's limit leaves free.
     pub free_in_all: ResourceReport,
 }
 
 impl Explanation {
-    /// Explains a waiting unit of a job whose team's limit is divided.
+    /// Explains a job with a waiting unit whose team's limit is divided among the controllers or will be.
     pub fn under_divided_limit(identity: JobIdentity, view: &TeamView, unit: &WaitingUnit) -> Self {
         let record = view.valid_record().map(|versioned| versioned.record);
         let used: ResourceAmount = view.members.iter().map(|demand| demand.used).sum();
@@ -97,8 +98,9 @@
         }
     }
 
-    /// Explains a job that no divided limit holds up: its team has none, or none of its tasks waits. `unit`
-    /// is what waits of it, `since_ms` when its objectives began to count, in milliseconds since the epoch.
+    /// Explains a job that does not wait for a divided limit: its team has none, or none of its tasks is
+    /// waiting. `unit` is the smallest part of it that can start, if any waits. `since_ms` is when its tasks
+    /// could first start, in milliseconds since the epoch.
     pub fn without_limit(identity: JobIdentity, unit: Option<&WaitingUnit>, since_ms: u64) -> Self {
         let reason = match unit {
             Some(_) => WaitReason::Machines,
@@ -117,7 +119,7 @@
         }
     }
 
-    /// The explanation as text for people.
+    /// The explanation as human-readable text.
     pub fn text(&self) -> String {
         let controller = self.controller.as_deref().unwrap_or("nobody");
         let reason = self.reason_text(controller);
@@ -135,19 +137,19 @@
             ..
         } = self;
         match self.reason {
-            WaitReason::Nothing => "nothing of it waits".to_owned(),
+            WaitReason::Nothing => "none of its tasks is waiting".to_owned(),
             WaitReason::Machines => {
-                "no limit holds it; it waits for machines or its turn".to_owned()
+                "not blocked by a limit; waiting for machines or for its turn".to_owned()
             }
             WaitReason::Limit => format!(
-                "the limit of team {team} holds it: {free_in_all} are free; a task of the team must end"
+                "blocked by the limit of team {team}, which leaves {free_in_all}; tasks of the team must end first"
             ),
             WaitReason::Allocation => format!(
-                "{controller} has {free_here} of team {team}'s limit free, others have the rest of \
-                 {free_in_all}; it is being given over"
+                "waiting for a transfer of team {team}'s quota: of {free_in_all} free, {free_here} are \
+                 allocated to {controller}, the rest to other controllers"
             ),
             WaitReason::Division => format!(
-                "the limit of team {team} is about to be divided; ask again in a few seconds"
+                "waiting until the limit of team {team} is divided among the controllers; retry in a few seconds"
             ),
         }
     }
--- a/crates/rowanmill-limits/src/report/mod.rs
+++ b/crates/rowanmill-limits/src/report/mod.rs
@@ -1,5 +1,5 @@
-//! What the command-line client shows of teams' limits, as text for people and as JSON for scripts. Field
-//! names and values of the JSON are an interface: see [`FORMAT`].
+//! Reports of the command-line client about teams' limits, as human-readable text and as JSON for scripts.
+//! Field names and values of the JSON are a stable interface: see [`FORMAT`].
 
 mod explanation;
 mod status;
@@ -11,7 +11,7 @@
 pub use explanation::{Explanation, JobIdentity, WaitReason};
 pub use status::{ControllerReport, EnforcementMode, StatusReport, TeamReport};
 
-/// The version of the JSON: it changes when a field is removed or its meaning changes.
+/// The version of the JSON, which changes when a field is removed or its meaning changes.
 pub const FORMAT: u32 = 1;
 
 /// CPUs and GPUs as decimal numbers.
--- a/crates/rowanmill-limits/src/report/status.rs
+++ b/crates/rowanmill-limits/src/report/status.rs
@@ -12,7 +12,7 @@
 pub enum EnforcementMode {
     /// It is divided among the controllers.
     Divided,
-    /// It is about to be divided, and nothing of the team starts meanwhile.
+    /// The leader has yet to divide it; no task of the team starts until then.
     Pending,
     /// One controller enforces it alone.
     Whole,
@@ -23,16 +23,16 @@
 pub struct ControllerReport {
     /// The controller.
     pub controller: String,
-    /// What its tasks may use.
+    /// The maximum that its tasks may use.
     #[serde(rename = "allotment")]
     pub allocation: ResourceReport,
-    /// What its tasks use.
+    /// Resources that its tasks use.
     pub used: ResourceReport,
-    /// What its waiting tasks would use.
+    /// Resources that its waiting tasks would use.
     pub waiting: ResourceReport,
 }
 
-/// One team.
+/// The status of one team.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct TeamReport {
     /// The team.
@@ -41,14 +41,14 @@
     pub mode: EnforcementMode,
     /// Its limit.
     pub limit: LimitReport,
-    /// What its tasks use.
+    /// Resources that its tasks use.
     pub used: ResourceReport,
-    /// Each controller's part; empty where one controller enforces the limit alone.
+    /// Each controller's part; empty if one controller enforces the limit alone.
     pub controllers: Vec<ControllerReport>,
 }
 
 impl TeamReport {
-    /// The report of a team whose limit is divided, or about to be.
+    /// The report of a team whose limit is divided among the controllers or will be.
     pub fn divided(team: &str, view: &TeamView) -> Self {
         let record = view.valid_record().map(|versioned| versioned.record);
         let used: ResourceAmount = view.members.iter().map(|demand| demand.used).sum();
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The report of a team whose limit one controller enforces alone.
+    /// The report of a team whose limit is enforced by one controller alone.
     pub fn whole(team: &str, limit: TeamLimit, used: ResourceAmount) -> Self {
         Self {
             team: team.to_owned(),
@@ -90,8 +90,8 @@
     fn text(&self) -> String {
         let mode = match self.mode {
             EnforcementMode::Divided => "divided",
-            EnforcementMode::Pending => "about to be divided, nothing starts",
-            EnforcementMode::Whole => "whole at one controller",
+            EnforcementMode::Pending => "not divided yet, no task starts",
+            EnforcementMode::Whole => "enforced by one controller",
         };
         let mut text = format!("{}: {} of {}, {mode}\n", self.team, self.used, self.limit);
         for report in &self.controllers {
@@ -119,7 +119,7 @@
 }
 
 impl StatusReport {
-    /// The report as text for people.
+    /// The report as human-readable text.
     pub fn text(&self) -> String {
         if self.teams.is_empty() {
             return "no team has a limit\n".to_owned();
--- a/tests/limits/client.rs
+++ b/tests/limits/client.rs
@@ -55,7 +55,7 @@
     (0..CONTROLLERS).for_each(|number| site.kill(number));
     let ClientOutput { code, text } = site.client(&["explain", "job-1"]);
     assert_eq!(code, 0);
-    assert!(text.contains("the limit of team t holds it"), "{text}");
+    assert!(text.contains("blocked by the limit of team t"), "{text}");
     site.state.set_outage(true);
     let status = site.client(&["status"]);
     assert_eq!(status.code, 4, "the state service is unavailable");
