--- a/src/limits/blocked.rs
+++ b/src/limits/blocked.rs
@@ -1,5 +1,5 @@
-//! Gangs of this controller that only their team's limit keeps from starting: headroom is reserved for them
-//! here, and other controllers learn of the oldest.
+//! Gangs of this controller that only their team's limit keeps from starting. Headroom is reserved for them
+//! here, and the oldest are published to the other controllers.
 
 use super::{DividedTeam, TeamQuotas, usage};
 use crate::node::Core;
@@ -7,23 +7,23 @@
 use rowanmill_limits::WaitingUnit;
 use std::collections::BTreeMap;
 
-/// The most blocked gangs that a controller publishes: its record must fit into a value.
-const MAX_PUBLISHED: usize = 4;
-/// The most bytes that one of them takes in a record.
-const MAX_BYTES_EACH: usize = 200;
-/// The most bytes that published gangs take in a record.
-pub const MAX_PUBLISHED_GANG_BYTES: usize = MAX_PUBLISHED * MAX_BYTES_EACH;
+/// The most blocked gangs that a controller publishes: its record must fit into a value of the state service.
+const MAX_PUBLISHED_GANGS: usize = 4;
+/// The most bytes that one published gang takes in a record.
+const MAX_BYTES_PER_GANG: usize = 200;
+/// The most bytes that all published gangs take in a record.
+pub const MAX_PUBLISHED_GANG_BYTES: usize = MAX_PUBLISHED_GANGS * MAX_BYTES_PER_GANG;
 
 /// Headroom that is reserved for a blocked gang.
 pub struct GangReservation<'a> {
     /// The gang.
     pub job: &'a str,
-    /// What it needs to start.
+    /// Resources that it needs to start.
     pub amount: Resources,
 }
 
-/// Records which of `jobs`, gangs in the order of their urgency, are blocked by their team's limit: the first
-/// of each divided team.
+/// Records the blocked gang of each divided team. `jobs` are the gangs that are blocked by their team's
+/// limit, in the order of their urgency; the first of each team counts.
 pub fn record_blocked_gangs(core: &mut Core, jobs: Vec<String>) {
     let mut blocked = BTreeMap::new();
     for id in jobs {
@@ -37,7 +37,7 @@
     core.limits.blocked_gangs = blocked;
 }
 
-/// The team of a waiting gang and what it needs, if the team's limit is divided.
+/// The team of a waiting gang and the gang as a waiting unit, if the team's limit is divided.
 fn blocked_gang(core: &Core, id: &str) -> Option<(String, WaitingUnit)> {
     let job = core.replica.jobs.get(id)?;
     let team = core.limits.divided_team(core, &job.record.spec.team)?;
@@ -46,13 +46,13 @@
 }
 
 impl TeamQuotas {
-    /// The blocked gangs that this controller publishes, by team: the oldest.
+    /// The blocked gangs that this controller publishes, by team: the oldest ones.
     pub fn published_gangs(&self) -> BTreeMap<String, WaitingUnit> {
         let mut blocked: Vec<_> = self.blocked_gangs.iter().collect();
         blocked.sort_by_key(|(_, unit)| *unit);
         blocked
             .into_iter()
-            .take(MAX_PUBLISHED)
+            .take(MAX_PUBLISHED_GANGS)
             .map(|(team, unit)| (team.clone(), unit.clone()))
             .collect()
     }
--- a/src/limits/charge.rs
+++ b/src/limits/charge.rs
@@ -1,16 +1,17 @@
-//! What the starts of a transaction are charged to.
+//! Charges starts to the team whose headroom they use.
 
 use super::TeamQuotas;
 use crate::node::Core;
 use crate::state::{Precondition, RecordKey};
 use rowanmill_limits::{InDoubtTransaction, ResourceAmount};
 
-/// What a transaction takes of a team's allocation, and the revisions that it was weighed against.
+/// The part of a team's allocation that a transaction takes, and the revisions for which that was checked
+/// against the headroom.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QuotaCharge {
     /// The team.
     pub team: String,
-    /// What the transaction takes of the team's allocation at this controller.
+    /// The part of the team's allocation at this controller that the transaction takes.
     pub amount: ResourceAmount,
     /// The revision of the team's record, 0 if there is none.
     pub record_revision: u64,
@@ -19,7 +20,7 @@
 }
 
 impl QuotaCharge {
-    /// What the transaction must require: that the record is still the one its starts were weighed against.
+    /// The precondition of the transaction: the record is still the one that its starts were checked against.
     pub fn precondition(&self) -> Precondition {
         Precondition {
             key: RecordKey::quota_allocations(&self.team).into(),
@@ -29,7 +30,8 @@
 }
 
 impl TeamQuotas {
-    /// The charge for a page that starts `tasks` tasks of a job; `None` if the job's team is not divided.
+    /// The charge for a page that starts `tasks` tasks of a job; `None` if the limit of the job's team is not
+    /// divided.
     pub fn charge_for(&self, core: &Core, job: &str, tasks: u32) -> Option<QuotaCharge> {
         let spec = &core.replica.jobs.get(job)?.record.spec;
         let team = self.divided_team(core, &spec.team)?;
@@ -41,7 +43,7 @@
         })
     }
 
-    /// Keeps the charge of a transaction without an answer until its outcome is known.
+    /// Keeps the charge of a transaction that got no answer until its outcome is known.
     pub fn record_in_doubt(&mut self, charge: &QuotaCharge) {
         let transaction = InDoubtTransaction {
             amount: charge.amount,
--- a/src/limits/leader.rs
+++ b/src/limits/leader.rs
@@ -1,4 +1,4 @@
-//! The leader's side of team limits: it allocates them to the controllers, and deletes records of teams
+//! The leader's side of team limits: it allocates them to the controllers, and deletes the records of teams
 //! without a limit.
 
 use super::{DividedTeam, refresh_usage};
@@ -7,13 +7,14 @@
 use rowanmill_limits::{AllocationDecision, AllocationRecord, LeaderView, decide_allocation};
 use std::sync::Arc;
 
-/// Makes every divided team's record valid under the present assignment and limit, as far as one
-/// transaction goes. `leader_revision` is the revision under which this node leads.
+/// Makes every divided team's record valid under the present assignment and limit, as far as one transaction
+/// allows. `leader_revision` is the revision of the record that makes this node the leader.
 pub async fn allocate_limits(node: &Arc<Node>, leader_revision: u64) {
-    if !has_work(&mut node.core()) {
+    if !needs_changes(&mut node.core()) {
         return;
     }
-    // What is in use is known once all changes up to the assignment's and the records' are applied.
+    // The usage is known only when all changes up to the revisions of the assignment and of the records are
+    // applied.
     let is_behind = is_behind(&node.core());
     if is_behind && !node.read_barrier().await {
         return;
@@ -40,7 +41,7 @@
     }
 }
 
-fn has_work(core: &mut Core) -> bool {
+fn needs_changes(core: &mut Core) -> bool {
     refresh_usage(core);
     let is_valid = |team: DividedTeam| team.view().valid_record().is_some();
     !core.limits.divided_teams(core).all(is_valid) || obsolete_records(core).next().is_some()
@@ -61,14 +62,14 @@
         .map(|(team, stored)| (team, stored.revision))
 }
 
-/// Changes of teams' records that only the leader may make, under the present assignment.
+/// Changes of teams' records that only the leader makes, under the present assignment.
 struct AllocationTransaction {
     preconditions: Vec<Precondition>,
     writes: Vec<Operation>,
 }
 
 impl AllocationTransaction {
-    /// Deletes obsolete records first, then allocates limits; at most `max_records` records in all.
+    /// Deletes obsolete records, then allocates limits; changes at most `max_records` records in total.
     fn build(core: &Core, leader_revision: u64, max_records: usize) -> Self {
         let assignment = core.replica.assignment.as_ref();
         let mut transaction = Self {
@@ -100,7 +101,7 @@
         transaction
     }
 
-    /// Adds a write of a team's record on condition that it still has `revision`.
+    /// Adds a write of a team's record, with the precondition that the record still has `revision`.
     fn add(&mut self, team: &str, revision: u64, write: Operation) {
         self.preconditions.push(Precondition {
             key: RecordKey::quota_allocations(team).into(),
@@ -113,8 +114,8 @@
 /// The record that should replace a team's present one, if any.
 fn next_record(team: &DividedTeam) -> Option<AllocationRecord> {
     if team.is_unreadable() {
-        // A controller of another version may be able to read it and start tasks under it. Once it is
-        // frozen none may, and the limit can be divided.
+        // A controller of another version may be able to read the record and start tasks under it. Once the
+        // record is frozen, none can, and the limit can be divided.
         let limit = team.limit.as_amount();
         return Some(AllocationRecord::frozen(team.assignment_revision, limit));
     }
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -1,8 +1,9 @@
-//! Team limits in a controller: it reads the replica for the rules in `rowanmill-limits` and writes what
-//! they decide. The rules themselves have no place here.
+//! Team limits in a controller: passes the replica's contents to the rules in `rowanmill-limits` and writes
+//! the records that they decide on. The rules themselves belong in that crate.
 //!
-//! A team whose limit is *divided* has a record of quota allocations, one for each controller. A team that
-//! the assignment of jobs leaves whole to one controller is not divided, and nothing here applies to it.
+//! A team whose limit is *divided* has a record of quota allocations, one for each controller. If the
+//! assignment of jobs gives a team to a single controller, its limit is not divided, and this module does not
+//! affect the team.
 
 mod blocked;
 mod charge;
@@ -30,21 +31,21 @@
 pub use usage::refresh_usage;
 pub use withdrawal::withdraw_uncovered_starts;
 
-/// A record of quota allocations as the replica keeps it; `None` inside if it cannot be read.
+/// A record of quota allocations as the replica keeps it; the inner value is `None` if it cannot be read.
 pub type StoredAllocations = Versioned<Option<AllocationRecord>>;
 
-/// A controller's part in the limits of all teams.
+/// A controller's state for the limits of all teams.
 #[derive(Debug)]
 pub struct TeamQuotas {
     config: LimitsConfig,
-    /// This controller's name, as the records use it.
+    /// This controller's name in the records.
     member: String,
-    /// The limited teams of the settings.
+    /// The limits of the settings, by team; teams without one are absent.
     limits: BTreeMap<String, TeamLimit>,
     holder: QuotaHolder,
-    /// Of each divided team, the gang of this controller that only the limit keeps from starting.
+    /// The gang of this controller that only the limit keeps from starting, by divided team.
     blocked_gangs: BTreeMap<String, WaitingUnit>,
-    /// What divided teams use and wait for, as of the last [`refresh_usage`].
+    /// The usage and demand of divided teams, as of the last [`refresh_usage`].
     usage: BTreeMap<String, TeamUsage>,
 }
 
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The limits of the platform's settings, which were validated when they were read.
+    /// Takes the limits from the platform's settings, which were validated when they were read.
     pub fn from_settings(config: LimitsConfig, settings: &Settings) -> Self {
         let teams = settings.params.teams.iter();
         let limits = teams.filter_map(|team| {
@@ -76,13 +77,13 @@
         Self::new(config, &settings.member, limits.collect())
     }
 
-    /// After this long, in seconds, a gang that only its team's limit keeps from starting has headroom
-    /// reserved for it.
+    /// How long a gang waits, in seconds, before headroom is reserved for it. Applies to gangs that only
+    /// their team's limit keeps from starting.
     pub fn gang_reservation_delay_s(&self) -> f64 {
         self.config.reserve_after_s
     }
 
-    /// The team with its quota, if it has a limit that is divided among the controllers.
+    /// The team with its quota, if its limit is divided among the controllers.
     pub fn divided_team<'a>(&'a self, core: &'a Core, team: &'a str) -> Option<DividedTeam<'a>> {
         let limit = *self.limits.get(team)?;
         let assignment = core.replica.assignment.as_ref()?;
@@ -112,8 +113,8 @@
     }
 }
 
-/// Parses a record of quota allocations for the replica. One that cannot be used is logged and returned as
-/// `None`: it permits nothing.
+/// Parses a record of quota allocations for the replica. A record that cannot be used is logged and returned
+/// as `None`, which permits no starts.
 pub fn parse_allocations(key: &str, data: &str) -> Option<AllocationRecord> {
     match AllocationRecord::parse(data) {
         Ok(record) => Some(record),
--- a/src/limits/report.rs
+++ b/src/limits/report.rs
@@ -1,4 +1,4 @@
-//! What the command-line client and the log show of teams' limits.
+//! Reports of team limits for the command-line client and the log.
 
 use super::{TeamQuotas, usage};
 use crate::node::Core;
--- a/src/limits/team.rs
+++ b/src/limits/team.rs
@@ -1,4 +1,4 @@
-//! One team whose limit is divided, with this controller's part of it.
+//! A team whose limit is divided, with this controller's part of the limit.
 
 use super::StoredAllocations;
 use super::usage::{TeamUsage, limited_amount};
@@ -19,9 +19,9 @@
     pub(super) stored: Option<&'a StoredAllocations>,
     /// The revision of the assignment of jobs.
     pub assignment_revision: u64,
-    /// The replica has applied all changes up to this revision.
+    /// The revision up to which the replica has applied all changes.
     pub applied_revision: u64,
-    /// What the team uses and waits for, as of the last refresh.
+    /// The team's usage and demand, as of the last refresh.
     pub(super) usage: Option<&'a TeamUsage>,
     /// This controller's quota state of all teams.
     pub(super) holder: &'a QuotaHolder,
@@ -42,17 +42,17 @@
         self.stored.map_or(0, |stored| stored.revision)
     }
 
-    /// Whether there is a record that this version cannot read.
+    /// Whether there is a record that this version of the program cannot read.
     pub fn is_unreadable(&self) -> bool {
         self.stored.is_some_and(|stored| stored.record.is_none())
     }
 
-    /// What each controller's jobs use and wait for.
+    /// The demand of the team's jobs at each controller.
     pub fn members(&self) -> &'a [MemberDemand] {
         self.usage.map_or(&[], |usage| &usage.members)
     }
 
-    /// What tasks use whose jobs are assigned to no controller.
+    /// Resources that are used by tasks whose jobs are assigned to no controller.
     pub fn unowned(&self) -> ResourceAmount {
         self.usage
             .map_or(ResourceAmount::ZERO, |usage| usage.unowned)
@@ -69,13 +69,14 @@
         }
     }
 
-    /// What this controller's tasks use, and will use once what is planned is recorded.
+    /// Resources that this controller's tasks use, plus those that its planned starts will use.
     pub fn charged(&self) -> ResourceAmount {
-        self.held().saturating_add(self.planned())
+        self.in_use().saturating_add(self.planned())
     }
 
-    fn held(&self) -> ResourceAmount {
-        self.usage.map_or(ResourceAmount::ZERO, |usage| usage.held)
+    fn in_use(&self) -> ResourceAmount {
+        self.usage
+            .map_or(ResourceAmount::ZERO, |usage| usage.in_use)
     }
 
     fn planned(&self) -> ResourceAmount {
@@ -83,20 +84,21 @@
             .map_or(ResourceAmount::ZERO, |usage| usage.planned)
     }
 
-    /// What this controller may start beside what is charged; infinite for a resource without a limit.
+    /// The resources with which this controller may start tasks in addition to what is charged; infinite for
+    /// a resource without a limit.
     pub fn headroom(&self) -> Resources {
         let headroom = self
             .holder
             .headroom(self.name, &self.view(), self.charged());
-        self.unlimited_elsewhere(headroom)
+        self.infinite_where_unlimited(headroom)
     }
 
-    /// What all tasks of the team may use; infinite for a resource without a limit.
+    /// The team's whole limit; infinite for a resource without a limit.
     pub fn full_limit(&self) -> Resources {
-        self.unlimited_elsewhere(self.limit.as_amount())
+        self.infinite_where_unlimited(self.limit.as_amount())
     }
 
-    fn unlimited_elsewhere(&self, amount: ResourceAmount) -> Resources {
+    fn infinite_where_unlimited(&self, amount: ResourceAmount) -> Resources {
         let or_infinite = |limit: Option<u64>, amount: f64| limit.map_or(f64::INFINITY, |_| amount);
         Resources {
             cpus: or_infinite(self.limit.micro_cpus, amount.cpus()),
@@ -105,16 +107,16 @@
         }
     }
 
-    /// What this controller's tasks may use in all.
+    /// This controller's allocation: the maximum that its tasks may use.
     pub fn allocation(&self) -> ResourceAmount {
         self.holder.allocation(&self.view())
     }
 
-    /// What planned starts may use of the allocation; `None` if it does not even cover what runs and what is
-    /// in doubt.
+    /// The part of the allocation that planned starts may use; `None` if the allocation does not even cover
+    /// the tasks that run and the transactions in doubt.
     pub fn headroom_for_planned(&self) -> Option<ResourceAmount> {
         let in_doubt = self.holder.in_doubt_amount(self.name);
-        let taken = self.held().saturating_add(in_doubt);
+        let taken = self.in_use().saturating_add(in_doubt);
         let allocation = self.allocation();
         taken
             .fits_within(allocation)
@@ -128,7 +130,7 @@
         !planned.is_zero() && headroom.is_none_or(|headroom| !planned.fits_within(headroom))
     }
 
-    /// What `tasks` tasks of a job count against the limit.
+    /// The amount that `tasks` tasks of a job count against the limit.
     pub fn amount(&self, spec: &JobSpec, tasks: u32) -> ResourceAmount {
         limited_amount(&self.limit, spec, tasks)
     }
--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -5,21 +5,22 @@
 use serde_json::{Value, json};
 use std::time::Instant;
 
-const ME: &str = "n-0";
+const OWN_NAME: &str = "n-0";
 
-/// One of two controllers, of which the other places nothing, and team `t` with a limit of `cpus` CPUs, of
-/// which `micro_cpus` millionths are allocated to this controller.
+/// The state of one of two controllers. Team `t` has a limit of `cpus` CPUs, of which `micro_cpus` millionths
+/// of a CPU are allocated to this controller; the other places no jobs.
 fn core(cpus: f64, micro_cpus: u64) -> Core {
     let mut core = Core::new(plain_layout(8), Instant::now());
     let limit = TeamLimit::from_settings(cpus, 0.0).unwrap();
     let limits = BTreeMap::from([("t".to_owned(), limit)]);
-    core.limits = TeamQuotas::new(LimitsConfig::default(), ME, limits);
-    let members = json!([{"name": ME, "incarnation": 1}, {"name": "n-1", "incarnation": 1}]);
+    core.limits = TeamQuotas::new(LimitsConfig::default(), OWN_NAME, limits);
+    let members = json!([{"name": OWN_NAME, "incarnation": 1}, {"name": "n-1", "incarnation": 1}]);
     let assignment = json!({"members": members, "teams": {}, "gangs": [0], "had_gangs": false,
         "slots": [0]});
     put(&mut core, "r/shares", assignment, 5);
     let limit = limit.as_amount();
-    let record = json!({"assignment": 5, "limit": limit, "allotments": {ME: [micro_cpus, 0]}});
+    let record =
+        json!({"assignment": 5, "limit": limit, "allotments": {OWN_NAME: [micro_cpus, 0]}});
     put(&mut core, "r/a/t", record, 6);
     core
 }
@@ -28,7 +29,7 @@
     core.replica.apply_put(key, &data.to_string(), revision);
 }
 
-fn job(core: &mut Core, id: &str, shape: &str, tasks: u32) {
+fn add_job(core: &mut Core, id: &str, shape: &str, tasks: u32) {
     let spec = json!({"nameId": id, "grist": "c", "crew": "t", "shape": shape, "urgency": "standard",
         "sacks": tasks, "cpus": 1.0, "cards": 0.0, "memGb": 1.0, "mould": "i", "pullGb": 1.0,
         "together": false, "spread": false, "borrowed": true, "grindS": 10.0, "bankS": 0.0,
@@ -46,37 +47,40 @@
     core.record_change(&TaskId::new(id, task), entry);
 }
 
-fn planned(core: &Core) -> usize {
+fn planned_starts(core: &Core) -> usize {
     core.pending_changes
         .iter()
         .map(|(_, changes)| changes.len())
         .sum()
 }
 
-/// The record may have changed since starts were planned: those that it no longer covers are withdrawn, gangs
-/// as a whole, and the others are charged to it.
+/// Planned starts that the record no longer covers after a change are withdrawn, gangs as a whole. The other
+/// planned starts are charged to the record.
 #[test]
 fn starts_that_the_allocation_does_not_cover_are_withdrawn() {
     let mut core = core(10.0, 5_000_000);
-    job(&mut core, "job-1", "array", 4);
-    job(&mut core, "job-2", "group", 3);
+    add_job(&mut core, "job-1", "array", 4);
+    add_job(&mut core, "job-2", "group", 3);
     (0..4).for_each(|task| plan_start(&mut core, "job-1", task));
     (0..3).for_each(|task| plan_start(&mut core, "job-2", task));
     core.pending_changes
         .rank_starts(["job-1", "job-2"].into_iter());
     withdraw_uncovered_starts(&mut core);
-    assert_eq!(planned(&core), 4, "the gang does not fit beside the array");
+    assert_eq!(
+        planned_starts(&core),
+        4,
+        "the gang does not fit beside the array"
+    );
     let charge = core.limits.charge_for(&core, "job-1", 4).unwrap();
     assert_eq!(
         (charge.amount.micro_cpus, charge.record_revision),
         (4_000_000, 6)
     );
     assert_eq!(charge.precondition().key, "r/a/t");
-    let smaller =
-        json!({"assignment": 5, "limit": [10_000_000, 0], "allotments": {ME: [2_500_000, 0]}});
+    let smaller = json!({"assignment": 5, "limit": [10_000_000, 0], "allotments": {OWN_NAME: [2_500_000, 0]}});
     put(&mut core, "r/a/t", smaller, 8);
     withdraw_uncovered_starts(&mut core);
-    assert_eq!(planned(&core), 2);
+    assert_eq!(planned_starts(&core), 2);
 }
 
 #[test]
@@ -88,58 +92,58 @@
         ),
         (
             "r/a/t",
-            json!({"assignment": 4, "limit": [10_000_000, 0], "allotments": {ME: [1, 0]}}),
+            json!({"assignment": 4, "limit": [10_000_000, 0], "allotments": {OWN_NAME: [1, 0]}}),
         ),
         (
             "r/a/t",
-            json!({"assignment": 5, "limit": [9, 0], "allotments": {ME: [9, 0]}}),
+            json!({"assignment": 5, "limit": [9, 0], "allotments": {OWN_NAME: [9, 0]}}),
         ),
         ("r/a/t", json!("no record of ours")),
         (
             "r/shares",
-            json!({"members": [{"name": ME, "incarnation": 2}], "teams": {}, "gangs": [0],
+            json!({"members": [{"name": OWN_NAME, "incarnation": 2}], "teams": {}, "gangs": [0],
             "had_gangs": false, "slots": [0]}),
         ),
     ] {
         let mut core = core(10.0, 10_000_000);
-        job(&mut core, "job-1", "array", 1);
+        add_job(&mut core, "job-1", "array", 1);
         plan_start(&mut core, "job-1", 0);
         put(&mut core, key, data.clone(), 9);
         withdraw_uncovered_starts(&mut core);
-        assert_eq!(planned(&core), 0, "{data}");
+        assert_eq!(planned_starts(&core), 0, "{data}");
     }
 }
 
-/// A start in doubt stays charged until the record has changed and all changes up to then were applied.
+/// A start in doubt stays charged until the record has changed and all changes up to that one are applied.
 #[test]
 fn a_start_in_doubt_is_charged_until_its_outcome_is_known() {
     let mut core = core(10.0, 4_000_000);
-    job(&mut core, "job-1", "array", 8);
+    add_job(&mut core, "job-1", "array", 8);
     let charge = core.limits.charge_for(&core, "job-1", 3).unwrap();
     core.limits.record_in_doubt(&charge);
     refresh_usage(&mut core);
     let headroom_cpus = |core: &Core| core.limits.divided_team(core, "t").unwrap().headroom().cpus;
     assert_eq!(headroom_cpus(&core), 1.0);
-    let again =
-        json!({"assignment": 5, "limit": [10_000_000, 0], "allotments": {ME: [4_000_000, 0]}});
+    let again = json!({"assignment": 5, "limit": [10_000_000, 0], "allotments": {OWN_NAME: [4_000_000, 0]}});
     put(&mut core, "r/a/t", again, 9);
     refresh_usage(&mut core);
     assert_eq!(
         headroom_cpus(&core),
         1.0,
-        "our own change is no proof of what came before it"
+        "the controller's own change does not show that all earlier changes are applied"
     );
     core.replica.apply(Vec::new(), 9);
     refresh_usage(&mut core);
     assert_eq!(headroom_cpus(&core), 4.0);
 }
 
-/// Rule `quota`, found on the bench: a task was seen absent and its headroom used again; before the absence was
-/// recorded its machine was reassigned to another controller, which started the task by the record.
+/// Guards against exceeding a team's limit, rule `quota`: the headroom of a task that was only seen to be
+/// absent was used again before its absence was recorded. Meanwhile its machine was reassigned to another
+/// controller, which started the task because it was still recorded as placed.
 #[test]
 fn only_completed_tasks_free_headroom_before_that_is_recorded() {
     let mut core = core(10.0, 3_000_000);
-    job(&mut core, "job-1", "array", 8);
+    add_job(&mut core, "job-1", "array", 8);
     let placed = json!([[1, "vm-1", 1], [1, "vm-1", 1], [1, "vm-1", 1]]);
     put(&mut core, "r/p/job-1/0", placed, 8);
     let headroom_cpus = |core: &mut Core| {
@@ -151,13 +155,13 @@
     assert_eq!(
         headroom_cpus(&mut core),
         0.0,
-        "an absence that is not recorded may become void"
+        "an absence frees no headroom before it is recorded"
     );
     core.record_change(&TaskId::new("job-1", 1), TaskRecord::Done);
     assert_eq!(headroom_cpus(&mut core), 1.0);
 }
 
-/// The size of the records of 200 limited teams with 2,000 jobs.
+/// Limits the size of the stored records with 200 limited teams and 2,000 jobs.
 #[test]
 fn records_of_200_teams_stay_small() {
     let members = 5;
@@ -169,14 +173,14 @@
         record.allocations.insert(name, allocation);
     }
     let bytes = serde_json::to_vec(&record).unwrap().len();
-    assert!(bytes <= 512, "{bytes} bytes a team");
+    assert!(bytes <= 512, "{bytes} bytes per team");
     let mut core = core(10.0, 0);
     let limit = TeamLimit::from_settings(1000.0, 0.0).unwrap();
     let teams = (0..200).map(|team| (format!("team-{team}"), limit));
-    core.limits = TeamQuotas::new(LimitsConfig::default(), ME, teams.collect());
+    core.limits = TeamQuotas::new(LimitsConfig::default(), OWN_NAME, teams.collect());
     for number in 0..2000 {
         let id = format!("job-{number}");
-        job(&mut core, &id, "array", 20);
+        add_job(&mut core, &id, "array", 20);
     }
     refresh_usage(&mut core);
     assert_eq!(core.limits.divided_teams(&core).count(), 200);
@@ -196,6 +200,6 @@
         .len();
     assert!(
         published <= MAX_PUBLISHED_GANG_BYTES,
-        "{published} bytes published"
+        "{published} bytes of published gangs"
     );
 }
--- a/src/limits/transfer.rs
+++ b/src/limits/transfer.rs
@@ -1,5 +1,5 @@
-//! Writes this controller's own changes to the teams' records: transfers to other controllers, and fences
-//! against transactions in doubt.
+//! Writes the changes that this controller makes to the teams' records: transfers to other controllers, and
+//! fences against transactions in doubt.
 
 use super::{QuotaCharge, refresh_usage};
 use crate::node::{Core, Node};
@@ -9,12 +9,12 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The most records that a controller changes of its own accord in a scheduling cycle. Transfers must not
-/// keep starts from being recorded.
+/// The most records that a controller changes by transfers and fences in a scheduling cycle, so that these do
+/// not delay the recording of starts.
 const MAX_CHANGES_PER_CYCLE: usize = 4;
 
-/// Transfers to other controllers what this one should not have, and fences transactions in doubt, as long
-/// as writes are left in the state service's budget.
+/// Transfers headroom that this controller should not keep to others, and fences transactions in doubt, as
+/// long as the state service's budget allows writes.
 pub async fn change_own_allocations(node: &Arc<Node>, now: Instant) {
     let changes = next_changes(&mut node.core(), now);
     for (team, change) in changes {
@@ -41,7 +41,8 @@
     changes
 }
 
-/// Writes one change on condition that the record is still the one it was derived from.
+/// Writes one change, with the precondition that the record is still the one from which the change was
+/// derived.
 async fn write_change(node: &Arc<Node>, team: &str, change: RecordChange) {
     let key = RecordKey::quota_allocations(team).to_string();
     let precondition = Precondition {
@@ -77,7 +78,8 @@
     }
 }
 
-/// Charges what a change without an answer transfers until its outcome is known.
+/// Charges the amount that a change without an answer would transfer, until the outcome of the change is
+/// known.
 fn record_in_doubt(core: &mut Core, team: &str, change: &RecordChange) {
     let assignment = core.replica.assignment.as_ref();
     let charge = QuotaCharge {
--- a/src/limits/usage.rs
+++ b/src/limits/usage.rs
@@ -1,4 +1,4 @@
-//! What the jobs of divided teams use and wait for, counted from the replica and from what this controller
+//! The usage and demand of divided teams, computed from the replica and from the starts that this controller
 //! plans.
 
 use crate::fleet::MachineState;
@@ -9,25 +9,26 @@
 use rowanmill_limits::{MemberDemand, ResourceAmount, TeamLimit, WaitingUnit};
 use std::collections::BTreeMap;
 
-/// Work at a controller without a machine leaves the limit to others for so many times `reserve_after_s`, after
-/// which a gang without machines asks for the limit, too.
-const PATIENCE_WITHOUT_MACHINE: f64 = 3.0;
+/// For how long work at a controller without a machine leaves the limit to others, as a multiple of
+/// `reserve_after_s`. After the same time, a gang without machines asks for the limit, too.
+const MAX_YIELD_FACTOR: f64 = 3.0;
 
-/// What a team's unfinished jobs use and wait for.
+/// The usage and demand of a team's unfinished jobs.
 #[derive(Debug, Default)]
 pub(super) struct TeamUsage {
-    /// By controller, in the order of the assignment.
+    /// The demand at each controller, in the order of the assignment.
     pub members: Vec<MemberDemand>,
-    /// What tasks use whose jobs are assigned to no controller.
+    /// Resources that are used by tasks whose jobs are assigned to no controller.
     pub unowned: ResourceAmount,
-    /// What tasks of this controller's jobs use: what is recorded, less what completed since.
-    pub held: ResourceAmount,
-    /// What this controller plans to start.
+    /// Resources that tasks of this controller's jobs use: those recorded as placed, without those that have
+    /// completed since.
+    pub in_use: ResourceAmount,
+    /// Resources that this controller's planned starts will use.
     pub planned: ResourceAmount,
 }
 
-/// Recomputes what divided teams use and wait for, and forgets transactions in doubt whose outcome is known
-/// by now. Costs next to nothing where no team is divided.
+/// Recomputes the usage and demand of divided teams, and removes transactions in doubt whose outcome is known
+/// by now. The cost is negligible if no team is divided.
 pub fn refresh_usage(core: &mut Core) {
     let usage = usage_by_team(core, wall_ms());
     core.limits.usage = usage;
@@ -38,7 +39,7 @@
     core.limits.holder = holder;
 }
 
-/// What the jobs of divided teams use and wait for. `now_ms` is in milliseconds since the epoch.
+/// The usage and demand of divided teams, by team. `now_ms` is in milliseconds since the epoch.
 fn usage_by_team(core: &Core, now_ms: u64) -> BTreeMap<String, TeamUsage> {
     let mut teams = idle_teams(core);
     if teams.is_empty() {
@@ -51,21 +52,21 @@
         let limit = &core.limits.limits[&job.record.spec.team];
         usage.add_job(core, &CountedJob { limit, id, job }, now_ms);
     }
-    let patience_s = core.limits.config.reserve_after_s * PATIENCE_WITHOUT_MACHINE;
+    let max_yield_s = core.limits.config.reserve_after_s * MAX_YIELD_FACTOR;
     for usage in teams.values_mut() {
-        usage.end_patience(patience_s, now_ms);
+        usage.stop_yielding(max_yield_s, now_ms);
     }
-    for (member, outlook) in &core.replica.forecast_summaries {
-        for (team, unit) in &outlook.record.blocked_gangs {
+    for (member, summary) in &core.replica.forecast_summaries {
+        for (team, unit) in &summary.record.blocked_gangs {
             if let Some(usage) = teams.get_mut(team) {
-                usage.add_published(core, member, unit);
+                usage.add_published_gang(core, member, unit);
             }
         }
     }
     teams
 }
 
-/// The divided teams without any jobs.
+/// The divided teams with the usage of teams that have no jobs.
 fn idle_teams(core: &Core) -> BTreeMap<String, TeamUsage> {
     let Some(assignment) = &core.replica.assignment else {
         return BTreeMap::new();
@@ -90,7 +91,7 @@
     teams.collect()
 }
 
-/// Whether a controller owns a machine on which tasks may be placed, or one that boots.
+/// Whether a controller owns a machine on which tasks may be placed, or one that is booting.
 fn has_machine(core: &Core, member: &Member) -> bool {
     let mut machines = core.replica.fleet.machines.values();
     machines.any(|machine| machine.owner == *member && machine.state == MachineState::Active)
@@ -104,7 +105,7 @@
 }
 
 impl CountedJob<'_> {
-    /// What so many of its tasks count against the limit.
+    /// The amount that `tasks` tasks of the job count against the limit.
     fn amount(&self, tasks: u32) -> ResourceAmount {
         limited_amount(self.limit, &self.job.record.spec, tasks)
     }
@@ -120,12 +121,12 @@
 }
 
 impl TeamUsage {
-    /// From when on a controller's oldest work has waited for `patience_s`, headroom is kept for it whether it has
-    /// a machine or not: the forecast then shows that one is missing.
-    fn end_patience(&mut self, patience_s: f64, now_ms: u64) {
+    /// Once a controller's oldest work has waited for `max_yield_s`, headroom is kept for it even if the
+    /// controller has no machine; the forecast then shows that it lacks a machine.
+    fn stop_yielding(&mut self, max_yield_s: f64, now_ms: u64) {
         for demand in &mut self.members {
             let oldest = demand.oldest.as_ref();
-            let has_waited = oldest.is_some_and(|unit| age_s(unit.since_ms, now_ms) >= patience_s);
+            let has_waited = oldest.is_some_and(|unit| age_s(unit.since_ms, now_ms) >= max_yield_s);
             demand.lacks_machines &= !has_waited;
         }
     }
@@ -148,12 +149,12 @@
             }
         }
         if owner.is_some_and(|owner| owner.name == core.limits.member) {
-            self.add_planned(core, counted);
+            self.add_own_job(core, counted);
         }
     }
 
-    /// Adds a gang that a controller published as waiting for the limit, if it still waits.
-    fn add_published(&mut self, core: &Core, member: &str, unit: &WaitingUnit) {
+    /// Adds a gang that a controller published as waiting for the limit, if the gang still waits.
+    fn add_published_gang(&mut self, core: &Core, member: &str, unit: &WaitingUnit) {
         let job = core.replica.jobs.get(&unit.job);
         if job.is_none_or(|job| waiting_tasks(job) == 0) {
             return;
@@ -164,11 +165,12 @@
         }
     }
 
-    /// Adds what tasks of an own job use and what is planned of it beside the records. A task that completed
-    /// has left for good. One that was only seen to be absent, or exited without completing, stays charged
-    /// until that is recorded: if its machine is reassigned before, the next owner starts it by the record.
-    fn add_planned(&mut self, core: &Core, counted: &CountedJob) {
-        let mut held = counted.job.placed;
+    /// Adds the usage and the planned starts of a job of this controller, including changes that are not
+    /// recorded yet. A completed task frees its resources at once. A task that was only seen to be absent, or
+    /// that exited without completing, stays charged until that is recorded: if its machine is reassigned
+    /// before, the machine's next owner starts the task again, since it is still recorded as placed.
+    fn add_own_job(&mut self, core: &Core, counted: &CountedJob) {
+        let mut in_use = counted.job.placed;
         let mut planned = 0;
         for (task, entry) in core
             .pending_changes
@@ -180,11 +182,11 @@
             let is_placed = matches!(recorded, TaskRecord::Placed { .. });
             match entry {
                 TaskRecord::Placed { .. } => planned += u32::from(!is_placed),
-                TaskRecord::Done => held -= u32::from(is_placed),
+                TaskRecord::Done => in_use -= u32::from(is_placed),
                 TaskRecord::Waiting { .. } => {}
             }
         }
-        self.held = self.held.saturating_add(counted.amount(held));
+        self.in_use = self.in_use.saturating_add(counted.amount(in_use));
         self.planned = self.planned.saturating_add(counted.amount(planned));
     }
 }
@@ -202,14 +204,14 @@
     if is_on_time {
         demand.waiting_on_time = demand.waiting_on_time.saturating_add(waiting);
     }
-    // Whether a gang waits for the limit or for machines only its own controller knows.
+    // Only the controller of a gang knows whether the gang waits for the limit or for machines.
     if !counted.job.record.spec.is_gang() {
         demand.consider_unit(counted.unit(1));
     }
 }
 
-/// What `tasks` tasks of a job count against a limit. An invalid amount counts as more than any limit: such a
-/// job is not accepted.
+/// The amount that `tasks` tasks of a job count against a limit. An invalid amount counts as more than any
+/// limit; jobs with one are not accepted.
 pub(super) fn limited_amount(limit: &TeamLimit, spec: &JobSpec, tasks: u32) -> ResourceAmount {
     let amount = ResourceAmount::for_tasks(spec.cpus, spec.gpus, tasks);
     limit.limited_part_of(amount.unwrap_or(ResourceAmount {
@@ -218,7 +220,7 @@
     }))
 }
 
-/// What the tasks of a team's jobs use, whether its limit is divided or not.
+/// Resources that the tasks of a team's jobs use, whether its limit is divided or not.
 pub(super) fn used_by_team(core: &Core, team: &str, limit: &TeamLimit) -> ResourceAmount {
     let of_team = |job: &&Job| job.record.spec.team == team;
     let jobs = core.replica.jobs.values().filter(of_team);
@@ -226,13 +228,15 @@
         .sum()
 }
 
-/// What a waiting gang needs to start, as its team's limit counts it; `None` if no task of it waits.
+/// A waiting gang with the amount that it needs to start, as its team's limit counts it; `None` if no task of
+/// it waits.
 pub(super) fn waiting_gang(limit: &TeamLimit, id: &str, job: &Job) -> Option<WaitingUnit> {
     let waiting = waiting_tasks(job);
     (waiting > 0).then(|| CountedJob { limit, id, job }.unit(waiting))
 }
 
-/// The smallest part of a job that can start, counting every resource; `None` if no task of it waits.
+/// The smallest part of a job that can start, counting all resources, limited or not; `None` if no task of it
+/// waits.
 pub(super) fn waiting_unit(id: &str, job: &Job) -> Option<WaitingUnit> {
     let limit = TeamLimit {
         micro_cpus: Some(u64::MAX),
@@ -262,7 +266,8 @@
         .is_none_or(|deadline| age + expected <= deadline)
 }
 
-/// Tasks of a job that wait to be started. A gang that has begun to complete starts no more.
+/// The number of a job's tasks that wait to be started. A gang of which a task is placed or has completed
+/// starts no more tasks.
 fn waiting_tasks(job: &Job) -> u32 {
     let spec = &job.record.spec;
     let begun = job.done + job.placed;
--- a/src/limits/withdrawal.rs
+++ b/src/limits/withdrawal.rs
@@ -6,7 +6,8 @@
 use std::collections::HashMap;
 
 /// Withdraws planned starts that this controller's allocations do not cover: the records may have changed
-/// since they were planned. Starts that come first in the plan are kept, gangs as a whole.
+/// since the starts were planned. Starts that come first in the plan are kept; a gang is kept or withdrawn as
+/// a whole.
 pub fn withdraw_uncovered_starts(core: &mut Core) {
     refresh_usage(core);
     let overcommitted = core
@@ -49,11 +50,11 @@
 /// Planned starts of one job.
 struct PlannedStarts<'a> {
     job: &'a String,
-    /// The tasks' numbers; never empty.
+    /// The tasks' indices in the job; never empty.
     tasks: Vec<u32>,
 }
 
-/// Planned starts of a team, in the order of the jobs' ranks.
+/// Planned starts of a team, ordered by the start ranks of their jobs.
 fn planned_starts<'a>(core: &'a Core, team: &str) -> Vec<PlannedStarts<'a>> {
     let of_team = |job: &str| {
         let job = core.replica.jobs.get(job);
