--- a/crates/rowanmill-limits/tests/config.rs
+++ b/crates/rowanmill-limits/tests/config.rs
@@ -1,4 +1,4 @@
-//! Invalid files and settings are refused with a message that names the field.
+//! Invalid configuration files and settings are rejected with a message that names the field.
 
 use rowanmill_config::ConfigFile;
 use rowanmill_limits::LimitsConfig;
--- a/crates/rowanmill-limits/tests/file_format.rs
+++ b/crates/rowanmill-limits/tests/file_format.rs
@@ -1,4 +1,4 @@
-//! The operators' file of the limits, as read: the names of its fields are an interface.
+//! How the limits file is parsed: the names of its fields are an interface to operators.
 
 use rowanmill_config::ConfigFile;
 use rowanmill_limits::LimitsConfig;
@@ -6,7 +6,7 @@
 
 const DEPLOYED: &str = include_str!("../../../deploy/limits.json");
 
-/// Every field under its name in the file.
+/// The value of each field, under the field's name in the file.
 fn config_text(config: &LimitsConfig) -> String {
     format!(
         "change_every_s = {}\nstep = {}\nidle_after_s = {}\nreserve_after_s = {}\n",
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_file_of_the_limits_is_read_field_by_field() {
+fn limits_file_is_parsed_field_by_field() {
     let mut trace = String::new();
     for text in [
         DEPLOYED.trim_end(),
--- a/crates/rowanmill-limits/tests/idle_headroom.rs
+++ b/crates/rowanmill-limits/tests/idle_headroom.rs
@@ -1,5 +1,5 @@
-//! Headroom that a controller cannot use goes to one that can, within the time that the settings give, and does
-//! not go back and forth.
+//! Headroom that a controller cannot use is transferred to one that can, within the time in the settings, and
+//! is not transferred back and forth. A *slot* is the headroom for one task.
 
 use rowanmill_limits::{
     AllocationRecord, LimitsConfig, MemberDemand, QuotaHolder, RecordChange, ResourceAmount,
@@ -7,8 +7,8 @@
 };
 use std::time::{Duration, Instant};
 
-/// What a task uses: a third of the limit.
-const TASK: ResourceAmount = ResourceAmount {
+/// The resources of one task: a third of the limit.
+const TASK_AMOUNT: ResourceAmount = ResourceAmount {
     micro_cpus: 1_000_000,
     micro_gpus: 0,
 };
@@ -17,21 +17,25 @@
     micro_gpus: 0,
 };
 const NAMES: [&str; 3] = ["a", "b", "c"];
-/// When the defaults let a controller release headroom: `idle_after_s` after it was first seen to be idle.
-const RELEASED_AFTER: Duration = Duration::from_secs(2);
+/// How long headroom must be idle before a controller releases it: `idle_after_s` of the default settings.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A controller with twenty tasks that wait since then.
+/// The demand of a controller with twenty waiting tasks that could first start at `since_ms`.
 fn demand(member: &str, running: bool, lacks_machines: bool, since_ms: u64) -> MemberDemand {
     MemberDemand {
-        used: if running { TASK } else { ResourceAmount::ZERO },
+        used: if running {
+            TASK_AMOUNT
+        } else {
+            ResourceAmount::ZERO
+        },
         waiting: ResourceAmount {
-            micro_cpus: 20 * TASK.micro_cpus,
+            micro_cpus: 20 * TASK_AMOUNT.micro_cpus,
             micro_gpus: 0,
         },
         oldest: Some(WaitingUnit {
             since_ms,
             job: format!("job-{member}"),
-            need: TASK,
+            need: TASK_AMOUNT,
             is_gang: false,
         }),
         lacks_machines,
@@ -39,7 +43,8 @@
     }
 }
 
-/// Two controllers that each run a task on a machine, and a third one, whose work is the oldest.
+/// Two controllers that each run a task on a machine, and a third one whose work is the oldest. The third
+/// lacks machines if `lacks_machines` is set.
 fn two_run_and_one_lacks_machines(lacks_machines: bool) -> [MemberDemand; 3] {
     [
         demand("a", true, false, 5),
@@ -52,7 +57,7 @@
     let mut record = AllocationRecord::frozen(5, LIMIT);
     for (name, tasks) in NAMES.iter().zip(tasks) {
         let allocation = ResourceAmount {
-            micro_cpus: tasks * TASK.micro_cpus,
+            micro_cpus: tasks * TASK_AMOUNT.micro_cpus,
             micro_gpus: 0,
         };
         record.allocations.insert((*name).to_owned(), allocation);
@@ -60,7 +65,7 @@
     record
 }
 
-/// One controller of the three, with the record as it stands.
+/// One of the three controllers.
 struct Controller<'a> {
     holder: QuotaHolder,
     members: &'a [MemberDemand],
@@ -95,45 +100,53 @@
     }
 }
 
-/// What the third controller makes of its idle slot, right before it may release it and when it may.
+/// The changes that the third controller makes while its slot is idle: right before it may release the slot,
+/// and as soon as it may.
 fn release(members: &[MemberDemand]) -> (Option<RecordChange>, Option<RecordChange>) {
     let start = Instant::now();
     let record = record([1, 1, 1]);
     let mut idle = Controller::new(members, 2);
     assert_eq!(idle.next_change(&record, start), None);
-    let before = start + RELEASED_AFTER - Duration::from_millis(1);
+    let before = start + IDLE_TIMEOUT - Duration::from_millis(1);
     let too_early = idle.next_change(&record, before);
-    (too_early, idle.next_change(&record, start + RELEASED_AFTER))
+    (too_early, idle.next_change(&record, start + IDLE_TIMEOUT))
 }
 
-/// The order of events of a run in which two of three slots were used: the third one's controller has no machine.
+/// Guards against an unused slot: of three slots only two were used, because the third one's controller had
+/// no machine.
 #[test]
 fn a_controller_without_a_machine_releases_its_last_slot_to_one_that_can_use_it() {
     let members = two_run_and_one_lacks_machines(true);
     let (too_early, change) = release(&members);
     assert_eq!(too_early, None);
-    let change = change.expect("the slot is released");
-    assert_eq!(change.transferred, TASK);
-    assert_eq!(change.record, record([2, 1, 0]), "whole, to the older work");
+    let change = change.expect("the slot is released after the idle time");
+    assert_eq!(change.transferred, TASK_AMOUNT);
+    assert_eq!(
+        change.record,
+        record([2, 1, 0]),
+        "the whole slot goes to the controller with the older work"
+    );
 }
 
-/// With a machine, booting or idle, it keeps what its next task needs.
+/// A controller that has a machine, booting or idle, keeps the headroom that its next task needs.
 #[test]
 fn a_controller_with_a_machine_keeps_a_slot_for_its_next_task() {
     let members = two_run_and_one_lacks_machines(false);
     assert_eq!(release(&members), (None, None));
 }
 
-/// Where nobody has a machine, each keeps its part: the first machine may be rented for any of them.
+/// If no controller has a machine, each keeps its allocation: the first machine may be rented for any of
+/// them.
 #[test]
-fn headroom_stays_where_it_is_while_nobody_has_a_machine() {
+fn headroom_is_not_released_while_no_controller_has_a_machine() {
     let members = NAMES.map(|name| demand(name, false, true, 1));
     assert_eq!(release(&members), (None, None));
 }
 
-/// A gang that asks for the limit gathers it without a machine, too: it has waited for that already.
+/// A gang that asks for the limit also accumulates headroom without a machine: it has already waited long
+/// enough for that.
 #[test]
-fn a_gang_that_asks_for_the_limit_yields_nothing() {
+fn a_gang_that_waits_for_the_limit_releases_no_headroom() {
     let mut members = two_run_and_one_lacks_machines(true);
     if let Some(gang) = &mut members[2].oldest {
         gang.is_gang = true;
@@ -144,10 +157,10 @@
     assert_eq!(change.unwrap().record, record([1, 1, 1]));
 }
 
-/// The slot does not come back before its controller has a machine, however old the work there is, and comes back
-/// then.
+/// A released slot does not come back while its controller has no machine, however old the work there is. It
+/// comes back once there is a machine.
 #[test]
-fn a_released_slot_comes_back_with_a_machine_and_not_before() {
+fn a_released_slot_is_returned_only_to_a_controller_with_a_machine() {
     let now = Instant::now();
     let released = record([2, 1, 0]);
     for lacks_machines in [true, false] {
--- a/crates/rowanmill-limits/tests/model/controller.rs
+++ b/crates/rowanmill-limits/tests/model/controller.rs
@@ -1,4 +1,4 @@
-//! A controller of the model: what it decides by what it has read so far.
+//! A controller of the model, which decides by the records that it has read so far.
 
 use super::Omission;
 use super::store::{Demand, Preconditions, Store, TaskState, Transaction, Write};
@@ -10,7 +10,7 @@
 
 pub const TEAM: &str = "t";
 
-/// A revision that no record reaches: a controller with it takes all changes for applied.
+/// A revision that no record reaches: a controller with it acts as if all changes were applied.
 const ALL_CHANGES: u64 = u64::MAX;
 
 pub struct Controller {
@@ -22,7 +22,7 @@
     pub omission: Omission,
 }
 
-/// A start that a controller's headroom permits.
+/// A start for which a controller has headroom.
 pub struct Start {
     job: usize,
     tasks: Vec<usize>,
@@ -44,7 +44,8 @@
         }
     }
 
-    /// The revision up to which it has applied all changes, unless `omission` makes it take all for applied.
+    /// The revision up to which it has applied all changes. If the controller omits the safeguard `omission`,
+    /// it acts as if all changes were applied.
     fn applied_revision(&self, omission: Omission) -> u64 {
         if self.omission == omission {
             return ALL_CHANGES;
@@ -62,8 +63,8 @@
         }
     }
 
-    /// The transaction that it should send if it is the leader: an assignment to the controllers that are
-    /// present, or an allocation of the limit.
+    /// The transaction that the controller should send if it is the leader: an assignment to the controllers
+    /// that are present, or an allocation of the limit.
     pub fn leader_transaction(&self) -> Option<Transaction> {
         let leader = self.replica.leader.as_ref()?;
         if leader.record != self.name {
@@ -92,7 +93,7 @@
     fn next_record(&self) -> Option<AllocationRecord> {
         let demand = self.replica.demand();
         let limit = self.limit.as_amount();
-        // Without the freeze, a record of another limit counts as none.
+        // Without the freeze, a record that divides another limit is treated as absent.
         let counts = |versioned: &Versioned<&AllocationRecord>| {
             self.omission != Omission::Freeze || versioned.record.limit == limit
         };
@@ -112,7 +113,7 @@
         }
     }
 
-    /// The change of the team's record that it should make of its own accord.
+    /// The transfer or fence that the controller should write to the team's record, if any.
     pub fn next_change(&mut self, now: Instant) -> Option<RecordChange> {
         let demand = self.replica.demand();
         let charged = demand.used_by(&self.name);
@@ -124,7 +125,7 @@
         change
     }
 
-    /// All starts that its headroom permits now.
+    /// All starts for which it has headroom now.
     pub fn permitted_starts(&mut self) -> Vec<Start> {
         let demand = self.replica.demand();
         let charged = demand.used_by(&self.name);
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Charges a transaction without an answer that required the record at `record_revision`.
+    /// Charges a transaction that got no answer and required the record at `record_revision`.
     pub fn record_in_doubt(&mut self, amount: ResourceAmount, record_revision: u64) {
         let transaction = InDoubtTransaction {
             amount,
--- a/crates/rowanmill-limits/tests/model/mod.rs
+++ b/crates/rowanmill-limits/tests/model/mod.rs
@@ -1,5 +1,6 @@
-//! A state service, jobs and controllers in one thread, stepped by a seed. Every order of answered, lost,
-//! delayed and refused transactions, reads, transfers, exits, kills and restarts can occur.
+//! A deterministic model of a state service, jobs and controllers, which runs in one thread and is driven by
+//! a seed. Transactions can be answered, lost, delayed or refused, and can be interleaved in any order with
+//! reads, transfers, task exits, and kills and restarts of controllers.
 
 mod controller;
 mod generate;
@@ -7,14 +8,14 @@
 mod store;
 
 use controller::Controller;
-use generate::{ONE, random_jobs, random_limit};
+use generate::{UNITS_PER_RESOURCE, random_jobs, random_limit};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rowanmill_limits::{TeamLimit, Versioned};
 use std::time::{Duration, Instant};
 use store::{Job, Store, TaskState, Transaction, Write};
 
-/// A safeguard that the controllers leave out, to show that it is needed.
+/// A safeguard that the controllers omit, to show that it is needed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Omission {
     Nothing,
@@ -26,30 +27,30 @@
     InDoubtStarts,
     /// Transfers in doubt are not charged.
     InDoubtTransfers,
-    /// A controller takes its own changes for proof that it has applied all before them.
+    /// A controller concludes from the revision of its own changes that it has applied all earlier changes.
     ReadBeforeResolving,
-    /// The leader allocates by what it has read so far.
+    /// The leader allocates without reading all changes up to the previous record first.
     ReadBeforeAllocating,
-    /// The leader allocates without a freeze when the limit changed.
+    /// The leader allocates without a freeze after the limit changed.
     Freeze,
 }
 
-/// What becomes of a transaction.
+/// The outcome of a transaction.
 #[derive(Debug, Clone, Copy)]
 pub enum Outcome {
     Answered,
-    /// Applied, and the answer is lost.
+    /// Applied, but the answer is lost.
     AnswerLost,
-    /// Not answered, and applied later.
+    /// Not answered, but applied later.
     Delayed,
     Refused,
 }
 
 pub struct Model {
     random: StdRng,
-    /// The probability that a controller reads before it acts: each schedule has its own.
+    /// The probability that a controller reads before it acts; it differs between schedules.
     read_probability: f64,
-    /// How many of 60 steps are faults: each schedule has its own.
+    /// The number of faults per 60 steps on average; it differs between schedules.
     faults_per_60: u32,
     omission: Omission,
     store: Store,
@@ -58,20 +59,21 @@
     incarnations: u64,
     limit: TeamLimit,
     now: Instant,
-    /// What becomes of transactions; `None`: drawn for each.
+    /// The outcome of all transactions; `None` if each one's is random.
     pub outcome: Option<Outcome>,
-    /// Starts that put more in use than the limit of the record that they required.
+    /// Descriptions of starts after which more was in use than the limit in the record that they required.
     pub overshoots: Vec<String>,
     pub starts: usize,
     pub transfers: usize,
-    /// The most rounds in a row without a start while something that waits fits what the limit leaves. While
-    /// a gang accumulates headroom, less of it is used on purpose: schedules with gangs do not count.
+    /// The longest sequence of rounds without a start while waiting work fits into the headroom that the
+    /// limit leaves. Rounds in which a gang waits do not count, because headroom that accumulates for a gang
+    /// is left unused on purpose.
     pub longest_idle: usize,
 }
 
 pub const CONTROLLERS: usize = 3;
 
-/// The prefix of a controller's incarnations.
+/// The prefix of the names of a controller's incarnations.
 fn name_prefix(index: usize) -> String {
     format!("m{index}#")
 }
@@ -117,7 +119,7 @@
         self.controllers[index] = Some(controller);
     }
 
-    /// Expires the presence of the controllers with a prefix, and their leadership with it.
+    /// Expires the presence of the controllers whose names start with `prefix`, and their leadership.
     fn expire(&mut self, prefix: &str) {
         self.store.present.retain(|name| !name.starts_with(prefix));
         let leader = self.store.leader.as_ref();
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Sends a transaction of a controller; returns whether it was applied, or `None` without an answer.
+    /// Sends a transaction of a controller. Returns whether it was applied, or `None` if there is no answer.
     fn send(&mut self, index: usize, mut transaction: Transaction) -> Option<bool> {
         if matches!(transaction.write, Write::Start { .. }) {
             match self.omission {
@@ -201,7 +203,7 @@
         }
     }
 
-    /// One step of one controller, often with a read before it.
+    /// Performs one step of one controller, sometimes after a read.
     fn act(&mut self, index: usize) {
         if self.random.random_bool(self.read_probability) {
             self.read(index);
@@ -213,7 +215,7 @@
         }
     }
 
-    /// A controller reads all records, and becomes the leader if none is present.
+    /// Lets a controller read all records, and makes it the leader if there is none.
     pub fn read(&mut self, index: usize) {
         let Some(controller) = &mut self.controllers[index] else {
             return;
@@ -229,7 +231,7 @@
         }
     }
 
-    /// A controller does what is the leader's part, if it is the leader by what it has read.
+    /// Lets a controller perform the leader's part if its replica shows it as the leader.
     pub fn lead(&mut self, index: usize) {
         let controller = self.controllers[index].as_ref();
         if let Some(transaction) = controller.and_then(Controller::leader_transaction) {
@@ -237,7 +239,7 @@
         }
     }
 
-    /// A controller changes the record of its own accord, if it should.
+    /// Lets a controller write a transfer or fence, if one is due.
     pub fn change(&mut self, index: usize) {
         let Some(controller) = &mut self.controllers[index] else {
             return;
@@ -261,7 +263,7 @@
         }
     }
 
-    /// A controller starts one of its waiting units, if any fits its headroom.
+    /// Lets a controller start one of its waiting units, if it has the headroom for any.
     pub fn start(&mut self, index: usize) {
         let Some(controller) = &mut self.controllers[index] else {
             return;
@@ -279,7 +281,7 @@
         }
     }
 
-    /// A placed task completes, and that is recorded.
+    /// Completes and records a random placed task.
     fn complete_task(&mut self) {
         let jobs = self.store.jobs.iter().enumerate();
         let placed: Vec<(usize, usize)> = jobs
@@ -304,7 +306,7 @@
         self.apply(&transaction)
     }
 
-    /// A kill, a restart, an expired presence, a changed limit, or nothing.
+    /// Injects a random fault: a kill, a restart, an expired presence or a changed limit; or nothing.
     fn inject_fault(&mut self) {
         let index = self.random.random_range(0..CONTROLLERS);
         match self.random.random_range(0..12) {
@@ -312,14 +314,14 @@
             1 | 2 => self.restart(index),
             3 => self.expire_controller(index),
             4..=7 => {
-                let micro_cpus = self.random.random_range(4..12) * ONE;
+                let micro_cpus = self.random.random_range(4..12) * UNITS_PER_RESOURCE;
                 self.limit.micro_cpus = Some(micro_cpus);
             }
             _ => {}
         }
     }
 
-    /// Runs this many steps with faults.
+    /// Runs `steps` steps with faults.
     pub fn run(&mut self, steps: usize) {
         for _ in 0..steps {
             self.now += Duration::from_millis(20);
@@ -337,18 +339,18 @@
         }
     }
 
-    /// Restarts all controllers, and answers every transaction from now on.
+    /// Applies all delayed transactions, restarts all controllers, and answers every transaction from now on.
     pub fn recover(&mut self) {
         self.outcome = Some(Outcome::Answered);
-        self.limit.micro_cpus = Some(12 * ONE);
+        self.limit.micro_cpus = Some(12 * UNITS_PER_RESOURCE);
         while !self.delayed.is_empty() {
             self.deliver_delayed();
         }
         (0..CONTROLLERS).for_each(|index| self.restart(index));
     }
 
-    /// Runs rounds of a tenth of a second in each of which every controller reads and acts once and, if
-    /// `with_exits`, one task completes. Returns whether no task waits after at most `max_rounds`.
+    /// Runs rounds of a tenth of a second each. In each round, every controller reads and acts once and, if
+    /// `with_exits` is set, one task completes. Returns whether no task waits after at most `max_rounds`.
     pub fn run_rounds(&mut self, max_rounds: usize, with_exits: bool) -> bool {
         let mut idle = 0;
         for _ in 0..max_rounds {
@@ -376,7 +378,7 @@
         false
     }
 
-    /// Whether a waiting task fits what the limit leaves, and no gang waits.
+    /// Whether a waiting task fits into the headroom that the limit leaves, and no gang waits.
     fn has_usable_headroom(&self) -> bool {
         let record = self.store.record.as_ref();
         let limit = record.map(|versioned| versioned.record.limit);
--- a/crates/rowanmill-limits/tests/model/script.rs
+++ b/crates/rowanmill-limits/tests/model/script.rs
@@ -1,18 +1,17 @@
-//! What scripted schedules need beside the steps of the model: states to begin with, and changes from
-//! outside.
+//! Initial states and external changes for scripted schedules.
 
-use super::generate::ONE;
+use super::generate::UNITS_PER_RESOURCE;
 use super::store::{Job, TaskState};
 use super::{CONTROLLERS, Model, Omission, Outcome};
 use rowanmill_limits::ResourceAmount;
 
 impl Model {
-    /// Three controllers with more work of tasks of one CPU than a limit of 12 CPUs, the first one leading.
-    /// Nothing runs yet.
+    /// A model of three controllers, of which the first is the leader, and a limit of 12 CPUs. More tasks of
+    /// one CPU wait than the limit allows; none runs yet.
     pub fn with_small_tasks(omission: Omission) -> Self {
         let mut model = Self::new(0, omission);
         let job = Job {
-            need: ResourceAmount::from((ONE, 0)),
+            need: ResourceAmount::from((UNITS_PER_RESOURCE, 0)),
             is_gang: false,
             since_ms: 0,
             tasks: vec![TaskState::Waiting; 10],
@@ -29,12 +28,12 @@
         model
     }
 
-    /// Sets the limit in the settings, which controllers see when they read next.
+    /// Sets the limit in the settings, which controllers see at their next read.
     pub fn set_limit_cpus(&mut self, cpus: u64) {
-        self.limit.micro_cpus = Some(cpus * ONE);
+        self.limit.micro_cpus = Some(cpus * UNITS_PER_RESOURCE);
     }
 
-    /// Replaces the waiting tasks of a job by this many.
+    /// Replaces the waiting tasks of a job by `tasks` new ones.
     pub fn set_waiting(&mut self, job: usize, tasks: usize) {
         let job = &mut self.store.jobs[job];
         job.tasks.retain(|task| *task != TaskState::Waiting);
@@ -44,10 +43,10 @@
     }
 
     pub fn cpus_in_use(&self) -> u64 {
-        self.store.used().micro_cpus / ONE
+        self.store.used().micro_cpus / UNITS_PER_RESOURCE
     }
 
-    /// Ends a controller, and its presence with it.
+    /// Kills a controller and expires its presence.
     pub fn end_controller(&mut self, index: usize) {
         self.controllers[index] = None;
         self.expire_controller(index);
--- a/crates/rowanmill-limits/tests/model/store.rs
+++ b/crates/rowanmill-limits/tests/model/store.rs
@@ -1,9 +1,9 @@
-//! The model's state service: its records, and transactions on them that are applied whole or not at all.
+//! The model's state service: its records, and transactions that are applied as a whole or not at all.
 
 use rowanmill_limits::{AllocationRecord, MemberDemand, ResourceAmount, Versioned, WaitingUnit};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job of the one team, with its tasks.
+/// A job of the model's only team, with its tasks.
 #[derive(Debug, Clone)]
 pub struct Job {
     pub need: ResourceAmount,
@@ -29,18 +29,18 @@
         self.tasks.contains(&TaskState::Waiting)
     }
 
-    /// The indices of tasks in a state.
+    /// The indices of the tasks in a state.
     pub fn indices(&self, state: TaskState) -> impl Iterator<Item = usize> {
         let tasks = self.tasks.iter().enumerate();
         tasks.filter_map(move |(index, task)| (*task == state).then_some(index))
     }
 
-    /// What so many of its tasks use.
+    /// The resources that `tasks` of its tasks use.
     pub fn amount(&self, tasks: u64) -> ResourceAmount {
         self.need.zip_with(self.need, |need, _| need * tasks)
     }
 
-    /// The smallest part of it that can start.
+    /// The smallest part of the job that can start.
     fn waiting_unit(&self, index: usize) -> WaitingUnit {
         let tasks = if self.is_gang {
             self.count(TaskState::Waiting)
@@ -56,7 +56,7 @@
     }
 }
 
-/// All records.
+/// All records of the state service.
 #[derive(Debug, Clone, Default)]
 pub struct Store {
     pub revision: u64,
@@ -68,7 +68,7 @@
     pub jobs: Vec<Job>,
 }
 
-/// What a transaction writes.
+/// The write of a transaction.
 #[derive(Debug, Clone)]
 pub enum Write {
     Start { job: usize, tasks: Vec<usize> },
@@ -76,7 +76,8 @@
     Assignment(Vec<String>),
 }
 
-/// Revisions that records must have for a transaction to be applied; 0 for one that must be absent.
+/// Revisions that records must have for a transaction to be applied. 0 requires that the record does not
+/// exist.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Preconditions {
     pub record: Option<u64>,
@@ -92,14 +93,14 @@
     pub write: Write,
 }
 
-/// What controllers demand, and what tasks use whose jobs no controller owns.
+/// The demand at each controller, and the resources that are used by tasks of jobs without an owner.
 pub struct Demand {
     pub members: Vec<MemberDemand>,
     pub unowned: ResourceAmount,
 }
 
 impl Demand {
-    /// What the tasks of a controller use.
+    /// Resources that the tasks of a controller use.
     pub fn used_by(&self, member: &str) -> ResourceAmount {
         let own = self.members.iter().find(|demand| demand.member == member);
         own.map_or(ResourceAmount::ZERO, |demand| demand.used)
@@ -111,7 +112,7 @@
         self.record.as_ref().map_or(0, |record| record.revision)
     }
 
-    /// The record, without a copy of it.
+    /// A reference to the record with its revision.
     pub fn record_ref(&self) -> Option<Versioned<&AllocationRecord>> {
         self.record.as_ref().map(|versioned| Versioned {
             record: &versioned.record,
@@ -130,7 +131,7 @@
                 .is_none_or(|(job, required)| required == self.jobs[job].revision)
     }
 
-    /// Applies a write at a revision, whatever it requires.
+    /// Applies a write at a revision without checking preconditions.
     pub fn apply(&mut self, write: &Write, revision: u64) {
         match write {
             Write::Start { job, tasks } => {
@@ -151,7 +152,7 @@
         }
     }
 
-    /// What all placed tasks use.
+    /// Resources that all placed tasks use.
     pub fn used(&self) -> ResourceAmount {
         self.jobs
             .iter()
--- a/crates/rowanmill-limits/tests/properties.rs
+++ b/crates/rowanmill-limits/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Targets, allocations and transfers on random demand, and the refusal of invalid input.
+//! Properties of targets, allocations and transfers for random demand, and the rejection of invalid input.
 
 use proptest::prelude::*;
 use rowanmill_limits::key::{decode_team, encode_team};
@@ -56,12 +56,13 @@
 
 proptest! {
     #[test]
-    fn targets_never_add_up_to_more_than_the_limit(limit in amount(20_000), members in members()) {
+    fn the_sum_of_targets_does_not_exceed_the_limit(limit in amount(20_000), members in members()) {
         let targets = allocation_targets(limit, &members);
         prop_assert!(sum(targets.into_iter()).fits_within(limit));
     }
 
-    /// Each controller is allocated at least what its tasks use, and all together no more than the limit.
+    /// Each controller's allocation covers the usage of its tasks, and the sum of all allocations does not
+    /// exceed the limit.
     #[test]
     fn allocations_cover_what_is_in_use(
         limit in amount(20_000),
@@ -91,7 +92,7 @@
         prop_assert_eq!(decide_allocation(&behind), AllocationDecision::Keep);
     }
 
-    /// A transfer moves only what its holder does not use, and preserves the sum of the allocations.
+    /// A transfer moves only headroom that its sender does not use, and preserves the sum of the allocations.
     #[test]
     fn a_transfer_moves_nothing_that_is_used(
         members in members(),
@@ -118,7 +119,7 @@
         if let Some(change) = holder.next_change("t", &view, charged, Instant::now()) {
             prop_assert_eq!(change.base_revision, 7);
             prop_assert_eq!(change.record.total_allocated(), record.total_allocated());
-            prop_assert!(charged.fits_within(change.record.allocation_of("m0")), "it keeps what is charged");
+            prop_assert!(charged.fits_within(change.record.allocation_of("m0")), "the allocation still covers the charged amount");
             prop_assert!(change.transferred.fits_within(spare));
             for member in &members[1..] {
                 prop_assert!(member.used.fits_within(change.record.allocation_of(&member.member)));
@@ -143,17 +144,20 @@
 }
 
 #[test]
-fn invalid_amounts_are_refused() {
+fn invalid_amounts_are_rejected() {
     for bad in [-1.0, f64::NAN, f64::INFINITY, 1e12] {
         assert!(ResourceAmount::for_tasks(bad, 0.0, 1).is_err(), "{bad}");
         assert!(TeamLimit::from_settings(1.0, bad).is_err(), "{bad}");
     }
     let whole = ResourceAmount::for_tasks(0.1, 0.0, 30).unwrap();
-    assert_eq!(whole.micro_cpus, 3_000_000, "thirty tenths are three");
+    assert_eq!(
+        whole.micro_cpus, 3_000_000,
+        "30 times 0.1 CPUs are exactly 3"
+    );
 }
 
 #[test]
-fn records_that_permit_more_than_their_limit_are_refused() {
+fn records_that_exceed_their_limit_are_rejected() {
     let fine = r#"{"assignment":3,"limit":[10,2],"allotments":{"a":[6,1],"b":[4,1]}}"#;
     assert!(AllocationRecord::parse(fine).is_ok());
     for bad in [
@@ -167,7 +171,7 @@
 }
 
 #[test]
-fn of_two_gangs_that_need_more_than_half_the_older_is_served_first() {
+fn the_older_of_two_gangs_that_need_more_than_half_is_served_first() {
     let gang = |member: &str, since_ms: u64| MemberDemand {
         member: member.into(),
         waiting: ResourceAmount::from((70, 0)),
--- a/crates/rowanmill-limits/tests/records.rs
+++ b/crates/rowanmill-limits/tests/records.rs
@@ -1,5 +1,5 @@
-//! The record of a team's quota allocations and the encoding of its name in keys, as text that no change of
-//! names may alter.
+//! The stored JSON of a team's quota allocations and the encoding of team names in keys. Renaming an
+//! identifier must not change either.
 
 use rowanmill_limits::key::{decode_team, encode_team};
 use rowanmill_limits::{AllocationRecord, ResourceAmount, WaitingUnit};
--- a/crates/rowanmill-limits/tests/schedules.rs
+++ b/crates/rowanmill-limits/tests/schedules.rs
@@ -1,19 +1,19 @@
-//! Schedules of several controllers over one team's limit: seeded ones, and a scripted one for each safeguard
-//! that only a rare order of events needs.
+//! Schedules of several controllers that share a team's limit: random ones from seeds, and a scripted one for
+//! each safeguard that only a rare order of events needs.
 
 mod model;
 
 use model::{CONTROLLERS, Model, Omission, Outcome};
 
-/// Schedules that CI runs; `more_schedules` runs many more.
+/// The number of schedules that CI runs; `more_schedules` runs many more.
 const SCHEDULES: u64 = 2000;
 const STEPS: usize = 400;
-/// Rounds after the last fault within which all that waits has started: each round ends one task, there are
-/// at most 19 jobs of 12 tasks, and a transfer or an allocation takes a few rounds.
+/// Rounds after the last fault within which all waiting work must have started: each round ends one task,
+/// there are at most 19 jobs of 12 tasks, and a transfer or an allocation takes a few rounds.
 const MAX_ROUNDS: usize = 19 * 12 + 60;
 
-/// Rounds, of a tenth of a second each, within which a free slot is used: an allocation, or several transfers
-/// of half a second each at most, and a read between any two of them.
+/// Rounds, of a tenth of a second each, within which free headroom must be used: they allow for an
+/// allocation, or for several transfers of half a second each at most, and a read between any two of them.
 const MAX_IDLE_ROUNDS: usize = 12;
 
 fn run_schedules(seeds: std::ops::Range<u64>) {
@@ -24,38 +24,44 @@
         model.recover();
         let all_started = model.run_rounds(MAX_ROUNDS, true);
         assert_eq!(model.overshoots, Vec::<String>::new(), "seed {seed}");
-        assert!(all_started, "seed {seed}: work waits beside a free limit");
+        assert!(
+            all_started,
+            "seed {seed}: work still waits although the limit leaves enough"
+        );
         assert!(
             model.longest_idle <= MAX_IDLE_ROUNDS,
-            "seed {seed}: a slot was free for {} rounds",
+            "seed {seed}: usable headroom was free for {} rounds",
             model.longest_idle
         );
         longest_idle = longest_idle.max(model.longest_idle);
         starts += model.starts;
         transfers += model.transfers;
     }
-    println!("{starts} starts, {transfers} transfers, a slot free for {longest_idle} rounds");
+    println!(
+        "{starts} starts, {transfers} transfers, usable headroom free for at most {longest_idle} rounds"
+    );
     assert!(
         starts > 0 && transfers > 0,
-        "the schedules start and transfer"
+        "the schedules include starts and transfers"
     );
 }
 
 #[test]
-fn no_order_of_events_puts_a_team_over_its_limit() {
+fn no_order_of_events_lets_a_team_exceed_its_limit() {
     run_schedules(0..SCHEDULES);
 }
 
-/// Outside CI: `cargo test --release -p rowanmill-limits -- --ignored more_schedules`.
+/// Not run by CI: `cargo test --release -p rowanmill-limits -- --ignored more_schedules`.
 #[test]
 #[ignore = "longer search"]
 fn more_schedules() {
     run_schedules(SCHEDULES..100_000);
 }
 
-/// The schedules and their check are worth something only if they detect that a safeguard is missing.
+/// Checks that the seeded schedules detect the absence of each safeguard that is needed often; otherwise,
+/// passing them would prove nothing. The scripted schedules cover the other safeguards.
 #[test]
-fn seeded_schedules_detect_each_commonly_needed_safeguard_missing() {
+fn seeded_schedules_detect_missing_safeguards() {
     let safeguards = [
         Omission::RecordPrecondition,
         Omission::InDoubtStarts,
@@ -78,7 +84,7 @@
     assert!(broken.iter().all(|(_, count)| *count > 0), "{broken:?}");
 }
 
-/// The limit of `Model::with_small_tasks` in CPUs, and each controller's equal share of it.
+/// The limit of [`Model::with_small_tasks`] in CPUs, and each controller's equal share of it.
 const LIMIT: u64 = 12;
 const SHARE: u64 = LIMIT / CONTROLLERS as u64;
 
@@ -90,8 +96,8 @@
     (0..CONTROLLERS).for_each(|controller| start_tasks(model, controller, tasks));
 }
 
-/// A start is delayed while its controller leaves: the leader has read what is in use, then the start is
-/// applied, and the limit is divided. Returns whether the limit was overshot.
+/// A start is delayed while its controller leaves. The leader reads the usage, then the start is applied, and
+/// then the limit is divided. Returns whether the limit was exceeded.
 fn overshoots_on_delayed_start_of_leaving_controller(omission: Omission) -> bool {
     let mut model = Model::with_small_tasks(omission);
     start_tasks_at_each(&mut model, SHARE - 1);
@@ -107,19 +113,22 @@
     model.deliver_delayed();
     model.lead(0);
     model.run_rounds(20, false);
-    assert!(model.cpus_in_use() >= LIMIT - 1, "the limit is used");
+    assert!(
+        model.cpus_in_use() >= LIMIT - 1,
+        "at least all but one CPU of the limit is in use"
+    );
     !model.overshoots.is_empty()
 }
 
 #[test]
-fn a_start_under_a_superseded_assignment_fails() {
+fn a_start_under_a_previous_assignment_fails() {
     let overshoots = overshoots_on_delayed_start_of_leaving_controller;
     assert!(!overshoots(Omission::Nothing));
     assert!(overshoots(Omission::AssignmentPrecondition));
 }
 
-/// A controller that has not read a lowered limit starts a task after the leader has read what is in use.
-/// Returns whether the lowered limit was overshot.
+/// A controller that has not read a lowered limit starts a task after the leader has read the usage. Returns
+/// whether the lowered limit was exceeded.
 fn overshoots_on_lowered_limit(omission: Omission) -> bool {
     let mut model = Model::with_small_tasks(omission);
     start_tasks_at_each(&mut model, SHARE - 2);
@@ -135,14 +144,14 @@
 }
 
 #[test]
-fn a_limit_is_lowered_without_an_overshoot() {
+fn a_lowered_limit_is_not_exceeded() {
     assert!(!overshoots_on_lowered_limit(Omission::Nothing));
     assert!(overshoots_on_lowered_limit(Omission::Freeze));
 }
 
-/// A controller with little work transfers a part of its allocation and gets no answer. More work is
-/// submitted to it and started in that part, and the rest of the work is cancelled; then the transfer is
-/// applied. Returns whether the limit was overshot.
+/// A controller with little work transfers a part of its allocation and gets no answer. New work is submitted
+/// to the controller and started within that part, and its remaining work is cancelled. Then the transfer is
+/// applied. Returns whether the limit was exceeded.
 fn overshoots_on_delayed_transfer(omission: Omission) -> bool {
     let mut model = Model::with_small_tasks(omission);
     for controller in [1, 2] {
@@ -160,7 +169,10 @@
     model.set_waiting(0, 0);
     assert!(model.deliver_delayed(), "the transfer is applied");
     model.run_rounds(20, false);
-    assert!(model.cpus_in_use() >= LIMIT - 1, "the limit is used");
+    assert!(
+        model.cpus_in_use() >= LIMIT - 1,
+        "at least all but one CPU of the limit is in use"
+    );
     !model.overshoots.is_empty()
 }
 
