--- a/src/placement/gang.rs
+++ b/src/placement/gang.rs
@@ -1,34 +1,36 @@
-//! Gang scheduling: where a gang would be complete first. Its tasks start together, with the last of them.
+//! Gang scheduling: finds the slots on which a gang would complete first. All tasks of a gang start
+//! together, as soon as the last of them can.
 
 use super::index::MachineIndex;
 use super::{JobSnapshot, SLACK};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// Share of its run time that a gang must gain to wait although it could start now.
-const WORTH_WAITING: f64 = 0.25;
+/// A gang that could start now waits for later slots only if it would complete earlier there by this
+/// fraction of its run time.
+const MIN_GAIN_TO_WAIT: f64 = 0.25;
 
 /// A slot for one task of a gang. Times are seconds from now.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct GangSlot {
     /// Index of the machine in the snapshot.
     pub machine: usize,
-    /// When the capacity is free.
+    /// When the capacity becomes free.
     pub start: f64,
-    /// How long the image's fetch takes then.
+    /// How long the machine then fetches the image.
     pub fetch: f64,
-    /// When the task would end, if it started by itself.
+    /// When the task would end if it did not wait for the rest of the gang.
     pub end: f64,
 }
 
-/// A slot with what decides between several: the earliest end, to the second; among equals the emptiest
-/// machine, so that what was reserved for a waiting gang stays with it. Otherwise its machines would be
-/// filled again while others are emptied for it.
+/// A slot with its sort key: the earliest end, rounded to a second, then the emptiest machine. Machines
+/// that are reserved for a waiting gang become emptier, so the gang gets the same ones in the next cycle.
+/// Otherwise they would be filled again while other machines become free for it.
 #[derive(Debug, Clone, Copy)]
 struct RankedSlot {
     end_s: u64,
     emptiness: f64,
-    /// How many slots on the same machine come before it.
+    /// Number of slots on the same machine that come before this one.
     slots_before: usize,
     slot: GangSlot,
 }
@@ -43,12 +45,12 @@
     }
 }
 
-/// The best slots of a zone in order, no more than may be used.
+/// The best slots of a zone, sorted; at most as many as the gang may use there.
 #[derive(Debug, Default)]
 struct BestSlots(Vec<RankedSlot>);
 
 impl BestSlots {
-    fn offer(&mut self, ranked: RankedSlot, max_slots: usize) {
+    fn insert(&mut self, ranked: RankedSlot, max_slots: usize) {
         let is_full = self.0.len() >= max_slots;
         if is_full && self.0.last().is_none_or(|l| l.order(&ranked).is_le()) {
             return;
@@ -65,12 +67,12 @@
     }
 
     /// The gang's placement on the first slots, if there are enough.
-    fn complete(&self, size: usize) -> Option<GangPlacement> {
+    fn placement(&self, size: usize) -> Option<GangPlacement> {
         let slots: Vec<GangSlot> = self.0.iter().take(size).map(|r| r.slot).collect();
         if slots.len() < size {
             return None;
         }
-        // It starts with its last task and runs as fast as its slowest machine.
+        // All tasks wait for the last slot and the longest fetch, and the gang ends with its slowest task.
         let max = |of: fn(&GangSlot) -> f64| slots.iter().map(of).fold(0.0, f64::max);
         let start = max(|slot| slot.start) + max(|slot| slot.fetch);
         let end = start + max(|slot| slot.end - slot.start - slot.fetch);
@@ -78,7 +80,7 @@
     }
 }
 
-/// What a zone offers: slots that are free now, and slots at any time.
+/// The best slots of a zone: among those that are free now, and among all.
 #[derive(Debug, Default)]
 struct ZoneSlots {
     at_once: BestSlots,
@@ -105,7 +107,8 @@
     slots: Vec<GangSlot>,
 }
 
-/// Where a gang of that size would be complete first. A gang for one zone is tried in each.
+/// The slots on which `size` tasks of the job would complete first if they start together; `None` if there
+/// are not enough slots. If the job must stay in one zone, each zone is tried by itself.
 pub fn gang_slots(
     job: &JobSnapshot,
     size: usize,
@@ -113,37 +116,37 @@
     machines_examined: &mut u64,
 ) -> Option<Vec<GangSlot>> {
     let zones = slots_by_zone(job, size, machines, machines_examined).into_values();
-    let offers: Vec<ZoneSlots> = if job.one_zone {
+    let choices: Vec<ZoneSlots> = if job.one_zone {
         zones.collect()
     } else {
         vec![zones.reduce(ZoneSlots::merge)?.sort()]
     };
     let mut best: Option<GangPlacement> = None;
-    let mut consider = |placement: Option<GangPlacement>, handicap: f64| {
+    let mut consider = |placement: Option<GangPlacement>, penalty: f64| {
         let Some(mut placement) = placement else {
             return;
         };
-        placement.end += handicap;
+        placement.end += penalty;
         if best.as_ref().is_none_or(|best| placement.end < best.end) {
             best = Some(placement);
         }
     };
-    for offer in offers {
-        // What is free now is taken although other machines, free a little later, would be done
-        // sooner: a gang that always waits for the next better one never starts.
-        let at_once = offer.at_once.complete(size);
-        let handicap = if at_once.is_some() {
-            job.duration * WORTH_WAITING
+    for choice in choices {
+        // Slots that are free now are preferred even if later ones would complete a little earlier: a
+        // gang that always waits for slightly better slots never starts.
+        let at_once = choice.at_once.placement(size);
+        let penalty = if at_once.is_some() {
+            job.duration * MIN_GAIN_TO_WAIT
         } else {
             0.0
         };
         consider(at_once, 0.0);
-        consider(offer.any_time.complete(size), handicap);
+        consider(choice.any_time.placement(size), penalty);
     }
     best.map(|placement| placement.slots)
 }
 
-/// The best slots in each zone, as many as a zone may have of the gang.
+/// The best slots of each zone, at most as many as the zone may hold of the gang's tasks.
 fn slots_by_zone(
     job: &JobSnapshot,
     size: usize,
@@ -153,7 +156,7 @@
     let max_slots = size.min(job.most_in_zone as usize);
     let start_times = machines.start_times(&job.resources, size);
     let machines = &*machines;
-    let mut offers: BTreeMap<u32, ZoneSlots> = BTreeMap::new();
+    let mut zones: BTreeMap<u32, ZoneSlots> = BTreeMap::new();
     let times = machines.task_times(job);
     for machine in machines.usable(job) {
         *machines_examined += 1;
@@ -174,12 +177,12 @@
                     end,
                 },
             };
-            let offer = offers.entry(machines.zone(machine)).or_default();
-            offer.any_time.offer(ranked, max_slots);
+            let zone_slots = zones.entry(machines.zone(machine)).or_default();
+            zone_slots.any_time.insert(ranked, max_slots);
             if start <= SLACK {
-                offer.at_once.offer(ranked, max_slots);
+                zone_slots.at_once.insert(ranked, max_slots);
             }
         }
     }
-    offers
+    zones
 }
--- a/src/placement/job.rs
+++ b/src/placement/job.rs
@@ -1,4 +1,4 @@
-//! A job as packing and forecasts see it: what its tasks request, where they may run, when they are
+//! A job as packing and forecasts see it: what its tasks request, where they may run and when they are
 //! due. Times are seconds from the moment of the snapshot.
 
 use super::machine::MachineSnapshot;
@@ -10,16 +10,16 @@
 /// How many tasks of a job run in each (interned) zone.
 pub type TasksByZone = BTreeMap<u32, u32>;
 
-/// The event of a job that a service-level objective times.
+/// What a job must reach by its due time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Milestone {
-    /// Its tasks run.
+    /// Its tasks have started to run.
     Start,
     /// Its tasks are complete.
     Finish,
 }
 
-/// A source of equal machines, by interned names.
+/// A pool of interchangeable machines, by interned names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PoolId {
     /// The machine type.
@@ -41,54 +41,57 @@
     pub gang: bool,
     /// What one task requests.
     pub resources: Resources,
-    /// Its task fills most of a machine: smaller work must not take the capacity piece by piece.
+    /// Whether a task of it fills most of a machine. Capacity is reserved for such a task while it waits:
+    /// otherwise smaller work would take it piece by piece.
     pub large: bool,
-    /// Interned machine types that it may run on, best first.
+    /// Interned machine types that it may run on, cheapest first.
     pub machine_types: Vec<u32>,
-    /// The only zone that it may run in.
+    /// The only zone that it may run in; `None` if any will do.
     pub zone: Option<u32>,
     /// Whether it may run on spot machines.
     pub spot: bool,
     /// Whether all its tasks must run in the same zone.
     pub one_zone: bool,
-    /// Most tasks that may be in one zone at a time.
+    /// Maximum number of its tasks in one zone at a time.
     pub most_in_zone: u32,
     /// Tasks that are on machines now, by zone.
     pub zones: TasksByZone,
     /// Indices of the tasks that wait.
     pub waiting: Arc<Vec<u32>>,
-    /// Tasks that were started or are done: they count towards the startup tasks.
+    /// Number of tasks that were started or are done; they count towards the startup tasks.
     pub started: u32,
-    /// When it was submitted or released; not positive.
+    /// When it was submitted or released by its dependencies; zero or negative.
     pub arrived: f64,
-    /// All unfinished jobs of its team fit into the team's guarantee: it need not wait for others.
+    /// Whether all unfinished jobs of its team fit into the team's guaranteed quota; such jobs go before
+    /// others.
     pub guaranteed: bool,
     /// Its urgency, or a higher one of a job that depends on it.
     pub urgency: Urgency,
-    /// When its tasks should reach `due_milestone`.
+    /// When its tasks should have reached `due_milestone`.
     pub due: f64,
-    /// The next later due time that it could still meet.
+    /// The due time after `due` that it can still meet.
     pub next_due: f64,
-    /// What is due at `due`.
+    /// What its tasks should reach by `due`.
     pub due_milestone: Milestone,
     /// Expected run time of a task in seconds.
     pub duration: f64,
-    /// Seconds after which a machine rented now would be up.
+    /// Seconds until a machine that is rented now would be up.
     pub provisioning_s: f64,
     /// The interned image of its tasks.
     pub image: u32,
     /// The image's size in GB.
     pub image_gb: f64,
-    /// Its team's index in the quota headroom; none if the team has no limit.
+    /// Its team's index in the quota headroom; `None` if the team has no limit.
     pub team: Option<usize>,
-    /// Names of machines on which it failed.
+    /// Names of the machines on which it failed.
     pub avoid: HashSet<String>,
-    /// Pools that are protected from it.
+    /// Pools that it may not use, since they are protected from jobs of other cells.
     pub excluded_pools: Arc<BTreeSet<PoolId>>,
 }
 
 impl JobSnapshot {
-    /// Whether a task that starts, fetches its image and ends so misses the due time.
+    /// Whether a task misses the due time if it starts at `start`, then fetches its image for `fetch`
+    /// seconds, and ends at `end`.
     pub(super) fn is_late(&self, start: f64, fetch: f64, end: f64) -> bool {
         match self.due_milestone {
             Milestone::Start => start + fetch > self.due,
@@ -96,7 +99,7 @@
         }
     }
 
-    /// Whether it may run on machines of a pool, wherever its other tasks are.
+    /// Whether it may run on machines of a pool, regardless of where its other tasks run.
     pub(super) fn may_use_pool(&self, pool: PoolId) -> bool {
         (!pool.spot || self.spot)
             && self.machine_types.contains(&pool.machine_type)
@@ -104,14 +107,14 @@
             && (self.excluded_pools.is_empty() || !self.excluded_pools.contains(&pool))
     }
 
-    /// Whether it may run on a machine, wherever its other tasks are.
+    /// Whether it may run on a machine, regardless of where its other tasks run.
     pub(super) fn may_use(&self, machine: &MachineSnapshot) -> bool {
         self.may_use_pool(machine.pool())
             && machine.reserved_for.is_none_or(|job| job == self.index)
             && (self.avoid.is_empty() || !self.avoid.contains(&*machine.name))
     }
 
-    /// Whether one more of its tasks may be in a zone.
+    /// Whether one more of its tasks may run in a zone if `zones` are those of its other tasks.
     pub(super) fn may_add_in_zone(&self, zones: &TasksByZone, zone: u32) -> bool {
         let is_elsewhere = zones
             .iter()
--- a/src/placement/machine.rs
+++ b/src/placement/machine.rs
@@ -5,16 +5,16 @@
 use super::resources::{Resources, SLACK};
 use std::sync::Arc;
 
-/// Capacity that becomes free at a time.
+/// Capacity with the time at which it becomes free.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FreeSlot {
     /// Seconds from now.
     pub at: f64,
-    /// How much becomes free then.
+    /// The capacity that becomes free at that time.
     pub available: Resources,
 }
 
-/// Capacity that is reserved, from a time on, for a job that cannot start yet.
+/// Capacity that is reserved from some time on for a job that cannot start yet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reservation {
     /// Seconds from now.
@@ -28,38 +28,39 @@
 /// One machine of this controller.
 #[derive(Debug, Clone)]
 pub struct MachineSnapshot {
-    /// The cloud's name of it.
+    /// Its name in the cloud.
     pub name: Arc<str>,
-    /// Interned machine type.
+    /// The interned name of its machine type.
     pub machine_type: u32,
-    /// Interned zone.
+    /// The interned name of its zone.
     pub zone: u32,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// Free capacity and that of running tasks, by the time at which it becomes free. A booting machine's
-    /// capacity is free from its expected boot.
+    /// The free capacity and what running tasks will release, ordered by the time at which it becomes
+    /// free. On a booting machine nothing is free before the expected end of the boot.
     pub free_slots: Vec<FreeSlot>,
-    /// Interned images that it has or is fetching.
+    /// Interned names of the images that it has or is fetching.
     pub images: Vec<u32>,
-    /// Rate at which it fetches images, in GB a second.
+    /// Rate at which it fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// Measured run times over the expected ones: above 1 is slow.
+    /// Ratio of measured to expected run times; above 1 the machine is slow.
     pub slowness: f64,
-    /// CPUs kept free for each free GPU, so that work without GPUs does not make them idle.
+    /// CPUs kept free per free GPU, so that work without GPUs does not leave GPUs without usable CPUs.
     pub cpus_per_gpu: f64,
-    /// An hour's price.
+    /// Price per hour.
     pub price: f64,
-    /// Reservations, by time.
+    /// Reservations, ordered by time.
     pub reservations: Vec<Reservation>,
-    /// Index of the only job that may start here for now: tasks are being preempted for it.
+    /// Index of the only job that may start here for now, since tasks are being preempted for it.
     pub reserved_for: Option<usize>,
 }
 
-/// Weight of a machine's free share beside its price: it only decides between equal prices.
+/// Factor of the free fraction of a machine when it is added to the price. It is small, so that the free
+/// fraction only decides between equal prices.
 const EMPTINESS_WEIGHT: f64 = 0.001;
 
 impl MachineSnapshot {
-    /// The pool that the machine was rented from.
+    /// The pool that the machine belongs to.
     pub(super) fn pool(&self) -> PoolId {
         PoolId {
             machine_type: self.machine_type,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Capacity that is free from `at` on, as long as nothing more is placed here.
+    /// Capacity that is free from `at` on if nothing more is placed here.
     pub(super) fn free_at(&self, at: f64) -> Resources {
         let mut free = Resources::default();
         for slot in self.free_slots.iter().take_while(|s| s.at <= at + SLACK) {
@@ -77,15 +78,16 @@
         free
     }
 
-    /// The share of its capacity that is free now, as a small tie-breaker between equal prices.
+    /// The fraction of its capacity that is free now, scaled to break ties between equal prices.
     pub(super) fn emptiness(&self) -> f64 {
         let free = self.free_at(0.0);
         let all = self.free_at(f64::INFINITY);
-        let share = |free: f64, all: f64| if all > SLACK { free / all } else { 0.0 };
-        (share(free.cpus, all.cpus) + share(free.gpus, all.gpus)) * EMPTINESS_WEIGHT
+        let fraction = |free: f64, all: f64| if all > SLACK { free / all } else { 0.0 };
+        (fraction(free.cpus, all.cpus) + fraction(free.gpus, all.gpus)) * EMPTINESS_WEIGHT
     }
 
-    /// Whether a task fits into `available`, beside the CPUs that GPU machines keep for their GPUs.
+    /// Whether a task fits into `available`. To a task without GPUs, the CPUs that are kept for free GPUs
+    /// are not available.
     pub(super) fn accommodates(&self, resources: &Resources, available: &Resources) -> bool {
         let kept_cpus = if resources.gpus == 0.0 {
             available.gpus * self.cpus_per_gpu
@@ -95,7 +97,7 @@
         resources.fits(available) && resources.cpus + kept_cpus <= available.cpus + SLACK
     }
 
-    /// The earliest time at which a task fits beside all reservations; `None` if it never does.
+    /// The earliest time at which a task fits in addition to all reservations; `None` if it never does.
     pub(super) fn earliest_start(&self, resources: &Resources) -> Option<f64> {
         let mut available = Resources::default();
         for reservation in &self.reservations {
@@ -110,9 +112,9 @@
         None
     }
 
-    /// Whether a task that starts now and ends at `end` leaves all reservations intact (backfill): the
-    /// paper has no such work, but capacity that waits for a gang's last machine is used meanwhile by
-    /// work that ends before.
+    /// Whether a task that starts now and ends at `end` leaves enough capacity for all reservations
+    /// (backfill). The CVSS paper has no backfill. Here, tasks that end before a gang's last machine is
+    /// free use the capacity that is reserved for the gang until then.
     pub(super) fn respects_reservations(&self, resources: &Resources, end: f64) -> bool {
         let mut reserved = Resources::default();
         self.reservations.iter().all(|reservation| {
@@ -126,8 +128,8 @@
         })
     }
 
-    /// Takes capacity for a task from `start` to `end`: latest slots first, so that what is free now
-    /// stays free for others.
+    /// Takes capacity for a task from `start` to `end`. It is taken from the slots that become free last,
+    /// so that earlier ones remain for other tasks.
     pub(super) fn occupy(&mut self, resources: &Resources, start: f64, end: f64) {
         let mut wanted = *resources;
         for slot in self.free_slots.iter_mut().rev() {
@@ -144,7 +146,7 @@
         self.free_slots.insert(position, released);
     }
 
-    /// Seconds until the job's image is here.
+    /// Seconds that the machine takes to fetch the job's image; 0 if it has the image or is fetching it.
     pub(super) fn fetch_time(&self, job: &JobSnapshot) -> f64 {
         if self.images.contains(&job.image) {
             0.0
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Notes that the machine will have an image.
+    /// Adds an image to those that the machine has or is fetching.
     pub(super) fn use_image(&mut self, image: u32) {
         if !self.images.contains(&image) {
             self.images.push(image);
@@ -161,5 +163,6 @@
     }
 }
 
-/// Lower bound on a fetch rate, against division by zero where the catalogue names none.
+/// Lower bound on the fetch rate: prevents a division by zero for machine types whose rate the catalogue
+/// does not give.
 pub(super) const MIN_FETCH_GB_PER_S: f64 = 0.001;
--- a/src/placement/machine_snapshot.rs
+++ b/src/placement/machine_snapshot.rs
@@ -1,5 +1,6 @@
-//! Cached machines: what of a machine's snapshot changes only with its records, plans and heartbeats.
-//! Times are seconds since the start of the process, so that they hold until the next change.
+//! Cached machines: the part of a machine's snapshot that changes only with its records, planned changes
+//! and heartbeats. Times are seconds since the start of the process, so that they stay valid until the
+//! next change.
 
 use super::machine_tasks::{spec_of, tasks_on};
 use super::snapshot::BOOT_TIME_FACTOR;
@@ -13,42 +14,43 @@
 use std::collections::HashSet;
 use std::time::Instant;
 
-/// Seconds from the decision to stop a task until its capacity is free, beside its grace period: a
-/// heartbeat and a record.
+/// Seconds from the decision to stop a task until its capacity is free, in addition to its grace period:
+/// a heartbeat is exchanged and a record is written.
 pub(super) const STOP_S: f64 = 2.0;
 /// Fraction of a machine's CPUs that stays free for its idle GPUs.
 const CPU_FRACTION_KEPT_FOR_GPUS: f64 = 0.8;
-/// What should have happened by now is expected after this many seconds.
-const IMMINENT_S: f64 = 1.0;
-/// A task that exceeds its expected run time takes about this fraction of its run time more: the owners'
-/// estimates are often wrong by half. Expecting it to end at any moment kept gangs waiting for the machine
-/// of one such task, and all their others idle.
+/// An event that should have happened by now, such as a boot or a task's end, is expected after this many
+/// seconds.
+const OVERDUE_EVENT_S: f64 = 1.0;
+/// A task that exceeds its expected run time is expected to run on for this fraction of its run time so
+/// far, since the owners' estimates are often wrong by half. When it was expected to end at any moment,
+/// gangs waited for the machine of one such task while their other machines were idle.
 const OVERRUN_FRACTION: f64 = 0.35;
 
-/// A machine of this controller that may be placed on.
+/// A machine of this controller on which tasks may be placed.
 #[derive(Debug)]
 pub(super) struct CachedMachine {
-    /// Its snapshot without the free slots, which move with the time.
+    /// Its snapshot without the free slots, which depend on the current time.
     snapshot: MachineSnapshot,
     /// When its free capacity can be used, in seconds since the start of the process.
     up_at_s: f64,
     free: Resources,
-    /// When each of its tasks should end, in seconds since the start of the process.
-    tasks: Vec<RunningTask>,
-    /// The last heartbeat; none as long as the machine has not acknowledged this controller.
+    /// What its tasks release; times are seconds since the start of the process.
+    releases: Vec<TaskRelease>,
+    /// The last heartbeat; `None` until the machine's worker has acknowledged this controller.
     last_heartbeat: Option<Instant>,
 }
 
-/// A task on a machine.
+/// The capacity that a task on the machine releases at its end.
 #[derive(Debug)]
-struct RunningTask {
+struct TaskRelease {
     /// The interned name of its team.
     team: u32,
-    /// What it releases, and when.
+    /// The capacity and the expected end.
     release: FreeSlot,
 }
 
-/// What cached machines are made from.
+/// The input from which cached machines are built.
 pub(super) struct MachineSnapshotBuilder<'a> {
     pub core: &'a Core,
     pub me: &'a Member,
@@ -60,8 +62,8 @@
 }
 
 impl MachineSnapshotBuilder<'_> {
-    /// The machine, or none if nothing may be placed on it: it is not this controller's, is on its way
-    /// back to the cloud, or has no capacity to count on.
+    /// The machine, or `None` if nothing may be placed on it: it is not this controller's, is being
+    /// released, or its capacity is not certain.
     pub fn build(&self, names: &mut NameTable, name: &str) -> Option<CachedMachine> {
         let core = self.core;
         let record = core.replica.fleet.machines.get(name)?;
@@ -71,7 +73,7 @@
         }
         let machine_type = core.kind(&record.pool.machine_type)?;
         let worker = core.workers.agents.get(name);
-        // Taken by the cloud, or unresponsive: nothing new is placed there, and its capacity is not certain.
+        // The cloud is about to reclaim it, or its worker is unresponsive: its capacity is not certain.
         if worker.is_some_and(|w| w.preemption_at.is_some() || w.unresponsive_since.is_some()) {
             return None;
         }
@@ -79,17 +81,17 @@
         let up_at_s = self.now_s
             + match acknowledged {
                 Some(_) => 0.0,
-                // Up, but it has yet to show that it receives this controller's responses.
-                None if worker.is_some() => IMMINENT_S,
+                // It is up, but has not yet shown that it receives this controller's responses.
+                None if worker.is_some() => OVERDUE_EVENT_S,
                 None => boot_remainder_s(machine_type, age_s(record.requested_ms, self.now_ms)),
             };
         let mut free = capacity_of(machine_type);
-        let mut tasks: Vec<RunningTask> = Vec::new();
+        let mut releases: Vec<TaskRelease> = Vec::new();
         for id in tasks_on(core, name) {
-            // A task of unknown size: no capacity is certain until it is gone.
+            // Without its spec the size of a task is unknown, and so is the free capacity.
             let spec = spec_of(core, &id.job)?;
             free.sub(&spec.resources());
-            tasks.push(RunningTask {
+            releases.push(TaskRelease {
                 team: names.intern(&spec.team),
                 release: FreeSlot {
                     at: up_at_s + self.remaining_s(spec, &id, worker, machine_type),
@@ -98,15 +100,15 @@
             });
         }
         Some(CachedMachine {
-            snapshot: empty_snapshot(names, name, record, machine_type, worker),
+            snapshot: snapshot_without_slots(names, name, record, machine_type, worker),
             up_at_s,
             free,
-            tasks,
+            releases,
             last_heartbeat: acknowledged.map(|w| w.last_heartbeat_at),
         })
     }
 
-    /// Seconds that a task on a machine is expected to take from now, or from the machine's boot.
+    /// Seconds until a task on a machine is expected to end, counted from now or from the end of the boot.
     fn remaining_s(
         &self,
         spec: &JobSpec,
@@ -125,14 +127,14 @@
         };
         if let Some(ran) = worker.attempts.running_for(id, self.now) {
             let ran_s = ran.as_secs_f64();
-            return (run_s - ran_s).max(IMMINENT_S + ran_s * OVERRUN_FRACTION);
+            return (run_s - ran_s).max(OVERDUE_EVENT_S + ran_s * OVERRUN_FRACTION);
         }
         let present = worker.attempts.present_for(id, self.now);
         let fetched_s = present.map_or(0.0, |present| present.as_secs_f64());
         (fetch_s - fetched_s).max(0.0) + run_s
     }
 
-    /// The grace period of a task that is being stopped.
+    /// The grace period in seconds of a task that is being stopped; `None` if it is not.
     fn stop_grace_s(&self, id: &TaskId) -> Option<f64> {
         let TaskRecord::Placed { attempt, .. } = self.core.task_record(&id.job, id.index) else {
             return None;
@@ -162,8 +164,8 @@
         self.free.gpus
     }
 
-    /// Whether it missed heartbeats for longer than `limit_s`: it may be gone, and nothing new is placed
-    /// on it until the next one. A machine that has yet to send its first has missed none.
+    /// Whether the last heartbeat is more than `limit_s` seconds ago. The machine may be gone then, and
+    /// nothing is placed on it until the next heartbeat. False if there was none yet.
     pub fn missed_heartbeats(&self, now: Instant, limit_s: f64) -> bool {
         let silence = self
             .last_heartbeat
@@ -171,7 +173,7 @@
         silence.is_some_and(|silence| silence.as_secs_f64() > limit_s)
     }
 
-    /// The snapshot at `now_s` seconds since the start of the process. Where `is_spare`, no CPUs are kept
+    /// The snapshot at `now_s` seconds since the start of the process. If `is_spare`, no CPUs are kept
     /// for the machine's GPUs.
     pub fn snapshot_at(&self, now_s: f64, is_spare: bool) -> MachineSnapshot {
         let mut snapshot = self.snapshot.clone();
@@ -182,16 +184,16 @@
             at: self.up_in_s(now_s),
             available: self.free,
         });
-        let tasks = self.releases_at(now_s).map(|(_, release)| release);
-        snapshot.free_slots.extend(tasks);
+        let releases = self.releases_at(now_s).map(|(_, release)| release);
+        snapshot.free_slots.extend(releases);
         snapshot.free_slots.sort_by(|a, b| a.at.total_cmp(&b.at));
         snapshot
     }
 
-    /// What each task releases, with its team, in seconds from `now_s`.
+    /// Per task, its interned team and what it releases; times are seconds from `now_s`.
     pub fn releases_at(&self, now_s: f64) -> impl Iterator<Item = (u32, FreeSlot)> {
-        let earliest_s = self.up_in_s(now_s) + IMMINENT_S;
-        self.tasks.iter().map(move |task| {
+        let earliest_s = self.up_in_s(now_s) + OVERDUE_EVENT_S;
+        self.releases.iter().map(move |task| {
             let release = FreeSlot {
                 at: (task.release.at - now_s).max(earliest_s),
                 available: task.release.available,
@@ -204,14 +206,13 @@
     fn up_in_s(&self, now_s: f64) -> f64 {
         let earliest_s = match self.last_heartbeat {
             Some(_) => 0.0,
-            None => IMMINENT_S,
+            None => OVERDUE_EVENT_S,
         };
         (self.up_at_s - now_s).max(earliest_s)
     }
 }
 
-/// A machine's snapshot without free slots.
-fn empty_snapshot(
+fn snapshot_without_slots(
     names: &mut NameTable,
     name: &str,
     record: &Machine,
@@ -235,12 +236,12 @@
     }
 }
 
-/// Seconds until a machine is expected to be up that was requested `age_s` ago.
+/// Seconds until a machine that was requested `age_s` seconds ago is expected to be up.
 fn boot_remainder_s(machine_type: &MachineType, age_s: f64) -> f64 {
-    (machine_type.boot_s * BOOT_TIME_FACTOR - age_s).max(IMMINENT_S)
+    (machine_type.boot_s * BOOT_TIME_FACTOR - age_s).max(OVERDUE_EVENT_S)
 }
 
-/// The images of a machine, each once.
+/// The interned images that a worker reports, each once.
 fn interned_images(names: &mut NameTable, worker: Option<&AgentStatus>) -> Vec<u32> {
     let mut images: HashSet<u32> = HashSet::new();
     if let Some(worker) = worker {
@@ -258,7 +259,7 @@
     }
 }
 
-/// CPUs that a free GPU of the machine type keeps from work without GPUs.
+/// CPUs that are kept free per free GPU of a machine of the type.
 fn cpus_kept_per_gpu(machine_type: &MachineType) -> f64 {
     if machine_type.gpus > 0.0 {
         machine_type.cpus / machine_type.gpus * CPU_FRACTION_KEPT_FOR_GPUS
--- a/src/placement/machine_tasks.rs
+++ b/src/placement/machine_tasks.rs
@@ -1,11 +1,12 @@
-//! Which tasks a machine has, by records, plans and heartbeats together. Only reads.
+//! Finds the tasks on a machine from the records, the planned changes and the heartbeats.
 
 use crate::jobs::{JobSpec, TaskId, TaskRecord, TaskRef};
 use crate::node::Core;
 use crate::workers::TaskState;
 use std::borrow::Cow;
 
-/// Tasks on a machine, in order: recorded, about to be recorded, or reported by its worker.
+/// The tasks on a machine, sorted by id: those that the records and planned changes place there, and
+/// those that its worker reports as not ended.
 pub(super) fn tasks_on<'a>(core: &'a Core, machine: &str) -> Vec<Cow<'a, TaskId>> {
     let is_here = |id: &&TaskId| matches!(core.task_record(&id.job, id.index), TaskRecord::Placed { machine: placed_on, .. } if placed_on == machine);
     let recorded = core
@@ -33,7 +34,7 @@
     tasks
 }
 
-/// The spec of an unfinished job, or of one that ended lately and may have tasks on machines.
+/// The spec of an unfinished job, or of one that ended recently and may still have tasks on machines.
 pub(super) fn spec_of<'a>(core: &'a Core, job: &str) -> Option<&'a JobSpec> {
     let unfinished = core.replica.jobs.get(job).map(|j| &j.record.spec);
     unfinished.or_else(|| core.replica.recently_ended.get(job).map(|r| &r.spec))
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,13 +1,17 @@
-//! Bin packing of waiting tasks onto machines, and forecasts of the same. Earliest finish wins (the
-//! paper's equation 1); batch tasks go by earliest due time, the first tasks of each job ahead of them
-//! unless the batch head would then be late. Nothing in here acts: starts and preemptions are planned
-//! as values, `service` has them recorded, and workers are told from the records.
+//! Places waiting tasks on machines by bin packing, and forecasts where they would run. Each task goes
+//! to the machine on which it would complete first (equation 1 of the CVSS paper, see `crate::renting`).
+//! Jobs are served by priority and due time (the batch queue). The first tasks of each job, its startup
+//! tasks, go ahead of these in order of arrival (the startup queue), unless the job at the head of the
+//! batch queue would then be late.
 //!
-//! - [`packing`] places what can start now, many times a second;
-//! - [`forecast`] maps all that waits, once a period, to predict misses;
+//! Starts and evictions are only planned here. `service` has them recorded, and the commands to workers
+//! are derived from the records.
+//!
+//! - [`packing`] chooses the tasks that start now, in every scheduling cycle;
+//! - [`forecast`] maps all waiting tasks to machines, once a period, to predict which will be late;
 //! - [`preemption`] chooses tasks to evict for work of higher priority;
-//! - [`snapshot`] and [`snapshot_cache`] turn records and heartbeats into what these work on;
-//! - [`due_times`] and [`inherited_deadlines`] say when jobs should start and finish.
+//! - [`snapshot`] and [`snapshot_cache`] turn records and heartbeats into the input of the above;
+//! - [`due_times`] and [`inherited_deadlines`] determine when jobs should start and finish.
 
 pub mod due_times;
 pub mod forecast;
@@ -41,9 +45,9 @@
 use machine::MIN_FETCH_GB_PER_S;
 use resources::SLACK;
 
-/// Ends that differ by less than this share of the run time count as equal: estimates are not exact to
-/// the second. Among them the cheapest machine wins and then the fullest, so that others become idle
-/// and are released.
+/// Completion times that differ by less than this fraction of the run time count as equal, since
+/// estimates are not exact to the second. Among equal ones the cheapest machine is preferred, then the
+/// fullest, so that other machines become idle and are released.
 const END_TOLERANCE: f64 = 0.05;
 
 /// A planned start of one task.
--- a/src/placement/queue.rs
+++ b/src/placement/queue.rs
@@ -1,14 +1,15 @@
-//! The orders of the paper's two queues: batch by due time, startup by arrival.
+//! The two job queues of the CVSS paper: the batch queue is ordered by due time within each priority
+//! class, the startup queue by arrival.
 
 use super::job::JobSnapshot;
 use crate::jobs::Urgency;
 
-/// What decides between jobs before their due times; the greater goes first.
+/// Priority of a job in the batch queue, compared before the due time; the greater goes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PriorityClass {
-    /// It has waited too long to begin: it goes before all others.
+    /// No task of it has started and its due time has passed: it goes before all others.
     is_overdue: bool,
-    /// Its team is within its guarantee.
+    /// Its team is within its guaranteed quota.
     is_guaranteed: bool,
     urgency: Urgency,
 }
@@ -23,8 +24,8 @@
     }
 }
 
-/// Job indices in the order of the batch queue: by priority class, then by earliest due time. Capacity
-/// that less urgent work took from more urgent work would only be preempted again.
+/// Job indices in the order of the batch queue: by priority class, then by earliest due time. Urgency
+/// comes before due times, since less urgent work that took capacity first would be preempted again.
 pub fn batch_order(jobs: &[JobSnapshot]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..jobs.len()).collect();
     order.sort_by(|a, b| {
@@ -42,7 +43,7 @@
     order
 }
 
-/// Both queues, as job indices, with how far each has been worked off.
+/// Both queues as job indices, each with the position of its head.
 pub(super) struct Queues {
     batch: Vec<usize>,
     batch_head: usize,
@@ -51,7 +52,7 @@
 }
 
 impl Queues {
-    /// The queues of all jobs, from their heads.
+    /// The queues of all jobs, with their heads at the first one.
     pub(super) fn new(jobs: &[JobSnapshot]) -> Self {
         Self {
             batch: batch_order(jobs),
@@ -72,20 +73,20 @@
     }
 
     /// Drops jobs from the batch queue's head as long as the condition holds for them.
-    pub(super) fn skip_batch_while(&mut self, is_over: impl Fn(usize) -> bool) {
-        while self.batch_head().is_some_and(&is_over) {
+    pub(super) fn skip_batch_while(&mut self, should_drop: impl Fn(usize) -> bool) {
+        while self.batch_head().is_some_and(&should_drop) {
             self.batch_head += 1;
         }
     }
 
     /// Drops jobs from the startup queue's head as long as the condition holds for them.
-    pub(super) fn skip_startup_while(&mut self, is_over: impl Fn(usize) -> bool) {
-        while self.startup_head().is_some_and(&is_over) {
+    pub(super) fn skip_startup_while(&mut self, should_drop: impl Fn(usize) -> bool) {
+        while self.startup_head().is_some_and(&should_drop) {
             self.startup_head += 1;
         }
     }
 
-    /// Moves the head of the batch queue behind all jobs that go before its next due time.
+    /// Moves the head of the batch queue back to the place that its next due time gives it.
     pub(super) fn defer_batch_head(&mut self, jobs: &[JobSnapshot]) {
         let head = &jobs[self.batch[self.batch_head]];
         let class = PriorityClass::from(head);
@@ -96,7 +97,7 @@
         };
         let rest = &self.batch[self.batch_head + 1..];
         let jobs_before = rest.iter().position(goes_later).unwrap_or(rest.len());
-        let new_place = self.batch_head + jobs_before;
-        self.batch[self.batch_head..=new_place].rotate_left(1);
+        let new_position = self.batch_head + jobs_before;
+        self.batch[self.batch_head..=new_position].rotate_left(1);
     }
 }
