--- a/src/placement/packing/candidates.rs
+++ b/src/placement/packing/candidates.rs
@@ -1,22 +1,23 @@
-//! Machines where a task could start now, ranked by the paper's equation 1: earliest completion first.
+//! Finds the machines on which a task could start now, ranked by completion time (equation 1 of the CVSS
+//! paper).
 
 use super::Packer;
 use crate::placement::{END_TOLERANCE, SLACK};
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// A machine where a task could start now. Times are seconds from now.
+/// A machine on which a task could start now. Times are seconds from now.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Candidate {
     /// Index of the machine in the snapshot.
     pub machine: usize,
-    /// When the task's image would be there.
+    /// When the machine would have the task's image.
     pub fetch: f64,
     /// When the task would be complete.
     pub end: f64,
 }
 
-/// A candidate with what decides between several: ends that count as equal, then the cheaper and fuller
+/// A candidate with its sort key: the class of ends that count as equal, then the cheaper and the fuller
 /// machine.
 #[derive(Debug, Clone, Copy)]
 struct RankedCandidate {
@@ -49,7 +50,7 @@
 
 impl Eq for RankedCandidate {}
 
-/// Candidates, best first. A heap, since mostly only the first few are asked for.
+/// Candidates, best first. A heap, since usually only the first few are used.
 pub(super) struct Candidates(BinaryHeap<RankedCandidate>);
 
 impl Iterator for Candidates {
@@ -61,7 +62,7 @@
 }
 
 impl Packer<'_> {
-    /// Machines where a task of the job could start now, best first.
+    /// Machines on which a task of the job could start now, best first.
     pub(super) fn candidates(&mut self, job: usize) -> Candidates {
         let found = self.find_candidates(job);
         let earliest_end = found.iter().map(|c| c.end).fold(f64::INFINITY, f64::min);
@@ -76,23 +77,23 @@
     }
 
     fn find_candidates(&mut self, job: usize) -> Vec<Candidate> {
-        let view = &self.jobs[job];
+        let snapshot = &self.jobs[job];
         let zones = &self.progress[job].zones;
-        let times = self.machines.task_times(view);
+        let times = self.machines.task_times(snapshot);
         let mut machines_examined = 0;
         let mut found = Vec::new();
-        for machine in self.machines.usable_open(view) {
+        for machine in self.machines.usable_open(snapshot) {
             machines_examined += 1;
             let free = &self.free[machine];
             let zone = self.machines.zone(machine);
-            if !view.resources.fits(free) || !view.may_add_in_zone(zones, zone) {
+            if !snapshot.resources.fits(free) || !snapshot.may_add_in_zone(zones, zone) {
                 continue;
             }
-            let snapshot = &self.machines.machines()[machine];
+            let machine_snapshot = &self.machines.machines()[machine];
             let fetch = times.fetch(machine);
             let end = fetch + times.run(machine);
-            if snapshot.accommodates(&view.resources, free)
-                && snapshot.respects_reservations(&view.resources, end)
+            if machine_snapshot.accommodates(&snapshot.resources, free)
+                && machine_snapshot.respects_reservations(&snapshot.resources, end)
             {
                 found.push(Candidate {
                     machine,
--- a/src/placement/packing/mod.rs
+++ b/src/placement/packing/mod.rs
@@ -1,8 +1,9 @@
-//! What can start now. The cost follows the machines that have free capacity, not the fleet's size;
-//! only gangs and tasks that fill a machine look further ahead, to have capacity reserved for them.
+//! Chooses the tasks that start now. The cost depends on the number of machines with free capacity, not
+//! on the fleet's size. Only for gangs and large tasks are future starts considered as well, to reserve
+//! capacity for them.
 
 mod candidates;
-mod whole;
+mod reserving;
 
 use super::index::MachineIndex;
 use super::queue::Queues;
@@ -16,49 +17,50 @@
 pub struct Unplaced {
     /// Index of the job in the snapshot.
     pub job: usize,
-    /// Seconds until it would start if it waits, if known.
+    /// Seconds until it would start if it waits; `None` if unknown.
     pub start: Option<f64>,
-    /// Whether the capacity that it waits for is reserved: otherwise smaller work would take it again.
+    /// Whether the capacity that it waits for is reserved, so that smaller work does not take it.
     pub reserved: bool,
 }
 
-/// What one packing decided.
+/// The result of one packing.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct PlacementResult {
     /// Tasks that start now.
     pub starts: Vec<Start>,
-    /// Jobs that must wait.
+    /// Jobs for which no capacity was found.
     pub unplaced: Vec<Unplaced>,
-    /// Gangs that wait for their team's quota alone, or nearly so: machines are free for them soon.
+    /// Gangs and large tasks that wait for their team's quota, although machines are free for them now or
+    /// soon, or after they have waited very long.
     pub quota_blocked_gangs: Vec<usize>,
-    /// Cost of the packing, in machines looked at.
+    /// Cost of the packing: how many times it examined a machine.
     pub machines_examined: u64,
 }
 
 /// Limits that apply to one packing.
 #[derive(Debug, Clone, Copy)]
 pub struct PackingLimits<'a> {
-    /// What limited teams may still start.
+    /// Quota that limited teams may still use.
     pub headroom: &'a QuotaHeadroom,
-    /// After so many seconds that a team's quota has held a gang up, quota that becomes free is reserved
-    /// for it.
+    /// A gang that its team's quota has kept waiting for this many seconds gets quota that becomes free
+    /// reserved for it.
     pub reservation_delay_s: f64,
 }
 
-/// How far the packing of one job has come.
-struct JobProgress {
+/// The state of one job in one packing.
+struct PackingProgress {
     /// Index into the job's waiting tasks.
     next_task: usize,
-    /// Tasks that were started, before and now.
+    /// Tasks that were started, before this packing and by it.
     started: u32,
     zones: TasksByZone,
-    /// Nothing more of it can start now.
+    /// No more of its tasks can start now.
     exhausted: bool,
-    /// It cannot meet its first due time any more, and goes by the next one.
+    /// It cannot meet its first due time any more and is ordered by the next one.
     deferred: bool,
 }
 
-impl JobProgress {
+impl PackingProgress {
     fn new(job: &JobSnapshot) -> Self {
         Self {
             next_task: 0,
@@ -73,24 +75,25 @@
 /// The state of one packing.
 struct Packer<'a> {
     jobs: &'a [JobSnapshot],
-    progress: Vec<JobProgress>,
+    progress: Vec<PackingProgress>,
     headroom: QuotaHeadroom,
     reservation_delay_s: f64,
-    /// Limited teams of which a gang that waits for the quota has had machines reserved.
-    looked_ahead_for: HashSet<usize>,
+    /// Limited teams for which machines were already searched for one job that exceeds the team's headroom.
+    teams_looked_ahead: HashSet<usize>,
     machines: MachineIndex<'a>,
-    /// What is free now on each machine.
+    /// The capacity that is free now, per machine.
     free: Vec<Resources>,
     reserved_machines: usize,
-    /// Jobs whose future start was worked out.
+    /// Gangs and large tasks that were found to start only in the future.
     lookaheads: usize,
-    /// The least CPUs that any task requests: machines with less are closed.
+    /// The fewest CPUs that any task requests. Machines with fewer free CPUs are closed in the index, since no
+    /// task can start there.
     least_cpus: f64,
     result: PlacementResult,
 }
 
-/// Plans the starts of this cycle, at most `max_starts`. The first `startup_count` tasks of each job are
-/// startup tasks.
+/// Chooses the tasks that start in this cycle, at most `max_starts`. The first `startup_count` tasks of each
+/// job are startup tasks.
 pub fn pack(
     jobs: &[JobSnapshot],
     machines: &mut [MachineSnapshot],
@@ -111,15 +114,15 @@
         let Some(head) = queues.batch_head() else {
             break;
         };
-        if packer.is_placed_whole(head) {
-            packer.place_whole(head);
+        if packer.may_reserve(head) {
+            packer.place_or_reserve(head);
             if packer.progress[head].deferred && !packer.progress[head].exhausted {
                 queues.defer_batch_head(jobs);
             }
-        } else if let Some(first) = queues.startup_head().filter(|first| *first != head)
-            && packer.startup_may_pass(first, head)
+        } else if let Some(startup) = queues.startup_head().filter(|startup| *startup != head)
+            && packer.startup_may_pass(startup, head)
         {
-            packer.place_tasks(first, 1);
+            packer.place_tasks(startup, 1);
         } else {
             let remaining_starts = max_starts - packer.result.starts.len();
             packer.place_tasks(head, remaining_starts);
@@ -141,10 +144,10 @@
         machines.open(|m| free[m].cpus + SLACK >= least_cpus && free[m].memory_gb > 0.0);
         Self {
             jobs,
-            progress: jobs.iter().map(JobProgress::new).collect(),
+            progress: jobs.iter().map(PackingProgress::new).collect(),
             headroom: limits.headroom.clone(),
             reservation_delay_s: limits.reservation_delay_s,
-            looked_ahead_for: HashSet::new(),
+            teams_looked_ahead: HashSet::new(),
             machines,
             free,
             reserved_machines: 0,
@@ -160,7 +163,7 @@
             .retain_open(|m| free[m].cpus + SLACK >= least_cpus);
     }
 
-    /// Tasks of the job that were not started yet and may still be.
+    /// Number of the job's tasks that were not started yet and may still be.
     fn remaining(&self, job: usize) -> usize {
         let progress = &self.progress[job];
         if progress.exhausted {
@@ -170,7 +173,7 @@
         }
     }
 
-    /// Of the remaining tasks, those that the team's quota permits.
+    /// Number of the remaining tasks that the team's quota permits.
     fn permitted(&self, job: usize) -> usize {
         self.remaining(job)
             .min(self.headroom.tasks(&self.jobs[job]))
@@ -180,28 +183,28 @@
     fn has_startup_task(&self, job: usize, startup_count: u32) -> bool {
         self.permitted(job) > 0
             && self.progress[job].started < startup_count
-            && !self.is_placed_whole(job)
+            && !self.may_reserve(job)
     }
 
-    /// Starts the job's next task.
+    /// Plans the start of the job's next task.
     fn start(&mut self, job: usize, candidate: &Candidate) {
-        let view = &self.jobs[job];
+        let snapshot = &self.jobs[job];
         let progress = &mut self.progress[job];
-        let task = view.waiting[progress.next_task];
+        let task = snapshot.waiting[progress.next_task];
         progress.next_task += 1;
         progress.started += 1;
-        self.headroom.take(view, 1);
+        self.headroom.take(snapshot, 1);
         let machine = candidate.machine;
         let zone = self.machines.zone(machine);
         *progress.zones.entry(zone).or_default() += 1;
         let end = candidate.end.max(MIN_RUN_S);
-        self.machines.occupy(machine, &view.resources, 0.0, end);
-        self.machines.use_image(machine, view.image);
-        self.free[machine].sub(&view.resources);
+        self.machines.occupy(machine, &snapshot.resources, 0.0, end);
+        self.machines.use_image(machine, snapshot.image);
+        self.free[machine].sub(&snapshot.resources);
         self.result.starts.push(Start { job, task, machine });
     }
 
-    /// Starts as many of a job's tasks as find capacity, at most `max_tasks`.
+    /// Plans the start of as many of a job's tasks as there is capacity for, at most `max_tasks`.
     fn place_tasks(&mut self, job: usize, max_tasks: usize) {
         let mut wanted = self.permitted(job).min(max_tasks);
         if wanted == 0 {
@@ -226,32 +229,36 @@
         });
     }
 
-    /// Whether one more task fits on a candidate, after what was started since it was found.
+    /// Whether one more task fits on a candidate; tasks may have been placed there since it was found.
     fn still_fits(&self, job: usize, candidate: &Candidate) -> bool {
-        let view = &self.jobs[job];
+        let snapshot = &self.jobs[job];
         let machine = &self.machines.machines()[candidate.machine];
-        machine.accommodates(&view.resources, &self.free[candidate.machine])
-            && view.may_add_in_zone(&self.progress[job].zones, machine.zone)
-            && machine.respects_reservations(&view.resources, candidate.end)
+        machine.accommodates(&snapshot.resources, &self.free[candidate.machine])
+            && snapshot.may_add_in_zone(&self.progress[job].zones, machine.zone)
+            && machine.respects_reservations(&snapshot.resources, candidate.end)
     }
 
-    /// Stops further starts of the team for a task that is larger than what the team has left, that has
-    /// waited for long enough and that a machine could take now; not where quota is reserved for a gang.
+    /// Stops further starts of the team if the job's next task exceeds the team's headroom, has waited long
+    /// enough and would fit on a machine now, so that quota becomes free for it. Does nothing if quota is
+    /// reserved for another job of the team.
     fn close_headroom_if_overdue(&mut self, job: usize) {
-        let view = &self.jobs[job];
-        let is_overdue = self.headroom.is_overdue(view, 1, self.reservation_delay_s);
-        let is_reserved = self.headroom.is_reserved_for_other(view);
+        let snapshot = &self.jobs[job];
+        let is_overdue = self
+            .headroom
+            .is_overdue(snapshot, 1, self.reservation_delay_s);
+        let is_reserved = self.headroom.is_reserved_for_other(snapshot);
         if is_overdue && !is_reserved && self.candidates(job).next().is_some() {
-            self.headroom.close(view.team);
+            self.headroom.close(snapshot.team);
         }
     }
 
-    /// The paper's guard: a startup task goes ahead only if the batch head would still be in time. What the
-    /// head would lose is one of the places that are free now.
+    /// Whether a startup task may go ahead of the head of the batch queue: only if the head would still be
+    /// in time (a condition of the CVSS paper). The head can lose at most one of the machines on which it
+    /// could start now.
     fn startup_may_pass(&mut self, startup: usize, head: usize) -> bool {
         let mut head_candidates = self.candidates(head);
         let Some(best) = head_candidates.next() else {
-            return true; // the head cannot start now whatever happens
+            return true; // the head cannot start now in any case
         };
         if self.jobs[head].is_late(0.0, best.fetch, best.end) {
             return false;
@@ -260,18 +267,19 @@
             return true;
         };
         if taken.machine != best.machine {
-            return true; // the head keeps its place, and is in time there
+            return true; // the head keeps its machine and is in time there
         }
         if let Some(other) = head_candidates.next() {
             return !self.jobs[head].is_late(0.0, other.fetch, other.end);
         }
         let mut beside = self.free[best.machine];
         beside.sub(&self.jobs[startup].resources);
-        // Otherwise it would wait for the startup task's end.
+        // If both do not fit, the head would wait for the end of the startup task.
         let (wait, run) = (taken.end, best.end - best.fetch);
         self.jobs[head].resources.fits(&beside) || !self.jobs[head].is_late(wait, 0.0, wait + run)
     }
 }
 
-/// Shortest time for which a started task occupies its machine, so that its slot is never free now.
+/// Shortest time for which a started task occupies its machine, so that its capacity never counts as free
+/// now.
 const MIN_RUN_S: f64 = 0.001;
