--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -1,38 +1,40 @@
-//! Preemption: which running tasks are evicted so that work of higher urgency, or of a team within its
-//! guarantee, starts in time. Only plans; the placement service records and carries out.
+//! Preemption: chooses running tasks to evict so that work of higher urgency, or of a team within its
+//! guaranteed quota, starts in time. Only plans; the placement service carries out the evictions.
 
 use super::packing::Unplaced;
 use super::{JobSnapshot, MachineSnapshot, Resources};
 use crate::jobs::{TaskId, Urgency};
 use std::collections::{HashMap, HashSet};
 
-/// A task on a machine, as far as preempting it goes.
+/// A task on a machine, with what decides whether it is preempted.
 #[derive(Debug, Clone)]
 pub struct RunningTask {
     /// The task.
     pub id: TaskId,
     /// The attempt that runs.
     pub attempt: u64,
-    /// What it takes of its machine.
+    /// The capacity that it uses on its machine.
     pub resources: Resources,
     /// Its job's urgency.
     pub urgency: Urgency,
-    /// Its team uses more than its guarantee: it may be preempted for a team within its own.
+    /// Whether its team uses more than its guaranteed quota: the task may be preempted for a team within
+    /// its own.
     pub borrowing: bool,
-    /// Seconds of work that preempting it would lose.
+    /// Seconds of work that would be lost if it is preempted.
     pub lost_s: f64,
     /// Seconds that it is given to save a checkpoint.
     pub grace_s: f64,
-    /// It is being stopped already, or is part of a gang of several tasks.
+    /// Whether it is already being stopped or belongs to a gang of several tasks.
     pub not_preemptible: bool,
 }
 
 /// What a waiting job may preempt.
 #[derive(Debug, Clone, Copy)]
 pub struct PreemptionRequest {
-    /// It may preempt tasks of lower urgency.
+    /// The job's urgency: it may preempt tasks of lower urgency.
     pub urgency: Urgency,
-    /// Its team's unfinished jobs all fit into its guarantee: it may preempt borrowed capacity.
+    /// Whether all unfinished jobs of its team fit into the team's guaranteed quota: it may preempt tasks
+    /// of teams that use more than theirs.
     pub guaranteed: bool,
 }
 
@@ -43,7 +45,7 @@
     }
 }
 
-/// What a plan is made from.
+/// The input for a preemption plan.
 pub struct PreemptionInput<'a> {
     /// All jobs of the snapshot.
     pub jobs: &'a [JobSnapshot],
@@ -55,9 +57,9 @@
     pub machines: &'a [MachineSnapshot],
     /// The tasks of a machine, by the machine's name.
     pub running_tasks: &'a dyn Fn(&str) -> Vec<RunningTask>,
-    /// Seconds from the decision until the capacity is free.
+    /// Seconds from the decision to evict until the capacity is free.
     pub eviction_takes_s: f64,
-    /// Most machines to evict tasks from.
+    /// Maximum number of machines to evict tasks from.
     pub max_machines: usize,
 }
 
@@ -72,7 +74,7 @@
     pub grace_s: f64,
 }
 
-/// Machines on which a job's preemption frees capacity.
+/// Machines from which tasks are evicted for a job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClearedMachines {
     /// Index of the job.
@@ -81,49 +83,49 @@
     pub machines: Vec<usize>,
 }
 
-/// Which tasks to evict, and for whom the capacity is.
+/// The tasks to evict, and the jobs for which they free capacity.
 #[derive(Debug, Default)]
 pub struct PreemptionPlan {
     /// Tasks to evict.
     pub evictions: Vec<Eviction>,
-    /// Machines to reserve, for one job each.
+    /// Per preempting job, the machines to reserve for it.
     pub cleared: Vec<ClearedMachines>,
 }
 
-/// Most work that may be lost for a start, in seconds of the starting tasks' own size. Beyond it the
-/// work done twice makes more tasks late than it saves.
+/// Most work that may be lost per starting task, in seconds weighted by the task's size. If more is lost,
+/// repeating the work makes more tasks late than the preemption saves.
 const MAX_LOST_S: f64 = 2.0;
-/// A gang of several tasks preempts only when it has waited too long to begin: tried for every
-/// gang that would be late, it cost a quarter of all small tasks their first run.
+/// The same for a gang of several tasks, which preempts only once its due time has passed: when every gang
+/// that would be late preempted, a quarter of all small tasks lost their first run.
 const MAX_LOST_FOR_GANG_S: f64 = 15.0;
-/// CPUs whose loss weighs as much as that of one GPU.
+/// Number of CPUs that weigh as much as one GPU when lost work is compared.
 const CPUS_PER_GPU: f64 = 8.0;
 
-/// Plans preemption for jobs that would be late where they are expected to start, and in time if capacity
-/// were freed; each on the machines where least work is lost. A gang needs capacity for all its tasks, in
-/// one zone where it must share one.
+/// Plans evictions for unplaced jobs that would be late if they waited but in time if capacity were freed,
+/// on the machines where the least work is lost. For a gang, capacity is freed for all its tasks at once,
+/// within one zone if it must stay in one; whether it would be in time is not checked.
 pub fn plan_preemption(input: &PreemptionInput) -> PreemptionPlan {
     let mut planner = Planner {
         input,
-        used_machines: HashSet::new(),
+        planned_machines: HashSet::new(),
         running_on: HashMap::new(),
         plan: PreemptionPlan::default(),
     };
-    for unplaced in by_urgency(input) {
-        if planner.used_machines.len() >= input.max_machines {
+    for unplaced in unplaced_by_urgency(input) {
+        if planner.planned_machines.len() >= input.max_machines {
             break;
         }
         if planner.should_preempt(unplaced)
-            && let Some(option) = planner.best_option(unplaced)
+            && let Some(candidate) = planner.best_candidate(unplaced)
         {
-            planner.take(unplaced, option);
+            planner.add_to_plan(unplaced, candidate);
         }
     }
     planner.plan
 }
 
 /// The unplaced jobs, most urgent first, then by due time.
-fn by_urgency<'a>(input: &PreemptionInput<'a>) -> Vec<&'a Unplaced> {
+fn unplaced_by_urgency<'a>(input: &PreemptionInput<'a>) -> Vec<&'a Unplaced> {
     let mut order: Vec<&Unplaced> = input.unplaced.iter().collect();
     order.sort_by(|a, b| {
         let (a, b) = (a.job, b.job);
@@ -134,30 +136,31 @@
 }
 
 /// Evictions that free capacity for one task on one machine.
-struct MachineOption {
+struct MachineCandidate {
     machine: usize,
-    /// Work that is lost, in seconds weighted by size.
+    /// Lost work in seconds, weighted by the sizes of the evicted tasks.
     lost: f64,
     victims: Vec<TaskId>,
 }
 
-/// Evictions that free capacity for a whole job.
-struct JobOption {
+/// Evictions that free capacity for a gang or for one task of an array.
+struct JobCandidate {
     lost: f64,
-    machines: Vec<MachineOption>,
+    machines: Vec<MachineCandidate>,
 }
 
 struct Planner<'a> {
     input: &'a PreemptionInput<'a>,
-    /// Machines that tasks are evicted from by the plan so far.
-    used_machines: HashSet<usize>,
-    /// Tasks of the machines that were looked at.
+    /// Machines from which the plan evicts tasks so far.
+    planned_machines: HashSet<usize>,
+    /// The tasks of the machines that were examined.
     running_on: HashMap<usize, Vec<RunningTask>>,
     plan: PreemptionPlan,
 }
 
 impl Planner<'_> {
-    /// Whether waiting would make the job late and no eviction is under way for it.
+    /// Whether the job would be late if it waited, and no machine is being cleared for it yet. A job that is
+    /// expected to start within twice the time of an eviction waits.
     fn should_preempt(&self, unplaced: &Unplaced) -> bool {
         let job = &self.input.jobs[unplaced.job];
         let eviction_takes_s = self.input.eviction_takes_s;
@@ -173,53 +176,53 @@
         !unplaced.start.is_some_and(is_soon_enough) && !gang_may_wait && !is_being_cleared()
     }
 
-    /// The option with the least loss, if any loses little enough.
-    fn best_option(&mut self, unplaced: &Unplaced) -> Option<JobOption> {
+    /// The evictions that lose the least work, if they lose no more than is allowed.
+    fn best_candidate(&mut self, unplaced: &Unplaced) -> Option<JobCandidate> {
         let input = self.input;
         let job = &input.jobs[unplaced.job];
         let size = if job.gang { job.waiting.len() } else { 1 };
         let max_lost = max_lost(job, size);
-        let mut best: Option<JobOption> = None;
+        let mut best: Option<JobCandidate> = None;
         for zone in zones_for(job, input.machines) {
-            let mut machines = self.machine_options(unplaced.job, zone);
+            let mut machines = self.machine_candidates(unplaced.job, zone);
             machines.sort_by(|a, b| a.lost.total_cmp(&b.lost));
             machines.truncate(size);
-            let lost: f64 = machines.iter().map(|option| option.lost).sum();
-            let is_enough = machines.len() == size && lost <= max_lost;
-            if is_enough && best.as_ref().is_none_or(|best| lost < best.lost) {
-                best = Some(JobOption { lost, machines });
+            let lost: f64 = machines.iter().map(|candidate| candidate.lost).sum();
+            let is_acceptable = machines.len() == size && lost <= max_lost;
+            if is_acceptable && best.as_ref().is_none_or(|best| lost < best.lost) {
+                best = Some(JobCandidate { lost, machines });
             }
         }
         best
     }
 
-    /// Machines of a zone (any if `None`) on which a task of the job could run after evictions.
-    fn machine_options(&mut self, job: usize, zone: Option<u32>) -> Vec<MachineOption> {
+    /// Machines of a zone (of any zone if `None`) on which a task of the job could run after evictions.
+    fn machine_candidates(&mut self, job: usize, zone: Option<u32>) -> Vec<MachineCandidate> {
         let input = self.input;
-        let (view, request) = (&input.jobs[job], &input.requests[job]);
-        let mut options = Vec::new();
+        let (snapshot, request) = (&input.jobs[job], &input.requests[job]);
+        let mut found = Vec::new();
         for (index, machine) in input.machines.iter().enumerate() {
             if zone.is_some_and(|zone| zone != machine.zone)
-                || self.used_machines.contains(&index)
-                || !may_use(job, view, machine)
-                || (!view.gang && self.is_late_on(view, machine))
+                || self.planned_machines.contains(&index)
+                || !may_use(job, snapshot, machine)
+                || (!snapshot.gang && self.is_late_on(snapshot, machine))
             {
                 continue;
             }
             let running = self.running_on.entry(index);
             let running = running.or_insert_with(|| (input.running_tasks)(&machine.name));
-            if let Some((lost, victims)) = least_loss(view, request, machine, running) {
-                options.push(MachineOption {
+            if let Some((lost, victims)) = least_loss(snapshot, request, machine, running) {
+                found.push(MachineCandidate {
                     machine: index,
                     lost,
                     victims,
                 });
             }
         }
-        options
+        found
     }
 
-    /// Whether a task would be late on a machine even if evictions began now.
+    /// Whether a task would be late on a machine even if it were cleared now.
     fn is_late_on(&self, job: &JobSnapshot, machine: &MachineSnapshot) -> bool {
         let start = self.input.eviction_takes_s;
         let fetch = machine.fetch_time(job);
@@ -227,16 +230,16 @@
         job.is_late(start, fetch, end)
     }
 
-    fn take(&mut self, unplaced: &Unplaced, option: JobOption) {
+    fn add_to_plan(&mut self, unplaced: &Unplaced, candidate: JobCandidate) {
         let job = &self.input.jobs[unplaced.job];
-        let size = option.machines.len();
+        let size = candidate.machines.len();
         tracing::debug!(job = job.id, size, due = job.due, start = ?unplaced.start, "preemption planned");
         self.plan.cleared.push(ClearedMachines {
             job: unplaced.job,
-            machines: option.machines.iter().map(|m| m.machine).collect(),
+            machines: candidate.machines.iter().map(|m| m.machine).collect(),
         });
-        for chosen in option.machines {
-            self.used_machines.insert(chosen.machine);
+        for chosen in candidate.machines {
+            self.planned_machines.insert(chosen.machine);
             let running = self.running_on[&chosen.machine].iter();
             let victims = running.filter(|task| chosen.victims.contains(&task.id));
             self.plan.evictions.extend(victims.map(|task| Eviction {
@@ -248,7 +251,7 @@
     }
 }
 
-/// Work that may be lost for a job, in seconds weighted by size.
+/// Most work that may be lost for `size` tasks of a job, in seconds weighted by their size.
 fn max_lost(job: &JobSnapshot, size: usize) -> f64 {
     let max_lost_s = if job.gang && size > 1 {
         MAX_LOST_FOR_GANG_S
@@ -258,18 +261,21 @@
     max_lost_s * weight(&job.resources) * size as f64
 }
 
-/// Weight of a task's size when lost work is compared.
+/// Weight of a task of this size when lost work is compared.
 fn weight(resources: &Resources) -> f64 {
     resources.cpus.max(resources.gpus * CPUS_PER_GPU)
 }
 
-/// Whether a job may run on a machine that no other job has reserved.
-fn may_use(job: usize, view: &JobSnapshot, machine: &MachineSnapshot) -> bool {
+/// Whether a job may run on a machine, and no other job has a reservation there.
+fn may_use(job: usize, snapshot: &JobSnapshot, machine: &MachineSnapshot) -> bool {
     let is_reserved = machine.reservations.iter().any(|r| r.job != job);
-    !is_reserved && view.may_use(machine) && view.may_add_in_zone(&view.zones, machine.zone)
+    !is_reserved
+        && snapshot.may_use(machine)
+        && snapshot.may_add_in_zone(&snapshot.zones, machine.zone)
 }
 
-/// Zones of the machines, each by itself where all tasks of the job must share one.
+/// The zones to try one after another if all tasks of the job must be in one zone; otherwise only `None`,
+/// for any zone.
 fn zones_for(job: &JobSnapshot, machines: &[MachineSnapshot]) -> Vec<Option<u32>> {
     if !job.one_zone {
         return vec![None];
@@ -280,7 +286,8 @@
     zones.into_iter().map(Some).collect()
 }
 
-/// The tasks of a machine whose eviction frees enough, and the loss: none if enough is free already.
+/// The lost work and the tasks to evict so that a task of the job fits on a machine. There are no tasks to
+/// evict if enough is free already; `None` if evictions cannot free enough.
 fn least_loss(
     job: &JobSnapshot,
     request: &PreemptionRequest,
--- a/src/placement/preemption/tests.rs
+++ b/src/placement/preemption/tests.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn preempts_only_lower_priority_where_least_is_lost() {
+fn evicts_lower_priority_tasks_that_lose_the_least_work() {
     let mut urgent = job("urgent", 3.0, 1, 20.0);
     urgent.due_milestone = super::super::Milestone::Start;
     let running_task = |id: &str, urgency, lost_s| RunningTask {
@@ -21,14 +21,17 @@
         not_preemptible: false,
     };
     let machines = vec![machine("far", 0.0, 1.0), machine("near", 0.0, 1.0)];
-    let low = Urgency::BestEffort;
+    let low_urgency = Urgency::BestEffort;
     let running_tasks = BTreeMap::from([
-        ("far".to_string(), vec![running_task("old", low, 50.0)]),
+        (
+            "far".to_string(),
+            vec![running_task("old", low_urgency, 50.0)],
+        ),
         (
             "near".to_string(),
             vec![
                 running_task("equal", Urgency::Standard, 1.0),
-                running_task("young", low, 2.0),
+                running_task("young", low_urgency, 2.0),
             ],
         ),
     ]);
@@ -38,7 +41,7 @@
         reserved: false,
     }];
     let mut trace = String::new();
-    for (what, guaranteed, due) in [
+    for (case, guaranteed, due) in [
         ("by priority", false, 20.0),
         ("within its guarantee", true, 20.0),
         ("late whatever is stopped", false, 2.0),
@@ -59,7 +62,7 @@
         });
         let evictions = plan.evictions.iter();
         let names: Vec<&str> = evictions.map(|e| e.task.job.as_str()).collect();
-        trace.push_str(&format!("{what}: stop {names:?}\n"));
+        trace.push_str(&format!("{case}: stop {names:?}\n"));
     }
     insta::assert_snapshot!(trace, @r#"
     by priority: stop ["young"]
