--- a/src/placement/service.rs
+++ b/src/placement/service.rs
@@ -1,8 +1,9 @@
-//! The scheduling loop: each cycle plans starts and evictions on a snapshot of the cluster and has them
-//! recorded before anything acts on them. Workers are commanded from the records, never from here.
+//! The scheduling loop: each cycle plans starts and evictions on a snapshot of the cluster. Starts are
+//! recorded before any worker acts on them: commands to workers are derived from the records, never sent
+//! from here.
 //!
 //! - [`starts`] plans the starts that packing chose;
-//! - [`evictions`] plans evictions and clears tasks of machines that are gone;
+//! - [`evictions`] plans evictions and resets tasks of machines that are gone;
 //! - [`preempt`] evicts tasks for work of higher priority.
 
 mod evictions;
@@ -20,33 +21,36 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A cycle begins after this time even if no event requested one.
+/// Longest wait for an event that requests a cycle; after it, a cycle begins without one.
 const CYCLE_INTERVAL: Duration = Duration::from_millis(400);
 /// The shortest pause after a cycle.
 const MIN_PAUSE: Duration = Duration::from_millis(80);
-/// The pause after a cycle where no more writes are allowed for now.
+/// The pause after a cycle when the budget of writes is used up; it is shorter in proportion to what is left.
 const MAX_WRITE_PAUSE: Duration = Duration::from_millis(600);
-/// The pause after a cycle over the time that it took: heartbeats, health probes and polls come between.
-const PAUSE_PER_WORK: u32 = 3;
+/// Least ratio of the pause after a cycle to the time for which the cycle held the lock on the node's state:
+/// heartbeats, health probes and polls are served in between.
+const PAUSE_PER_PLANNING_TIME: u32 = 3;
 
 /// Runs scheduling cycles for as long as the process runs.
 pub async fn run(node: Arc<Node>) {
-    let mut logged = Instant::now();
+    let mut last_logged = Instant::now();
     loop {
-        // A timeout only means that no event requested a cycle earlier.
+        // A timeout is no error: no event requested an earlier cycle.
         let _ = tokio::time::timeout(CYCLE_INTERVAL, node.wake_up.notified()).await;
         let mut pause = MIN_PAUSE;
         if node.core().loaded {
             node.scheduling_cycles.start();
-            let worked = scheduling_cycle(&node).await;
+            let planning_time = scheduling_cycle(&node).await;
             node.scheduling_cycles.complete();
-            // Where writes are scarce, a record should hold more starts rather than come sooner.
+            // When writes are scarce, longer pauses collect more starts for each write.
             let write_pause = MAX_WRITE_PAUSE.mul_f64(1.0 - node.state.write_headroom());
-            pause = pause.max(worked * PAUSE_PER_WORK).max(write_pause);
+            pause = pause
+                .max(planning_time * PAUSE_PER_PLANNING_TIME)
+                .max(write_pause);
         }
-        if logged.elapsed().as_secs_f64() >= node.policy.period_s {
-            logged = Instant::now();
-            metrics::log_period(&node, logged);
+        if last_logged.elapsed().as_secs_f64() >= node.policy.period_s {
+            last_logged = Instant::now();
+            metrics::log_period(&node, last_logged);
         }
         tokio::time::sleep(pause).await;
     }
@@ -60,32 +64,32 @@
         membership::rebalance(node, revision).await;
         limits::allocate_limits(node, revision).await;
     }
-    let began = Instant::now();
-    if !plan_changes(node, began) {
+    let started_at = Instant::now();
+    if !plan_changes(node, started_at) {
         return Duration::ZERO;
     }
-    let worked = began.elapsed();
-    record_cycle_metrics(&mut node.core().metrics, worked);
-    limits::change_own_allocations(node, began).await;
+    let planning_time = started_at.elapsed();
+    record_cycle_metrics(&mut node.core().metrics, planning_time);
+    limits::change_own_allocations(node, started_at).await;
     writer::write(node, leader_revision.is_some()).await;
-    worked
+    planning_time
 }
 
-fn record_cycle_metrics(metrics: &mut Metrics, worked: Duration) {
+fn record_cycle_metrics(metrics: &mut Metrics, planning_time: Duration) {
     metrics.scheduling_cycles += 1;
-    metrics.scheduling_time += worked;
-    metrics.longest_cycle = metrics.longest_cycle.max(worked);
+    metrics.scheduling_time += planning_time;
+    metrics.longest_cycle = metrics.longest_cycle.max(planning_time);
 }
 
-/// Plans what is to be recorded next: starts, evictions, and the loss of tasks on machines that are gone.
-/// False as long as the machine types are not known.
+/// Plans the changes to record next: starts, evictions, and tasks that wait again since their machines are
+/// gone. Returns false, without a plan, until the machine types are known.
 fn plan_changes(node: &Node, now: Instant) -> bool {
     let now_ms = wall_ms();
     let mut core = node.core();
     let Some(mut snapshot) = refreshed_snapshot(node, &mut core, now, now_ms) else {
         return false;
     };
-    // The forecast's period begins with the first job or machine, and the first forecast is due at once.
+    // The first forecast is made as soon as there is a job or a machine; its period counts from then on.
     if !core.replica.jobs.is_empty() || !core.replica.fleet.machines.is_empty() {
         let _charge = node.processor_time.charge(CpuAccount::Forecast);
         renting::forecast::update_forecast(node, &mut core, &snapshot, now, now_ms);
@@ -101,8 +105,7 @@
     true
 }
 
-/// Brings the snapshot cache up to date and takes a snapshot; none as long as the machine types are not
-/// known.
+/// Brings the snapshot cache up to date and builds a snapshot; `None` until the machine types are known.
 fn refreshed_snapshot(
     node: &Node,
     core: &mut Core,
@@ -114,7 +117,7 @@
     if core.kinds.is_empty() {
         return None;
     }
-    evictions::clear_tasks_of_gone_machines(node, core);
+    evictions::reset_tasks_of_gone_machines(node, core);
     inherited_deadlines::refresh(node, core, now);
     core.metrics.rebuilt_snapshots += snapshot_cache::refresh(core, &node.identity, now, now_ms);
     limits::refresh_usage(core);
--- a/src/placement/service/evictions.rs
+++ b/src/placement/service/evictions.rs
@@ -1,6 +1,6 @@
-//! Plans evictions: of gangs that lost a task, and of tasks on machines that the cloud is about to take;
-//! and clears the tasks of machines that are gone. Eviction commands are sent by `workers` from the stops
-//! that are entered here.
+//! Plans evictions of gangs that lost a task and of tasks on machines that the cloud is about to reclaim,
+//! and resets the tasks of machines that are gone to waiting. Planned evictions are entered in
+//! `pending_stops`, from which `workers` sends the stop commands.
 
 use crate::jobs::{JobSpec, TaskId, TaskRecord};
 use crate::node::{Core, Node};
@@ -9,14 +9,15 @@
 use std::ops::Range;
 use std::time::Instant;
 
-/// A saving task gets this many times its expected time for it, ...
+/// Time that a task is allowed for saving its checkpoint, as a multiple of the expected time.
 const SAVE_MARGIN_FACTOR: f64 = 1.25;
-/// ... and this many heartbeat intervals and seconds for the command, which is sent with a heartbeat's
-/// response.
+/// Heartbeat intervals, in addition to `COMMAND_MARGIN_S`, that are allowed for the stop command to reach
+/// the worker: it is sent with the response to a heartbeat.
 const COMMAND_MARGIN_INTERVALS: f64 = 1.5;
 const COMMAND_MARGIN_S: f64 = 1.5;
 
-/// Plans that a task be stopped. An attempt that is planned but not recorded is discarded instead.
+/// Plans to stop an attempt of a task. If the attempt's start is planned but not recorded, the planned start
+/// is discarded instead.
 pub(super) fn evict(core: &mut Core, eviction: Eviction) {
     let Eviction {
         task,
@@ -29,8 +30,8 @@
     }
     let recorded = core.replica.task_record(&task.job, task.index);
     if !matches!(recorded, TaskRecord::Placed { attempt: recorded, .. } if *recorded == attempt) {
-        // Planned and in no record, nor being written into one while a cycle plans: it has not begun
-        // and will not, so its capacity is free at once.
+        // No record holds the attempt, and none is being written while a cycle plans. So the attempt has
+        // not started and never will, and its capacity is free at once.
         core.discard_change(&task);
         return;
     }
@@ -39,8 +40,8 @@
     stops.entry(stopped).or_insert(grace_s);
 }
 
-/// Evicts the tasks of gangs that lost a task before its end. Such a gang cannot complete: its other tasks
-/// would keep their capacity until they notice, or for as long as they may wait for the lost one.
+/// Evicts the tasks of gangs that lost a task before any completed. Such a gang cannot complete: its other
+/// tasks would hold their capacity until they detect the loss or their wait for the lost task times out.
 pub(super) fn evict_broken_gangs(core: &mut Core) {
     let mut evictions = Vec::new();
     for (id, progress) in &core.snapshots.jobs {
@@ -58,16 +59,16 @@
     }
 }
 
-/// Evicts tasks from machines that the cloud announced to take, if they would not end in time: those that
-/// can save do so at the last moment, the others go at once.
+/// Evicts tasks that would not end before the cloud reclaims their machine, once it has given notice. Tasks
+/// that can save a checkpoint are stopped as late as saving permits, the others at once.
 pub(super) fn evict_before_cloud_preemption(node: &Node, core: &mut Core, now: Instant) {
     let report_s = node.settings.params.workers.report_s;
     let mut evictions = Vec::new();
     for (machine, worker) in &core.workers.agents {
-        let Some(taken_at) = worker.preemption_at else {
+        let Some(reclaimed_at) = worker.preemption_at else {
             continue;
         };
-        let left_s = taken_at.saturating_duration_since(now).as_secs_f64();
+        let left_s = reclaimed_at.saturating_duration_since(now).as_secs_f64();
         for id in core
             .replica
             .tasks_by_machine
@@ -83,7 +84,7 @@
             let ran_s = ran.map_or(0.0, |ran| ran.as_secs_f64());
             let ends_in_time = core.duration(spec) - ran_s < left_s;
             let can_save = spec.checkpoint_interval_s > 0.0;
-            if ends_in_time || (can_save && left_s > last_moment_to_save_s(spec, report_s)) {
+            if ends_in_time || (can_save && left_s > save_lead_time_s(spec, report_s)) {
                 continue;
             }
             let grace_s = if can_save {
@@ -100,14 +101,16 @@
     }
 }
 
-/// Seconds before the cloud takes a machine when a task there must be told to save.
-fn last_moment_to_save_s(spec: &JobSpec, report_s: f64) -> f64 {
+/// How many seconds before the cloud reclaims a machine the stop of a task must be planned, so that the task
+/// can save its checkpoint.
+fn save_lead_time_s(spec: &JobSpec, report_s: f64) -> f64 {
     spec.checkpoint_write_s * SAVE_MARGIN_FACTOR
         + report_s * COMMAND_MARGIN_INTERVALS
         + COMMAND_MARGIN_S
 }
 
-/// The tasks that are evicted with one: a gang saves together or not at all, a task of an array by itself.
+/// The tasks that are evicted together with one: all tasks of a gang, since they save together or not at all;
+/// of an array only the task itself.
 fn evicted_together(spec: &JobSpec, task: u32) -> Range<u32> {
     if spec.is_gang() {
         0..spec.tasks
@@ -116,7 +119,7 @@
     }
 }
 
-/// Evictions of those of a job's tasks that are on machines.
+/// Evictions of those of the given tasks that are placed on machines.
 fn evictions_of(
     core: &Core,
     job: &str,
@@ -133,9 +136,9 @@
     })
 }
 
-/// Plans that tasks wait again whose machine's record is gone: it is deleted only once the machine provably
-/// is gone.
-pub(super) fn clear_tasks_of_gone_machines(node: &Node, core: &mut Core) {
+/// Plans that tasks wait again if their machine's record no longer exists: it is deleted only once the
+/// machine is known to be gone.
+pub(super) fn reset_tasks_of_gone_machines(node: &Node, core: &mut Core) {
     let machines = &core.replica.fleet.machines;
     let lost: Vec<_> = core
         .replica
--- a/src/placement/service/preempt.rs
+++ b/src/placement/service/preempt.rs
@@ -1,6 +1,5 @@
-//! Evicts tasks for jobs of higher urgency, or of teams within their guarantee, that would start too late
-//! otherwise, and reserves the cleared machines. Which tasks these are is decided by
-//! `placement::preemption`.
+//! Evicts tasks for jobs of higher urgency, or of teams within their guaranteed quota, that would otherwise
+//! start too late, and reserves the cleared machines. `placement::preemption` chooses the tasks.
 
 use super::evictions::evict;
 use crate::jobs::{JobSpec, TaskId, TaskRecord, Urgency};
@@ -17,15 +16,15 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Most machines that are cleared in a cycle.
+/// Maximum number of machines from which tasks are evicted in a cycle.
 const MAX_CLEARED_MACHINES: usize = 24;
 
-/// The grace period of a preempted task that saves, over its expected time for saving: a factor and
-/// seconds.
+/// The grace period of a preempted task that saves a checkpoint is its expected time for saving, times
+/// `SAVE_GRACE_FACTOR`, plus `SAVE_GRACE_MARGIN_S`.
 const SAVE_GRACE_FACTOR: f64 = 1.5;
 const SAVE_GRACE_MARGIN_S: f64 = 1.0;
 
-/// Plans the evictions by which unplaced jobs of a snapshot would start in time.
+/// Plans evictions so that unplaced jobs of the snapshot start in time.
 pub(super) fn preempt(
     node: &Node,
     core: &mut Core,
@@ -50,7 +49,7 @@
         requests: &snapshot.preemption_requests,
         unplaced: &preempting,
         machines: &snapshot.machines,
-        running_tasks: &|machine| tasks.on(machine),
+        running_tasks: &|machine| tasks.on_machine(machine),
         eviction_takes_s: STOP_S + node.settings.params.workers.report_s,
         max_machines: MAX_CLEARED_MACHINES,
     });
@@ -83,7 +82,8 @@
     }
 }
 
-/// Unplaced jobs of teams within their guarantee, or that are more urgent than some running job.
+/// The unplaced jobs that belong to a team within its guaranteed quota or are more urgent than some
+/// running job.
 fn jobs_that_may_preempt(
     core: &Core,
     snapshot: &ClusterSnapshot,
@@ -101,26 +101,26 @@
     unplaced.iter().filter(may_preempt).cloned().collect()
 }
 
-/// How long machines are reserved for a job that they are cleared for. The command to stop is sent with the
-/// response to a heartbeat, the exit comes with the next one, and saving takes its time. Ten seconds,
-/// whatever the heartbeat interval, were too few at 4 s: the machines filled again just before the last of
-/// them was free, and were cleared again, up to nine times for one gang.
+/// How long machines are reserved for the job for which they are cleared. The stop command is sent with the
+/// response to a heartbeat, the exit is reported by the next one, and saving takes time in between. A fixed
+/// 10 s was too short at a heartbeat interval of 4 s: the machines were filled again just before the last of
+/// them was free and had to be cleared again, up to nine times for one gang.
 fn reservation_time(node: &Node) -> Duration {
     node.settings.heartbeat_interval() * 3 + Duration::from_secs(5)
 }
 
-/// The tasks that run on machines, as preemption weighs them.
+/// Looks up the tasks on machines as input for preemption.
 struct RunningTasks<'a> {
     node: &'a Node,
     core: &'a Core,
-    /// What each team uses.
+    /// The resources that each team uses.
     usage: &'a HashMap<String, Resources>,
     now: Instant,
 }
 
 impl RunningTasks<'_> {
-    /// The tasks of unfinished jobs on a machine; none if its worker is not connected.
-    fn on(&self, machine: &str) -> Vec<RunningTask> {
+    /// The tasks of unfinished jobs on a machine; empty if its worker is not connected.
+    fn on_machine(&self, machine: &str) -> Vec<RunningTask> {
         let core = self.core;
         let Some(worker) = core.workers.agents.get(machine) else {
             return Vec::new();
@@ -160,7 +160,7 @@
         self.core.workers.pending_stops.contains_key(&stopped)
     }
 
-    /// Whether a team uses more than its guarantee.
+    /// Whether a team uses more than its guaranteed quota.
     fn is_borrowing(&self, team: &str) -> bool {
         let mut teams = self.node.settings.params.teams.iter();
         let settings = teams.find(|t| t.name == team);
@@ -173,7 +173,7 @@
     spec.checkpoint_interval_s > 0.0
 }
 
-/// Seconds of work that are lost if a task is preempted that ran for `ran_s`.
+/// Seconds of work that are lost if a task that ran for `ran_s` seconds is preempted.
 fn lost_work_s(spec: &JobSpec, ran_s: f64) -> f64 {
     if can_save(spec) {
         spec.checkpoint_write_s
--- a/src/placement/service/starts.rs
+++ b/src/placement/service/starts.rs
@@ -1,5 +1,5 @@
-//! Plans the starts that packing chose: gives each its attempt and enters it among the changes to be
-//! recorded. Nothing starts before its record is written.
+//! Plans the starts that packing chose: gives each an attempt number and adds it to the changes to be
+//! recorded. No task starts before its record is written.
 
 use crate::jobs::{TaskId, TaskRecord};
 use crate::limits;
@@ -10,10 +10,10 @@
 use crate::placement::{Start, packing};
 use std::collections::{HashMap, HashSet};
 
-/// Most tasks started in a cycle.
+/// Maximum number of tasks started in a cycle.
 const MAX_STARTS: usize = 400;
 
-/// Packs waiting tasks onto free capacity and plans their starts. Returns the jobs that found none.
+/// Packs waiting tasks onto free capacity and plans their starts. Returns the jobs for which there was none.
 pub(super) fn plan_starts(
     node: &Node,
     core: &mut Core,
@@ -41,11 +41,11 @@
         .iter()
         .map(|job| snapshot.jobs[*job].id.clone());
     limits::record_blocked_gangs(core, blocked.collect());
-    plan(core, snapshot, &placement.starts);
+    plan_all(core, snapshot, &placement.starts);
     placement.unplaced
 }
 
-fn plan(core: &mut Core, snapshot: &ClusterSnapshot, starts: &[Start]) {
+fn plan_all(core: &mut Core, snapshot: &ClusterSnapshot, starts: &[Start]) {
     let without_worker = jobs_without_worker(core, snapshot, starts);
     let gang_attempts = gang_attempts(core, snapshot, starts);
     core.pending_changes
@@ -63,8 +63,8 @@
     }
 }
 
-/// Jobs of which a task would start on a machine whose worker is not connected. None of their tasks starts
-/// in this cycle: a gang starts as a whole or not at all.
+/// Jobs with a start on a machine whose worker is not connected. None of their tasks starts in this cycle,
+/// since a gang starts as a whole or not at all.
 fn jobs_without_worker(
     core: &Core,
     snapshot: &ClusterSnapshot,
@@ -78,8 +78,8 @@
     without.map(|start| start.job).collect()
 }
 
-/// By gang, the attempt that starts now. All tasks of a gang take part in one attempt, by whose number they
-/// find one another.
+/// Per gang, the number of the attempt that starts now. All tasks of a gang share one attempt number, by
+/// which they find one another.
 fn gang_attempts(core: &Core, snapshot: &ClusterSnapshot, starts: &[Start]) -> HashMap<usize, u64> {
     let mut attempts = HashMap::new();
     for start in starts {
@@ -93,19 +93,19 @@
     attempts
 }
 
-/// The number after all attempts of these tasks, and after those that the job's record excludes, see
+/// The next attempt number: greater than those of all attempts of these tasks and than
 /// `JobRecord::attempt_floor`.
 fn next_attempt(core: &Core, job: &str, tasks: &[u32]) -> u64 {
     let last_attempts = tasks
         .iter()
         .map(|task| core.task_record(job, *task).last_attempt());
-    let excluded = core.replica.jobs.get(job);
-    let excluded = excluded.map_or(0, |job| job.record.attempt_floor());
-    last_attempts.max().unwrap_or(0).max(excluded) + 1
+    let floor = core.replica.jobs.get(job);
+    let floor = floor.map_or(0, |job| job.record.attempt_floor());
+    last_attempts.max().unwrap_or(0).max(floor) + 1
 }
 
-/// Enters a start among the changes to be recorded, and its image among those that the machine will have.
-/// Does nothing if the job or the machine's worker is gone.
+/// Adds a start to the changes to be recorded, and its image to those that the machine will have. Does
+/// nothing if the job or the machine's worker is gone.
 fn plan_start(core: &mut Core, id: &TaskId, attempt: u64, machine: &str) {
     let Some(spec) = spec_of(core, &id.job) else {
         return;
--- a/src/placement/service/tests.rs
+++ b/src/placement/service/tests.rs
@@ -5,8 +5,8 @@
 use serde_json::json;
 use std::time::Instant;
 
-/// A start that was planned in the same cycle as it was evicted for a gang kept its plan and lost its
-/// eviction: it was recorded, ran to its end, and the gang waited for it.
+/// A start that is planned and evicted in the same cycle must be discarded. Otherwise the start is still
+/// recorded and the eviction is lost, so the gang for which the task was evicted waits until it ends.
 #[test]
 fn eviction_discards_a_planned_start_and_stops_a_recorded_one() {
     let mut core = Core::new(crate::jobs::pages::tests::plain_layout(8), Instant::now());
@@ -49,7 +49,7 @@
     );
 }
 
-/// A task's record in the words of the kept traces.
+/// A task's record as text; `session` is the name of `incarnation` in the snapshot.
 fn record_text(record: &TaskRecord) -> String {
     match record {
         TaskRecord::Placed {
