--- a/src/placement/scale_tests.rs
+++ b/src/placement/scale_tests.rs
@@ -1,5 +1,5 @@
-//! Decisions at the size of the deployments, kept as traces: what speeds placement up must not change
-//! what it decides.
+//! Placement decisions for clusters of the size of real deployments, kept as snapshots: an optimization of
+//! placement must not change them.
 
 use super::forecast::{JobForecast, forecast};
 use super::packing::pack;
@@ -10,8 +10,8 @@
 use rand::{RngExt, SeedableRng};
 use std::fmt::Write;
 
-/// A fleet and its waiting work, drawn from a seed.
-struct Scene {
+/// Parameters of a random fleet and its waiting jobs.
+struct Workload {
     machines: u32,
     zones: u32,
     gang_sizes: &'static [u32],
@@ -19,12 +19,12 @@
     gpu_arrays: u32,
     cpu_arrays: u32,
     largest_array: u32,
-    /// Part of the machines on which something runs.
+    /// Fraction of the machines on which tasks run.
     busy: f64,
 }
 
-/// One controller's part of xanhgio-fleet-grown, with the backlog of the start.
-const TWO_ZONES: Scene = Scene {
+/// One controller's part of the deployment xanhgio-fleet-grown, with the jobs that wait at its start.
+const TWO_ZONES: Workload = Workload {
     machines: 640,
     zones: 2,
     gang_sizes: &[1, 2, 6],
@@ -35,8 +35,8 @@
     busy: 0.7,
 };
 
-/// One controller's part of cedarloop-previews-grown, with the backlog of the start.
-const FOUR_ZONES: Scene = Scene {
+/// One controller's part of the deployment cedarloop-previews-grown, with the jobs that wait at its start.
+const FOUR_ZONES: Workload = Workload {
     machines: 240,
     zones: 4,
     gang_sizes: &[1, 3, 6, 12, 16],
@@ -47,24 +47,25 @@
     busy: 0.7,
 };
 
-/// The same later in the day, when nearly all machines are taken and gangs wait.
-const TWO_ZONES_TAKEN: Scene = Scene {
+/// The same later in the day, when nearly all machines are busy and gangs wait.
+const TWO_ZONES_NEARLY_FULL: Workload = Workload {
     cpu_arrays: 3,
     busy: 0.98,
     ..TWO_ZONES
 };
-const FOUR_ZONES_TAKEN: Scene = Scene {
+const FOUR_ZONES_NEARLY_FULL: Workload = Workload {
     cpu_arrays: 3,
     busy: 0.98,
     ..FOUR_ZONES
 };
 
-const PLAIN: u32 = 0;
+/// The interned machine types.
+const WITHOUT_GPUS: u32 = 0;
 const WITH_GPUS: u32 = 1;
 const IMAGES: u32 = 10;
 
-impl Scene {
-    fn draw(&self, seed: u64) -> (Vec<JobSnapshot>, Vec<MachineSnapshot>) {
+impl Workload {
+    fn generate(&self, seed: u64) -> (Vec<JobSnapshot>, Vec<MachineSnapshot>) {
         let mut rng = StdRng::seed_from_u64(seed);
         let machines = (0..self.machines).map(|n| self.machine(n, &mut rng));
         let machines = machines.collect();
@@ -77,7 +78,7 @@
             jobs.push(self.array(WITH_GPUS, &mut rng));
         }
         for _ in 0..self.cpu_arrays {
-            jobs.push(self.array(PLAIN, &mut rng));
+            jobs.push(self.array(WITHOUT_GPUS, &mut rng));
         }
         for (index, job) in jobs.iter_mut().enumerate() {
             job.index = index;
@@ -90,7 +91,7 @@
         let kind = if rng.random_bool(0.3) {
             WITH_GPUS
         } else {
-            PLAIN
+            WITHOUT_GPUS
         };
         let gpus = f64::from(kind) * 2.0;
         let name = format!("vm-{number:06}");
@@ -136,7 +137,7 @@
         job.large = true;
         job.resources.memory_gb = 51.0;
         job.one_zone = true;
-        job.machine_types = vec![PLAIN, WITH_GPUS];
+        job.machine_types = vec![WITHOUT_GPUS, WITH_GPUS];
         job.due_milestone = Milestone::Start;
         self.vary(&mut job, 90.0, rng);
         job
@@ -146,7 +147,7 @@
         let tasks = rng.random_range(1..=self.largest_array);
         let mut job = super::tests::job("", 1.0, tasks, 0.0);
         job.resources.memory_gb = 2.4;
-        job.machine_types = vec![PLAIN, WITH_GPUS];
+        job.machine_types = vec![WITHOUT_GPUS, WITH_GPUS];
         if kind == WITH_GPUS {
             job.machine_types = vec![WITH_GPUS];
             job.resources.cpus = rng.random_range(4.0..8.0);
@@ -178,16 +179,16 @@
     }
 }
 
-/// A number that changes with any letter of the text (FNV-1a).
+/// The FNV-1a hash of a text.
 fn checksum(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |sum, byte| {
         (sum ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
     })
 }
 
-/// What was decided: sums that people read, and a checksum of every single decision.
-fn trace(scene: &Scene, seed: u64) -> String {
-    let (jobs, machines) = scene.draw(seed);
+/// The decisions for a workload as text: readable totals, and a checksum of all single decisions.
+fn decisions(workload: &Workload, seed: u64) -> String {
+    let (jobs, machines) = workload.generate(seed);
     let mut all = String::new();
     let mut text = String::new();
     let placed = pack(&jobs, &mut machines.clone(), unlimited(), 2, 400);
@@ -238,6 +239,7 @@
             late,
             helped,
         } = mapped;
+        // The checksum in the snapshot covers this text.
         let counts = format!("Mapped {{ tasks: {tasks}, late: {late}, helped: {helped} }}");
         writeln!(all, "{counts}").unwrap();
     }
@@ -247,50 +249,50 @@
 
 #[test]
 fn decisions_at_full_size_stay_the_same() {
-    let scenes = [
+    let workloads = [
         ("two zones", &TWO_ZONES),
-        ("two zones, taken", &TWO_ZONES_TAKEN),
+        ("two zones, taken", &TWO_ZONES_NEARLY_FULL),
         ("four zones", &FOUR_ZONES),
-        ("four zones, taken", &FOUR_ZONES_TAKEN),
+        ("four zones, taken", &FOUR_ZONES_NEARLY_FULL),
     ];
     let mut text = String::new();
-    for (name, scene) in scenes {
+    for (name, workload) in workloads {
         for seed in [1, 2] {
-            writeln!(text, "{name}, seed {seed}\n{}", trace(scene, seed)).unwrap();
+            writeln!(text, "{name}, seed {seed}\n{}", decisions(workload, seed)).unwrap();
         }
     }
     insta::assert_snapshot!(text);
 }
 
-/// How long a scheduling cycle's mappings take at these sizes. Not a check: run it in a release build,
-/// `cargo test --release -- --ignored --nocapture cost_of_a_mapping`.
+/// Measures how long packing and forecast take at these sizes; checks nothing. Run it in a release build:
+/// `cargo test --release -- --ignored --nocapture time_packing_and_forecast`.
 #[test]
 #[ignore = "a measurement"]
-fn cost_of_a_mapping() {
-    let scenes = [
+fn time_packing_and_forecast() {
+    let workloads = [
         ("two zones", &TWO_ZONES),
-        ("two zones, taken", &TWO_ZONES_TAKEN),
+        ("two zones, taken", &TWO_ZONES_NEARLY_FULL),
         ("four zones", &FOUR_ZONES),
-        ("four zones, taken", &FOUR_ZONES_TAKEN),
+        ("four zones, taken", &FOUR_ZONES_NEARLY_FULL),
     ];
-    for (name, scene) in scenes {
-        let (jobs, machines) = scene.draw(1);
+    for (name, workload) in workloads {
+        let (jobs, machines) = workload.generate(1);
         let rounds = 20;
-        let began = std::time::Instant::now();
+        let started_at = std::time::Instant::now();
         let mut machines_examined = 0;
         for _ in 0..rounds {
             machines_examined +=
                 pack(&jobs, &mut machines.clone(), unlimited(), 2, 400).machines_examined;
         }
-        let placing = began.elapsed() / rounds;
-        let began = std::time::Instant::now();
+        let packing_time = started_at.elapsed() / rounds;
+        let started_at = std::time::Instant::now();
         for _ in 0..rounds {
             machines_examined +=
                 forecast(&jobs, &machines, &QuotaHeadroom::default(), 2).machines_examined;
         }
-        let forecasting = began.elapsed() / rounds;
+        let forecast_time = started_at.elapsed() / rounds;
         println!(
-            "{name}: placing {placing:?}, forecast {forecasting:?}, steps {}",
+            "{name}: packing {packing_time:?}, forecast {forecast_time:?}, machines examined {}",
             machines_examined / u64::from(rounds)
         );
     }
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -8,7 +8,7 @@
 
 static NO_LIMITS: QuotaHeadroom = QuotaHeadroom::none();
 
-/// No team has a limit.
+/// Limits of a packing where no team has a quota.
 pub fn unlimited() -> packing::PackingLimits<'static> {
     packing::PackingLimits {
         headroom: &NO_LIMITS,
@@ -75,17 +75,18 @@
     }
 }
 
-fn show(jobs: &[JobSnapshot], machines: &[MachineSnapshot]) -> String {
-    let out = pack(jobs, &mut machines.to_vec(), unlimited(), 2, 1000);
+/// The starts that packing chooses and what the forecast expects, as text.
+fn describe_placement(jobs: &[JobSnapshot], machines: &[MachineSnapshot]) -> String {
+    let placement = pack(jobs, &mut machines.to_vec(), unlimited(), 2, 1000);
     let mut text = String::new();
-    for s in &out.starts {
+    for start in &placement.starts {
         text.push_str(&format!(
             "start {}/{} on {}\n",
-            jobs[s.job].id, s.task, machines[s.machine].name
+            jobs[start.job].id, start.task, machines[start.machine].name
         ));
     }
-    let out = forecast(jobs, machines, &QuotaHeadroom::default(), 2);
-    for (job, mapped) in jobs.iter().zip(&out.jobs) {
+    let predicted = forecast(jobs, machines, &QuotaHeadroom::default(), 2);
+    for (job, mapped) in jobs.iter().zip(&predicted.jobs) {
         text.push_str(&format!(
             "{}: {} of {} late\n",
             job.id, mapped.late, mapped.tasks
@@ -95,29 +96,29 @@
 }
 
 #[test]
-fn earliest_finish_counts_queue_fetch_and_boot() {
+fn earliest_completion_accounts_for_queueing_fetch_and_boot() {
     let machines = vec![machine("busy", 20.0, 4.0), machine("booting", 5.0, 2.0)];
     let jobs = vec![job("late", 2.0, 3, 50.0), job("easy", 1.0, 1, 500.0)];
-    insta::assert_snapshot!(show(&jobs, &machines), @r"
+    insta::assert_snapshot!(describe_placement(&jobs, &machines), @r"
     late: 1 of 3 late
     easy: 0 of 1 late
     ");
 }
 
 #[test]
-fn a_startup_task_passes_only_if_the_batch_head_stays_in_time() {
-    // `urgent` has had its startup tasks; `new` has not.
+fn a_startup_task_goes_first_only_if_the_batch_head_stays_in_time() {
+    // All startup tasks of `urgent` have been started, none of `new`.
     let mut urgent = job("urgent", 4.0, 1, 40.0);
     urgent.started = 2;
     let fresh = job("new", 4.0, 1, 400.0);
     let machines = vec![machine("one", 0.0, 4.0)];
     let jobs = vec![urgent.clone(), fresh.clone()];
-    let guarded = show(&jobs, &machines);
+    let blocked = describe_placement(&jobs, &machines);
     urgent.due = 100.0;
     let machines = vec![machine("one", 0.0, 4.0)];
     let jobs = vec![urgent, fresh];
-    let passing = show(&jobs, &machines);
-    insta::assert_snapshot!(format!("{guarded}---\n{passing}"), @r"
+    let passing = describe_placement(&jobs, &machines);
+    insta::assert_snapshot!(format!("{blocked}---\n{passing}"), @r"
     start urgent/0 on one
     urgent: 0 of 1 late
     new: 0 of 1 late
@@ -136,20 +137,20 @@
     let mut other = machine("b1", 0.0, 4.0);
     other.zone = 1;
     let apart = vec![machine("a1", 0.0, 4.0), other.clone()];
-    let unplaced = show(&[gang.clone()], &apart);
+    let unplaced = describe_placement(&[gang.clone()], &apart);
     let close = vec![machine("a1", 0.0, 4.0), other, machine("a2", 0.0, 4.0)];
-    let starts = show(&[gang], &close);
+    let starts = describe_placement(&[gang], &close);
     insta::assert_snapshot!(format!("{unplaced}---\n{starts}"));
 }
 
 #[test]
-fn spot_zone_spread_and_failed_machines_are_heeded() {
+fn placement_respects_spot_zone_spread_and_failed_machines() {
     let mut spot = machine("spot", 0.0, 8.0);
     spot.spot = true;
-    let mut picky = job("picky", 1.0, 4, 100.0);
-    picky.spot = false;
-    picky.most_in_zone = 2;
-    picky.avoid.insert("sick".into());
+    let mut constrained = job("picky", 1.0, 4, 100.0);
+    constrained.spot = false;
+    constrained.most_in_zone = 2;
+    constrained.avoid.insert("sick".into());
     let mut far = machine("far", 0.0, 8.0);
     far.zone = 1;
     let machines = vec![
@@ -158,39 +159,41 @@
         machine("near", 0.0, 8.0),
         far,
     ];
-    insta::assert_snapshot!(show(&[picky], &machines));
+    insta::assert_snapshot!(describe_placement(&[constrained], &machines));
 }
 
-/// A fleet played second by second: what was started ends, what arrives waits.
-struct Played {
+/// A fleet and its waiting jobs, simulated in steps of one second.
+struct SimulatedFleet {
     machines: Vec<MachineSnapshot>,
+    /// Jobs with waiting tasks, each with its arrival and the seconds within which it should start.
     jobs: Vec<(JobSnapshot, f64, f64)>,
+    /// Per job with a started task, its id and the seconds that it waited for the first start.
     started: Vec<(String, f64)>,
 }
 
-impl Played {
-    fn add(&mut self, mut view: JobSnapshot, now: f64, start_within: f64) {
-        view.due = start_within;
-        view.next_due = start_within;
-        view.due_milestone = Milestone::Start;
-        self.jobs.push((view, now, start_within));
+impl SimulatedFleet {
+    fn add(&mut self, mut snapshot: JobSnapshot, now: f64, start_within: f64) {
+        snapshot.due = start_within;
+        snapshot.next_due = start_within;
+        snapshot.due_milestone = Milestone::Start;
+        self.jobs.push((snapshot, now, start_within));
     }
 
-    fn second(&mut self, now: f64) {
+    fn step(&mut self, now: f64) {
         for machine in &mut self.machines {
             for slot in &mut machine.free_slots {
                 slot.at = (slot.at - 1.0).max(0.0);
             }
             machine.reservations.clear();
         }
-        let mut views: Vec<JobSnapshot> = self.jobs.iter().map(|j| j.0.clone()).collect();
-        for (view, (_, arrived, within)) in views.iter_mut().zip(&self.jobs) {
-            view.due = within.min(190.0) - (now - arrived);
-            view.next_due = view.due;
-            view.arrived = *arrived;
+        let mut jobs: Vec<JobSnapshot> = self.jobs.iter().map(|j| j.0.clone()).collect();
+        for (snapshot, (_, arrived, within)) in jobs.iter_mut().zip(&self.jobs) {
+            snapshot.due = within.min(190.0) - (now - arrived);
+            snapshot.next_due = snapshot.due;
+            snapshot.arrived = *arrived;
         }
-        let out = pack(&views, &mut self.machines, unlimited(), 2, 400);
-        for start in &out.starts {
+        let placement = pack(&jobs, &mut self.machines, unlimited(), 2, 400);
+        for start in &placement.starts {
             let job = &mut self.jobs[start.job];
             let waiting = job.0.waiting.iter().filter(|t| **t != start.task);
             job.0.waiting = Arc::new(waiting.copied().collect());
@@ -203,11 +206,11 @@
     }
 }
 
-/// Nothing starves: a large gang and a large array of low urgency get through a stream of small
-/// urgent work that would fill the fleet by itself, within four minutes.
+/// No job starves: a large gang and a large array of low urgency start within four minutes although a
+/// stream of small urgent jobs could fill the fleet by itself.
 #[test]
-fn a_large_gang_and_a_large_array_get_through_a_stream_of_urgent_work() {
-    let mut played = Played {
+fn a_large_gang_and_a_large_array_start_despite_a_stream_of_urgent_work() {
+    let mut fleet = SimulatedFleet {
         machines: (0..12)
             .map(|n| machine(&format!("m{n}"), 0.0, 16.0))
             .collect(),
@@ -222,23 +225,23 @@
             gang.one_zone = true;
             gang.duration = 90.0;
             gang.urgency = Urgency::BestEffort;
-            played.add(gang, 20.0, 100.0);
+            fleet.add(gang, 20.0, 100.0);
             let mut array = job("array", 1.0, 400, 0.0);
             array.urgency = Urgency::BestEffort;
-            played.add(array, 20.0, 100.0);
+            fleet.add(array, 20.0, 100.0);
         }
         let mut small = job(&format!("small-{now}"), 1.0, 8, 0.0);
         small.urgency = Urgency::Urgent;
         small.duration = 24.0;
-        played.add(small, f64::from(now), 10.0);
-        played.second(f64::from(now));
+        fleet.add(small, f64::from(now), 10.0);
+        fleet.step(f64::from(now));
     }
-    let wait = |id: &str| played.started.iter().find(|b| b.0 == id).map(|b| b.1);
-    let small: Vec<f64> = played
+    let wait = |id: &str| fleet.started.iter().find(|s| s.0 == id).map(|s| s.1);
+    let small: Vec<f64> = fleet
         .started
         .iter()
-        .filter(|b| b.0.starts_with("small"))
-        .map(|b| b.1)
+        .filter(|s| s.0.starts_with("small"))
+        .map(|s| s.1)
         .collect();
     let longest = small.iter().copied().fold(0.0, f64::max);
     let (gang, array) = (wait("gang").unwrap(), wait("array").unwrap());
@@ -253,9 +256,10 @@
     ");
 }
 
-/// Work follows what has room, not the fleet's size: counted in machines looked at.
+/// The cost of a packing, counted in examined machines, depends on the number of machines with free capacity
+/// and not on the fleet's size.
 #[test]
-fn placing_looks_at_machines_with_room_only() {
+fn packing_examines_only_machines_with_free_capacity() {
     let machines_examined = |fleet: usize| {
         let busy = |n| machine(&format!("m{n}"), 30.0, 16.0);
         let mut machines: Vec<MachineSnapshot> = (0..fleet).map(busy).collect();
@@ -270,15 +274,15 @@
     let (small, large) = (machines_examined(100), machines_examined(1000));
     assert!(
         large <= small * 2,
-        "{small} steps of 100 machines, {large} of 1000"
+        "machines examined: {small} in a fleet of 100, {large} in one of 1000"
     );
 }
 
-/// However many gangs wait, a forecast looks at the fleet for a bounded number of them: with some
-/// hundreds of them on a thousand machines it kept reports waiting for most of a second.
+/// A forecast searches the fleet for a bounded number of gangs, however many wait: with some hundreds of
+/// them and a thousand machines, one forecast delayed heartbeats for most of a second.
 #[test]
-fn a_forecast_is_bounded_whatever_waits() {
-    let foreseen = |gangs: usize| {
+fn forecast_cost_is_bounded_however_many_gangs_wait() {
+    let forecast_of = |gangs: usize| {
         let machines: Vec<MachineSnapshot> = (0..60)
             .map(|n| machine(&format!("m{n}"), 30.0, 16.0))
             .collect();
@@ -289,31 +293,39 @@
                 gang
             })
             .collect();
-        let out = super::forecast::forecast(&jobs, &machines, &QuotaHeadroom::default(), 2);
-        let tasks: u32 = out.jobs.iter().map(|m| m.tasks).sum();
-        let late: u32 = out.jobs.iter().map(|m| m.late).sum();
-        (out.machines_examined, tasks, late)
+        let predicted = super::forecast::forecast(&jobs, &machines, &QuotaHeadroom::default(), 2);
+        let tasks: u32 = predicted.jobs.iter().map(|j| j.tasks).sum();
+        let late: u32 = predicted.jobs.iter().map(|j| j.late).sum();
+        (predicted.machines_examined, tasks, late)
     };
-    let (some, many) = (foreseen(100), foreseen(600));
-    assert!(many.0 <= some.0, "{} and {} steps", some.0, many.0);
-    assert_eq!((some.1, many.1), (200, 1200), "all are counted");
+    let (some, many) = (forecast_of(100), forecast_of(600));
+    assert!(
+        many.0 <= some.0,
+        "machines examined: {} for 100 gangs, {} for 600",
+        some.0,
+        many.0
+    );
+    assert_eq!((some.1, many.1), (200, 1200), "every task is counted");
     assert!(
         many.2 > some.2 && many.2 <= many.1,
-        "those behind are late as well"
+        "gangs beyond the bound are late as well"
     );
 }
 
-/// Work of another cell starts nothing on protected machines and maps nothing there, however much room
-/// they have; the cell's own work does.
+/// Jobs of other cells are neither started on protected machines nor mapped to them by the forecast,
+/// however much capacity is free there; the cell's own jobs are.
 #[test]
-fn protected_machines_take_no_work_of_other_cells() {
+fn protected_machines_take_no_jobs_of_other_cells() {
     let machines = || vec![machine("vm-1", 0.0, 4.0)];
     let pool = machines()[0].pool();
     let own = job("job-1", 1.0, 2, 60.0);
     let mut other = job("job-2", 1.0, 2, 60.0);
     other.excluded_pools = Arc::new(BTreeSet::from([pool]));
-    for (index, view) in [own, other].into_iter().enumerate() {
-        let jobs = [JobSnapshot { index: 0, ..view }];
+    for (index, snapshot) in [own, other].into_iter().enumerate() {
+        let jobs = [JobSnapshot {
+            index: 0,
+            ..snapshot
+        }];
         let placed = packing::pack(&jobs, &mut machines(), unlimited(), 2, 100);
         let mapped = forecast::forecast(&jobs, &machines(), &QuotaHeadroom::default(), 2);
         let expected = if index == 0 { 2 } else { 0 };
