--- a/src/renting/forecast.rs
+++ b/src/renting/forecast.rs
@@ -199,8 +199,8 @@
         let counts = core.scaling.completion_counts.get(name);
         let counts = counts.copied().unwrap_or_default();
         DemandForecast {
-            late_now: counts.late,
-            counted_now: counts.counted,
+            late_now: counts.late_work,
+            counted_now: counts.finished_work,
             finished: counts.finished,
             startup_queue: startup_queues.get(name).copied().unwrap_or(0),
             ..DemandForecast::default()
--- a/src/renting/state.rs
+++ b/src/renting/state.rs
@@ -88,9 +88,9 @@
 pub struct CompletionCounts {
     pub finished: u32,
     /// Their work, by the part of a machine that each filled.
-    pub counted: f64,
+    pub finished_work: f64,
     /// The work of those that were late.
-    pub late: f64,
+    pub late_work: f64,
 }
 
 /// Weights of the past and of the last period in a smoothed rate.
--- a/src/workers/exits.rs
+++ b/src/workers/exits.rs
@@ -70,8 +70,8 @@
         .entry(machine_type)
         .or_default();
     counts.finished += 1;
-    counts.counted += share;
-    counts.late += if is_late { share } else { 0.0 };
+    counts.finished_work += share;
+    counts.late_work += if is_late { share } else { 0.0 };
 }
 
 /// Learns the ratio of a measured run time to the job's estimate.
