--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -1,6 +1,8 @@
-//! The cloud's protocol: its catalogue of machine types, renting and releasing machines, and the list of
-//! machines, which lags. It keeps no state and repeats no request; what is rented, and why, is decided
-//! elsewhere.
+//! Client of the cloud's API: reads the catalogue of machine types, rents and releases machines, and lists the
+//! rented machines. The list may be out of date.
+//!
+//! The client never retries a request and keeps no state besides its connections. `renting` decides what to
+//! rent and release.
 
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
@@ -9,16 +11,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for an answer.
+/// Time limit of a request, including its response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Most idle connections that are kept.
+/// Maximum number of idle connections to keep open.
 const MAX_IDLE_CONNECTIONS: usize = 3;
-/// Most machines of one request to release, by the protocol.
+/// Maximum number of machines in a release request, set by the protocol.
 pub const MAX_RELEASE_BATCH: usize = 100;
-/// Most machines of one answer to a listing, by the protocol.
+/// Maximum number of machines in a page of the list, set by the protocol.
 const LIST_PAGE_SIZE: usize = 500;
 
-/// A type of machine that the cloud offers.
+/// A machine type that the cloud offers.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct MachineType {
     #[serde(rename = "sku")]
@@ -28,21 +30,21 @@
     pub gpus: f64,
     #[serde(rename = "memGb")]
     pub memory_gb: f64,
-    /// Room for images.
+    /// Size of the image cache.
     #[serde(rename = "cacheGb", default)]
     pub cache_gb: f64,
     #[serde(rename = "fetchGbPerS", default)]
     pub fetch_gb_per_s: f64,
-    /// Price of an hour on demand.
+    /// On-demand price per hour.
     #[serde(rename = "hourly")]
     pub price: f64,
-    /// Price of an hour as a spot machine; 0 if there are none.
+    /// Spot price per hour; 0 if the type has no spot machines.
     #[serde(rename = "marketPrice", default)]
     pub spot_price: f64,
-    /// Seconds that a machine usually takes to boot.
+    /// Typical boot time in seconds.
     #[serde(rename = "bootS", default)]
     pub boot_s: f64,
-    /// The zones that offer it.
+    /// Zones that offer this type.
     #[serde(rename = "yards", default)]
     pub zones: Vec<String>,
 }
@@ -53,7 +55,7 @@
     machine_types: Vec<MachineType>,
 }
 
-/// A machine as the cloud lists it, which may be out of date.
+/// An entry of the cloud's list of machines, which may be out of date.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ListedMachine {
     #[serde(rename = "nameId")]
@@ -66,13 +68,14 @@
     pub spot: bool,
     /// `starting`, `running` or `failed`.
     pub stage: String,
-    /// Seconds from the rental request to the time that the list describes.
+    /// Seconds between the rental request and the time that the list describes.
     #[serde(rename = "ageS", default)]
     pub age_s: f64,
 }
 
 impl ListedMachine {
-    /// Whether it stopped by itself: nothing runs on it any more, and it stays listed until it is released.
+    /// Whether the machine stopped by itself. Nothing runs on it any more, and it stays in the list until it is
+    /// released.
     pub fn has_failed(&self) -> bool {
         self.stage == "failed"
     }
@@ -86,7 +89,8 @@
     more: bool,
 }
 
-/// A request for machines. The cloud carries out each name once, and answers repeats alike.
+/// A request to rent machines. The cloud executes a request of each name once, and gives the same answer to
+/// repeated ones.
 #[derive(Debug, Clone, Serialize)]
 pub struct RentalRequest<'a> {
     #[serde(rename = "hire")]
@@ -97,7 +101,7 @@
     pub zone: &'a str,
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// Machines wanted; fewer may be rented.
+    /// Number of machines requested; the cloud may rent fewer.
     #[serde(rename = "howMany")]
     pub count: u32,
 }
@@ -108,20 +112,21 @@
     names: Vec<String>,
 }
 
-/// Why a request to the cloud has no positive answer.
+/// Why a request to the cloud failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CloudError {
-    /// Nothing was rented, and nothing will be under this request.
-    #[error("no capacity")]
+    /// Nothing was rented, and nothing will be rented under this request.
+    #[error("no capacity for the requested machines")]
     NoCapacity,
-    /// The request, or the answer to a read, is not as the protocol has it.
-    #[error("malformed")]
+    /// The cloud rejected the request as malformed, or the response to a read could not be parsed.
+    #[error("malformed request or response")]
     Malformed,
-    /// Not executed: over the rate limit, or the cloud is in trouble. To be sent again.
-    #[error("refused")]
+    /// The request was not executed, for example because it exceeded the rate limit, the cloud has an outage, or
+    /// no connection could be made. It can be sent again.
+    #[error("request not executed")]
     NotExecuted,
-    /// It may have been executed, or may be yet. To be sent again under the same name.
-    #[error("no answer")]
+    /// The request may have been executed, or may still be. It must be sent again under the same name.
+    #[error("no valid response, the outcome is unknown")]
     OutcomeUnknown,
 }
 
@@ -134,13 +139,13 @@
     }
 }
 
-/// A client of the cloud.
+/// Client of the cloud's API.
 pub struct CloudClient {
     http: Client,
 }
 
 impl CloudClient {
-    /// A client of the cloud at an address; nothing is sent yet.
+    /// Creates a client of the cloud at an address, without connecting to it.
     pub fn new(addr: SocketAddr) -> Self {
         Self {
             http: Client::new(addr, MAX_IDLE_CONNECTIONS),
@@ -156,7 +161,7 @@
         Ok(self.http.call(method, path, body, CALL_TIMEOUT).await?)
     }
 
-    /// The body of a positive answer to a read.
+    /// Sends a GET request and returns the body of a successful response.
     async fn read(&self, path: &str) -> Result<Bytes, CloudError> {
         match self.call(Method::GET, path, Bytes::new()).await? {
             (StatusCode::OK, body) => Ok(body),
@@ -164,23 +169,23 @@
         }
     }
 
-    /// All machine types, with the prices of now.
+    /// Returns all machine types with their current prices.
     pub async fn catalog(&self) -> Result<Vec<MachineType>, CloudError> {
         let body = self.read("/catalog").await?;
         let catalog: Catalog = serde_json::from_slice(&body).map_err(|_| CloudError::Malformed)?;
         Ok(catalog.machine_types)
     }
 
-    /// Rents machines, and returns their names.
+    /// Rents machines and returns their names.
     pub async fn rent(&self, request: &RentalRequest<'_>) -> Result<Vec<String>, CloudError> {
         let body = serde_json::to_vec(request).expect("plain data");
         match self.call(Method::POST, "/rentals", body.into()).await? {
             (StatusCode::OK, body) => {
                 let rented: Result<MachineNames, _> = serde_json::from_slice(&body);
-                // Machines were rented whose names cannot be read: a repeat names them again.
+                // Machines were rented, but their names cannot be read. A repeated request returns them again.
                 Ok(rented.map_err(|_| CloudError::OutcomeUnknown)?.names)
             }
-            (StatusCode::SERVICE_UNAVAILABLE, body) if says_no_capacity(&body) => {
+            (StatusCode::SERVICE_UNAVAILABLE, body) if reports_no_capacity(&body) => {
                 Err(CloudError::NoCapacity)
             }
             (StatusCode::BAD_REQUEST, _) => Err(CloudError::Malformed),
@@ -188,8 +193,8 @@
         }
     }
 
-    /// Releases at most [`MAX_RELEASE_BATCH`] machines. By the time this returns `Ok`, they and all that ran
-    /// on them are gone.
+    /// Releases at most [`MAX_RELEASE_BATCH`] machines. When this returns `Ok`, the machines and everything that
+    /// ran on them are gone.
     pub async fn release(&self, names: Vec<String>) -> Result<(), CloudError> {
         let body = serde_json::to_vec(&MachineNames { names }).expect("plain data");
         let path = "/rentals/release";
@@ -199,7 +204,7 @@
         }
     }
 
-    /// All machines that the cloud lists, page by page.
+    /// Reads the cloud's list of machines page by page.
     pub async fn list(&self) -> Result<Vec<ListedMachine>, CloudError> {
         let mut machines: Vec<ListedMachine> = Vec::new();
         loop {
@@ -212,7 +217,7 @@
         }
     }
 
-    /// The page after a machine, or the first one.
+    /// Reads the page that follows a machine, or the first page.
     async fn list_page(&self, after: Option<&ListedMachine>) -> Result<MachinePage, CloudError> {
         let from = after.map_or_else(String::new, |machine| format!("from={}&", machine.name));
         let path = format!("/rentals?{from}limit={LIST_PAGE_SIZE}");
@@ -221,7 +226,7 @@
     }
 }
 
-/// Whether a 503 says that no such machines are to be had, rather than that the cloud is in trouble.
-fn says_no_capacity(body: &[u8]) -> bool {
+/// Whether a 503 response reports missing capacity rather than an outage of the cloud.
+fn reports_no_capacity(body: &[u8]) -> bool {
     String::from_utf8_lossy(body).contains("no capacity")
 }
