--- a/src/fleet/index.rs
+++ b/src/fleet/index.rs
@@ -1,13 +1,13 @@
-//! The rentals of the replica, and the index of their machines by name.
+//! The rentals of the replica, and an index of their machines by name.
 //!
-//! Changes may arrive late and in any order; the revisions of the keys order them.
+//! Changes may arrive late and in any order; key revisions determine which record is newer.
 
 use super::{MachinePool, MachineState, Rental, RentedMachine};
 use crate::membership::assignment::Member;
 use crate::state::records::Versioned;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
-/// A recorded machine, with what its rental says of it.
+/// A recorded machine, with the data of its rental.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Machine {
     /// The name of its rental.
@@ -33,30 +33,31 @@
     }
 }
 
-/// Names of released machines that are remembered at most, so that memory stays bounded.
-const MAX_RELEASED: usize = 8_000;
+/// Maximum number of released machines to remember, which bounds memory use.
+const MAX_REMEMBERED_RELEASES: usize = 8_000;
 
 /// All rentals, and their machines by name.
 #[derive(Debug, Default)]
 pub struct Fleet {
     pub rentals: BTreeMap<String, Versioned<Rental>>,
     pub machines: BTreeMap<String, Machine>,
-    /// Machines that recently left the records: the cloud's list and late heartbeats may still name them.
+    /// Machines that recently left the records. The cloud's list and late heartbeats may still name them.
     released: HashSet<String>,
+    /// The same machines, oldest release first.
     released_order: VecDeque<String>,
-    /// Machines whose record changed since `take_changed_machines` was last called.
+    /// Machines whose record changed since the last call of `take_changed_machines`.
     changed: Vec<String>,
 }
 
 impl Fleet {
-    /// Takes in a rental's record, unless the one held is as new.
+    /// Applies a rental's record, unless the current one is of the same or a newer revision.
     pub fn apply_put(&mut self, name: &str, record: Rental, revision: u64) {
-        let held = self.rentals.get(name);
-        if held.is_some_and(|held| held.revision >= revision) {
+        let current = self.rentals.get(name);
+        if current.is_some_and(|current| current.revision >= revision) {
             return;
         }
-        if let Some(held) = self.rentals.remove(name) {
-            for machine in held.record.machines {
+        if let Some(previous) = self.rentals.remove(name) {
+            for machine in previous.record.machines {
                 if !record.machines.iter().any(|m| m.name == machine.name) {
                     self.remove_machine(name, machine.name);
                 }
@@ -73,23 +74,24 @@
             .insert(name.to_owned(), Versioned { record, revision });
     }
 
-    /// Takes in that a rental's record was deleted, unless the one held is as new.
+    /// Applies the deletion of a rental's record, unless the current record is of the same or a newer revision.
     pub fn apply_delete(&mut self, name: &str, revision: u64) {
-        let held = self.rentals.get(name);
-        if held.is_none_or(|held| held.revision >= revision) {
+        let current = self.rentals.get(name);
+        if current.is_none_or(|current| current.revision >= revision) {
             return;
         }
-        if let Some(held) = self.rentals.remove(name) {
-            for machine in held.record.machines {
+        if let Some(previous) = self.rentals.remove(name) {
+            for machine in previous.record.machines {
                 self.remove_machine(name, machine.name);
             }
         }
     }
 
-    /// A machine left a rental's record: it is released, unless another record has it by now.
+    /// Removes a machine that left a rental's record and remembers it as released, unless another record has it
+    /// by now.
     fn remove_machine(&mut self, rental: &str, machine: String) {
-        let held = self.machines.get(&machine);
-        if held.is_some_and(|held| held.rental != rental) {
+        let current = self.machines.get(&machine);
+        if current.is_some_and(|current| current.rental != rental) {
             return;
         }
         self.machines.remove(&machine);
@@ -102,20 +104,20 @@
             return;
         }
         self.released_order.push_back(machine);
-        if self.released_order.len() > MAX_RELEASED
+        if self.released_order.len() > MAX_REMEMBERED_RELEASES
             && let Some(oldest) = self.released_order.pop_front()
         {
             self.released.remove(&oldest);
         }
     }
 
-    /// Whether the machine was released as far as this process knows.
+    /// Whether this process knows that the machine was released.
     pub fn was_released(&self, machine: &str) -> bool {
         self.released.contains(machine)
     }
 
-    /// Drops all records before they are listed again. That a machine was released never changes, so it
-    /// stays known.
+    /// Drops all records before they are listed again. Released machines stay remembered, because a release is
+    /// never undone.
     pub fn clear_for_reload(&mut self) {
         let released = std::mem::take(&mut self.released);
         let released_order = std::mem::take(&mut self.released_order);
@@ -128,7 +130,7 @@
         };
     }
 
-    /// The machines whose record changed since the last call.
+    /// Returns the machines whose record changed since the last call.
     pub fn take_changed_machines(&mut self) -> Vec<String> {
         std::mem::take(&mut self.changed)
     }
@@ -141,9 +143,9 @@
             .map(|(name, rental)| (name, &rental.record))
     }
 
-    /// The rentals that `machines` belong to, each machine changed by `change`, which returns false for a
-    /// machine that leaves the record. The records held here stay as they are; the revisions are those
-    /// under which the changes may be written.
+    /// Returns copies of the rentals that `machines` belong to, with `change` applied to each of these machines.
+    /// A machine for which `change` returns false is removed from its copy. The index itself does not change;
+    /// the returned revisions are the preconditions for writing the copies.
     pub fn with_machines_changed<'a>(
         &self,
         machines: impl IntoIterator<Item = &'a str>,
@@ -154,12 +156,12 @@
             let Some(machine) = self.machines.get(name) else {
                 continue;
             };
-            let Some(held) = self.rentals.get(&machine.rental) else {
+            let Some(current) = self.rentals.get(&machine.rental) else {
                 continue;
             };
             let rental = changed
                 .entry(machine.rental.clone())
-                .or_insert_with(|| held.clone());
+                .or_insert_with(|| current.clone());
             let machines = &mut rental.record.machines;
             if let Some(index) = machines.iter().position(|m| m.name == name)
                 && !change(&mut machines[index])
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,11 +1,12 @@
-//! The rented machines as the durable records describe them.
+//! Rented machines, as described by the durable rental records.
 //!
-//! A record covers a whole rental and names the owner and the fencing token of each of its machines. So a
-//! thousand boots, or a takeover, cost one put per rental rather than one per machine, and the
-//! preconditions of a page's write name rentals, of which there are few.
+//! A record covers a whole rental and holds the owner and the fencing token of each of its machines. Booting a
+//! thousand machines, or taking over a controller's machines, therefore costs one put per rental instead of one
+//! per machine. The preconditions of a page write refer to rentals for the same reason: there are far fewer of
+//! them than machines.
 //!
-//! This module holds the records and derives the index of machines from them. It does not decide which
-//! machines to rent, to release or to move, and it does not write records; `renting` and `membership` do.
+//! This module defines the records and derives an index of machines from them. `renting` and `membership` decide
+//! which machines to rent, release or reassign, and write the records.
 
 mod index;
 mod rental;
@@ -13,23 +14,23 @@
 pub use index::{Fleet, Machine};
 pub use rental::{Rental, RentalPart, RentedMachine, max_machines_per_rental, split_to_fit};
 
-/// What may be done with a machine. The states follow each other in this order and never go back.
+/// Lifecycle state of a machine. It only advances, in the order of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MachineState {
-    /// Tasks may be placed on it.
+    /// Tasks may be placed on the machine.
     Active,
-    /// No further task is placed on it; it is released when it is empty.
+    /// No more tasks are placed on the machine, and it is released once it is empty.
     Draining,
-    /// Its release was decided and may be sent at any time.
+    /// The release is decided, and the request to the cloud may be sent at any time.
     Releasing,
 }
 
-/// Machines that are alike to the cloud: the unit of its offers.
+/// A group of machines that the cloud treats as interchangeable: one type, in one zone, spot or on-demand.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MachinePool {
     pub machine_type: String,
     pub zone: String,
-    /// Whether these are spot machines, which the cloud may take back.
+    /// Whether these are spot machines, which the cloud may preempt.
     pub spot: bool,
 }
 
--- a/src/fleet/rental.rs
+++ b/src/fleet/rental.rs
@@ -1,6 +1,6 @@
-//! The durable record of a rental: its JSON, and how many machines fit one.
+//! The durable record of a rental: its JSON format, and how many machines fit into one record.
 //!
-//! The JSON is read by controllers of other versions, so its fields keep their names and their order.
+//! Controllers of other versions read this JSON, so the names and the order of its fields must not change.
 
 use super::{MachinePool, MachineState};
 use crate::membership::assignment::Member;
@@ -13,28 +13,28 @@
     pub name: String,
     /// The controller that places tasks on it.
     pub owner: Member,
-    /// Rises with each change of owner, under the precondition of the rental's key: any answer that an
-    /// earlier owner still sends carries a lower token, and the worker discards it.
+    /// Increases with each change of owner, which is written under a precondition on the rental's key. A worker
+    /// discards responses from earlier owners because they carry a lower token.
     pub fencing_token: u64,
     pub state: MachineState,
 }
 
-/// A request to the cloud for machines of one pool, and the machines that it got. It is recorded before the
-/// request is sent, with no machines.
+/// A request to the cloud for machines of one pool, and the machines received for it. It is recorded without
+/// machines before the request is sent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(from = "RentalRecord", into = "RentalRecord")]
 pub struct Rental {
     pub pool: MachinePool,
-    /// Machines requested.
+    /// Number of machines requested.
     pub count: u32,
-    /// When they were requested, in milliseconds since the Unix epoch.
+    /// Time of the request, in milliseconds since the Unix epoch.
     pub requested_ms: u64,
-    /// The cloud has not answered the request yet.
+    /// Whether the cloud has not answered the request yet.
     pub unconfirmed: bool,
     pub machines: Vec<RentedMachine>,
 }
 
-/// A rental as it is written: each owner once, and machines that name their owner by its index.
+/// Stored form of a rental. It lists each owner once, and machines refer to their owner by its index.
 #[derive(Clone, Serialize, Deserialize)]
 struct RentalRecord {
     #[serde(rename = "kind")]
@@ -54,7 +54,7 @@
 #[derive(Clone, PartialEq, Default, Serialize, Deserialize)]
 struct OwnerRecord(String, u64);
 
-/// `[name, index of the owner, fencing token, number of the state]` of a machine.
+/// `[name, index of the owner, fencing token, state number]` of a machine.
 #[derive(Clone, Serialize, Deserialize)]
 struct MachineRecord(String, usize, u64, u8);
 
@@ -69,7 +69,7 @@
 }
 
 impl From<u8> for MachineState {
-    /// A number that this version does not know is taken for the last state: nothing is placed on the
+    /// Maps a number that this version does not know to the last state, so that nothing is placed on the
     /// machine.
     fn from(number: u8) -> Self {
         match number {
@@ -93,7 +93,7 @@
 }
 
 impl From<RentalRecord> for Rental {
-    /// An owner's index beyond the list stands for a controller without a name, which is never present.
+    /// Maps an owner index beyond the list to a controller with an empty name, which is never present.
     fn from(record: RentalRecord) -> Self {
         let owners = record.owners;
         let machines = record.machines.into_iter();
@@ -151,35 +151,36 @@
     }
 }
 
-/// The cloud's own limit on the machines of one request.
+/// Maximum number of machines per request, set by the cloud.
 const MAX_MACHINES_PER_REQUEST: usize = 50;
-/// Bytes that a machine takes at most in its rental's record, its share of the list of owners included:
-/// names in the protocols are short, and this leaves room for longer ones.
+/// Upper bound on the bytes that a machine takes in its rental's record, including its share of the list of
+/// owners. Names in the protocols are short; the bound leaves room for longer ones.
 const MAX_MACHINE_BYTES: usize = 140;
-/// Bytes that the rest of the record takes at most.
+/// Upper bound on the bytes of the rest of the record.
 const MAX_HEADER_BYTES: usize = 700;
 
-/// Machines that one rental may ask for, so that its record fits a value of the state service whatever
-/// happens to each of them.
+/// The largest number of machines that one rental may request. Its record then fits into a value of the state
+/// service whatever the owners and states of its machines are.
 pub fn max_machines_per_rental(max_value_bytes: usize) -> usize {
     let machine_bytes = max_value_bytes.saturating_sub(MAX_HEADER_BYTES);
     (machine_bytes / MAX_MACHINE_BYTES).clamp(1, MAX_MACHINES_PER_REQUEST)
 }
 
-/// A record to be written in place of a rental, or of a part of it.
+/// A record that replaces a rental or holds a part of it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RentalPart {
-    /// The rental's name, from which its key is made.
+    /// The rental's name, from which its key is derived.
     pub name: String,
-    /// The record, and the revision that its key must still have: 0 if the key must not exist.
+    /// The record, and the revision that its key must have: 0 if the key must not exist.
     pub rental: Versioned<Rental>,
 }
 
-/// Divides a rental into as few parts as its record's size allows. A record that was written under a higher
-/// limit on values would be refused for ever, and its machines could never change owner again.
+/// Splits a rental into the fewest parts whose records fit into `max_value_bytes`. A record that was written
+/// under a higher value limit would otherwise be refused forever, and its machines could never change owner
+/// again.
 ///
-/// The first part keeps the rental's name and revision; the others are new, under names that the revision
-/// makes unique. If not even single machines fit, the rental is returned whole.
+/// The first part keeps the rental's name and revision. The other parts are new records, whose names contain the
+/// revision to be unique. If not even single machines fit, the rental is returned whole.
 pub fn split_to_fit(
     name: &str,
     rental: Versioned<Rental>,
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// A record that does not fit is refused for ever: under any limit on values, a rental asks for no more
+/// A record above the value limit is refused forever. Under any value limit, a rental must not request more
 /// machines than its record has room for.
 #[test]
 fn a_rental_fits_its_record_under_any_limit_on_values() {
@@ -47,8 +47,8 @@
     ");
 }
 
-/// Rentals are merged in one transaction, whose changes may arrive in any order: a machine that seemed
-/// released for a moment would have its tasks placed again.
+/// Rentals are merged in one transaction, whose changes may be applied in any order. The tasks of a machine that
+/// appeared to be released in between would be placed again.
 #[test]
 fn a_merged_rental_keeps_its_machines_in_any_order_of_changes() {
     let (mut small, mut other) = (rental(1, 4), rental(1, 4));
@@ -73,8 +73,8 @@
     }
 }
 
-/// A rental of fifty machines from before the limit fell to 1 KiB changes owner in parts, and stays
-/// whole in the replica whichever part arrives first.
+/// A rental of 50 machines that no longer fits into a record, because the value limit fell, is written in parts.
+/// The replica keeps all its machines whichever part arrives first.
 #[test]
 fn a_rental_too_large_for_its_record_is_written_in_parts() {
     let mut old = rental(50, 9);
