--- a/src/renting/decide.rs
+++ b/src/renting/decide.rs
@@ -1,8 +1,8 @@
-//! The leader's decisions: the periodic policy at each provisioning event, and the remedial policy between
-//! them. Both leave requests in `ScalingState`, which `provision` and `release` act on.
+//! The leader's scaling decisions: the periodic policy at each provisioning event, and the remedial policy
+//! between events. Both add requests to `ScalingState`, which `provision` and `release` carry out.
 
 use super::rules::{
-    ScalingDecision, k_for_amount_of_work, periodic, remedial, scale_in_candidates,
+    ScalingDecision, min_k_for_workload, periodic_policy, remedial_policy, scale_in_candidates,
 };
 use super::state::{ScaleOutRequest, Substitute};
 use super::summary::{DemandForecast, IdleMachine};
@@ -14,14 +14,15 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// The largest k that arrivals give: beyond it the machines that late tasks would fill are the limit anyway.
+/// Upper bound on the k that is derived from arrival rates. With a larger k, the machines that late tasks would
+/// fill limit the result anyway.
 const MAX_K: f64 = 20.0;
-/// Periods for which a forecast is acted on.
+/// Age in periods after which a forecast is ignored.
 const FORECAST_LIFETIME_PERIODS: f64 = 2.5;
-/// Seconds for which a forecast is acted on at least, also where periods are short.
+/// Lower bound on that age in seconds, for short periods.
 const MIN_FORECAST_LIFETIME_S: f64 = 15.0;
 
-/// The forecasts of the controllers that are present, summed by machine type.
+/// Sums the recent forecasts of the present controllers by machine type.
 pub(super) fn sum_forecasts(
     node: &Node,
     core: &Core,
@@ -34,7 +35,7 @@
             continue;
         };
         if age_s(summary.record.at_ms, now_ms) > max_age_s {
-            continue; // from before the controller restarted, or it could not publish: too old to act on
+            continue; // too old: made before the controller restarted, or the controller cannot publish
         }
         for (machine_type, forecast) in &summary.record.by_machine_type {
             sums.entry(machine_type.clone()).or_default().add(forecast);
@@ -43,7 +44,7 @@
     sums
 }
 
-/// What the operators' expressions may name of a machine type; none if the catalog does not have it.
+/// The facts about a machine type that operators' expressions may refer to; `None` if the catalog lacks the type.
 pub(super) fn machine_type_facts<'a>(
     core: &Core,
     name: &'a str,
@@ -62,7 +63,7 @@
     })
 }
 
-/// A provisioning event (algorithm 1): for each machine type the leader rents, releases or holds.
+/// Handles a provisioning event (algorithm 1): decides for each machine type whether to rent, release or hold.
 pub fn apply_periodic_policy(node: &Node, core: &mut Core, now_ms: u64) {
     for (machine_type, forecast) in sum_forecasts(node, core, now_ms) {
         let Some(facts) = machine_type_facts(core, &machine_type, &forecast) else {
@@ -70,7 +71,8 @@
         };
         match decide_periodic(node, core, &facts, &forecast) {
             ScalingDecision::ScaleOut(machines) => {
-                // Booting machines took part in the forecast: what is late is late despite them.
+                // Booting machines are not subtracted: the forecast already counts on them, so work that is late is
+                // late despite them.
                 let count = machines.min(forecast.wanted_machines.ceil() as u32);
                 if count > 0 {
                     let request = scale_out_request(node, core, &facts, &forecast, count);
@@ -98,9 +100,9 @@
     let parameters = node.policy.scaling_parameters(facts);
     let rate = core.scaling.arrival_rates.get(facts.machine_type);
     let rate = rate.copied().unwrap_or_default();
-    let k_of_arrivals = rate.arrivals_per_completion().clamp(1.0, MAX_K);
-    let k = k_of_arrivals.max(k_for_amount_of_work(forecast, &parameters));
-    let decision = periodic(forecast, &parameters, k);
+    let arrivals_k = rate.arrivals_per_completion().clamp(1.0, MAX_K);
+    let k = arrivals_k.max(min_k_for_workload(forecast, &parameters));
+    let decision = periodic_policy(forecast, &parameters, k);
     tracing::info!(
         machine_type = facts.machine_type,
         miss_rate_now = forecast.miss_rate_now(),
@@ -117,7 +119,7 @@
     decision
 }
 
-/// The idle machines to drain, of those that the operators allow to be released.
+/// Selects the idle machines to drain, among those that operators allow to be released.
 fn machines_to_drain(
     node: &Node,
     core: &Core,
@@ -144,7 +146,7 @@
     names.collect()
 }
 
-/// Whether operators protect a machine now: it is not drained by choice.
+/// Whether operators currently protect a machine from being drained to scale in.
 fn is_protected(node: &Node, core: &Core, machine: &Machine, now_ms: u64) -> bool {
     let pool = &machine.pool;
     core.machine_type(&pool.machine_type)
@@ -153,8 +155,8 @@
         })
 }
 
-/// Between provisioning events: rents by the length of the startup queue (equation 2), at most once a period
-/// for each machine type.
+/// Requests machines between provisioning events, by the length of the startup queue (equation 2), at most once
+/// per period for each machine type.
 pub fn apply_remedial_policy(node: &Node, core: &mut Core, now: Instant, now_ms: u64) {
     let period = Duration::from_secs_f64(node.policy.period_s);
     for (machine_type, forecast) in sum_forecasts(node, core, now_ms) {
@@ -167,7 +169,7 @@
         };
         let expected = forecast.booting + requested_machines(core, &machine_type);
         let parameters = node.policy.scaling_parameters(&facts);
-        let count = remedial(forecast.startup_queue, expected, &parameters);
+        let count = remedial_policy(forecast.startup_queue, expected, &parameters);
         if count == 0 {
             continue;
         }
@@ -192,7 +194,8 @@
         .sum()
 }
 
-/// A request for `count` machines; what the late tasks allow decides how many may be spot machines.
+/// Creates a request for `count` machines. The share that may be spot machines is the share of late work that
+/// may run on them.
 fn scale_out_request(
     node: &Node,
     core: &Core,
@@ -220,7 +223,7 @@
     }
 }
 
-/// Another machine type as a substitute, if one of its offers costs no more than `max_price` an hour.
+/// Returns a machine type as a substitute if its spot or on-demand price per hour is at most `max_price`.
 fn substitute(machine_type: &MachineType, max_price: f64, count: u32) -> Option<Substitute> {
     let lowest_price = if machine_type.spot_price > 0.0 {
         machine_type.spot_price.min(machine_type.price)
--- a/src/renting/mod.rs
+++ b/src/renting/mod.rs
@@ -1,10 +1,10 @@
-//! Elastic scaling: when machines are rented and released, by the provisioning policies of the CVSS paper
-//! (section V), per machine type.
+//! Elastic scaling: rents and releases machines of each type by the provisioning policies of the CVSS paper
+//! (section V).
 //!
-//! Each controller predicts the deadline misses of its own tasks once a period and publishes a summary
-//! (`forecast`). The leader adds the summaries up and decides (`rules`, `decide`); it records and sends
-//! rentals (`provision`, `rental`) and keeps the records in line with the cloud's list (`cloud_list`). Each
-//! controller releases the machines that it owns (`release`). Placing tasks is not done here.
+//! Once per period, each controller predicts the deadline misses of its own tasks and publishes a summary
+//! (`forecast`). The leader sums the summaries and decides (`rules`, `decide`). It records and sends rentals
+//! (`provision`, `rental`) and reconciles the records with the cloud's list (`cloud_list`). Each controller
+//! releases the machines that it owns (`release`). `placement` places tasks on the machines.
 
 mod cloud_list;
 mod decide;
--- a/src/renting/service.rs
+++ b/src/renting/service.rs
@@ -1,5 +1,5 @@
-//! The loop of scaling: publishes this controller's forecast, releases its machines, and does the leader's
-//! business with the cloud.
+//! The scaling loop: publishes this controller's forecast and releases its machines. On the leader, it also
+//! applies the provisioning policies, rents machines and reconciles the records with the cloud's list.
 
 use super::cloud_list::reconcile_with_cloud_list;
 use super::decide::{apply_periodic_policy, apply_remedial_policy, sum_forecasts};
@@ -15,46 +15,46 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Pause between two rounds of the loop.
-const ROUND_PAUSE: Duration = Duration::from_millis(500);
-/// How often the cloud's catalog is fetched again.
+/// Pause between two iterations of the loop.
+const ITERATION_PAUSE: Duration = Duration::from_millis(500);
+/// Interval at which the cloud's catalog is fetched.
 const CATALOG_INTERVAL: Duration = Duration::from_secs(30);
-/// The shortest interval at which the leader reads the cloud's list, in seconds.
+/// Shortest interval at which the leader reads the cloud's list, in seconds.
 const MIN_LIST_INTERVAL_S: f64 = 3.0;
 
-/// Runs until the process ends. Every controller fetches the catalog, which it needs to check submissions.
+/// Runs until the process ends. Every controller fetches the catalog, because it needs it to check submissions.
 pub async fn run(node: Arc<Node>) {
-    let mut last_catalog: Option<Instant> = None;
-    let mut last_list: Option<Instant> = None;
+    let mut catalog_fetched_at: Option<Instant> = None;
+    let mut list_read_at: Option<Instant> = None;
     let list_lag_s = node.settings.params.cloud.list_lag_s;
     let list_interval = Duration::from_secs_f64(list_lag_s.max(MIN_LIST_INTERVAL_S));
     loop {
-        if last_catalog.is_none_or(|at| at.elapsed() > CATALOG_INTERVAL)
+        if catalog_fetched_at.is_none_or(|at| at.elapsed() > CATALOG_INTERVAL)
             && let Ok(machine_types) = node.cloud.catalog().await
         {
             node.core().machine_types = machine_types;
-            last_catalog = Some(Instant::now());
+            catalog_fetched_at = Some(Instant::now());
             node.wake_up.notify_one();
         }
         publish_forecast(&node).await;
         release_machines(&node).await;
         if let Some(leader_revision) = membership::leader_revision(&node) {
-            decide(&node);
+            apply_policies(&node);
             merge_rentals(&node, leader_revision).await;
             record_draining(&node, leader_revision).await;
             retry_rentals(&node, leader_revision).await;
             provision(&node, leader_revision).await;
-            if last_list.is_none_or(|at| at.elapsed() > list_interval) {
-                last_list = Some(Instant::now());
+            if list_read_at.is_none_or(|at| at.elapsed() > list_interval) {
+                list_read_at = Some(Instant::now());
                 reconcile_with_cloud_list(&node, leader_revision).await;
             }
         }
-        tokio::time::sleep(ROUND_PAUSE).await;
+        tokio::time::sleep(ITERATION_PAUSE).await;
     }
 }
 
-/// Publishes the pending forecast, if there is one. If the write fails, this forecast is dropped and the next
-/// one follows.
+/// Publishes the pending forecast, if there is one. A forecast that cannot be written is dropped; the next one
+/// replaces it.
 async fn publish_forecast(node: &Arc<Node>) {
     let Some(mut record) = node.core().scaling.pending_forecast.take() else {
         return;
@@ -73,8 +73,8 @@
     }
 }
 
-/// The leader's decisions of this round.
-fn decide(node: &Node) {
+/// Applies the provisioning policies. Called on the leader only.
+fn apply_policies(node: &Node) {
     let _charge = node.processor_time.charge(CpuAccount::Scaling);
     let (now, now_ms) = (Instant::now(), wall_ms());
     let mut core = node.core();
@@ -87,14 +87,14 @@
     apply_remedial_policy(node, &mut core, now, now_ms);
 }
 
-/// Before anything was submitted there is nothing to decide on: the first provisioning event comes with the
-/// first forecasts, not a period later.
+/// Whether there is any work or machine to decide on. The first provisioning event waits for it: an event
+/// before the first forecasts with work would delay the decision on them by a period.
 fn has_demand_or_machines(node: &Node, core: &Core, now_ms: u64) -> bool {
     let forecasts = sum_forecasts(node, core, now_ms);
     forecasts.values().any(DemandForecast::has_work) || !core.replica.fleet.machines.is_empty()
 }
 
-/// The precondition that this controller still leads under the revision with which it was elected.
+/// The precondition that this controller is still the leader, under the revision with which it was elected.
 pub(super) fn leadership_precondition(leader_revision: u64) -> Precondition {
     Precondition {
         key: RecordKey::Leader.into(),
--- a/src/renting/state.rs
+++ b/src/renting/state.rs
@@ -1,4 +1,4 @@
-//! What a controller keeps in memory for scaling. None of it is durable: a new leader starts afresh.
+//! In-memory state of a controller for scaling. It is not durable: a new leader starts with empty state.
 
 use super::release_decision::ReleaseReason;
 use super::summary::ForecastSummaryRecord;
@@ -6,38 +6,38 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
 
-/// The state of scaling in this controller; what only the leader uses is marked so.
+/// Scaling state of this controller. Fields marked "Leader" are used on the leader only.
 pub struct ScalingState {
-    /// When this controller makes its next forecast.
+    /// When the next periodic forecast of this controller is due.
     pub next_forecast: Instant,
-    /// Leader: when it next decides by the periodic policy; none before the first event.
+    /// Leader: when the periodic policy is applied next; `None` before the first provisioning event.
     pub next_provisioning_event: Option<Instant>,
-    /// Leader: when the remedial policy last rented, by machine type.
+    /// Leader: when the remedial policy last requested machines, by machine type.
     pub last_remedial: HashMap<String, Instant>,
-    /// Leader: machines to be rented.
+    /// Leader: requests for machines that have not been sent to the cloud.
     pub scale_out_requests: Vec<ScaleOutRequest>,
     /// Machines whose release is in progress.
     pub releasing: BTreeMap<String, ReleaseReason>,
     /// Machines to be recorded as draining.
     pub to_drain: Vec<String>,
-    /// Pools that the cloud had no capacity in, and until when they are not asked for.
+    /// Pools in which the cloud had no capacity, with the time until which they are not requested again.
     pub exhausted_pools: HashMap<MachinePool, Instant>,
-    /// What finished since the last event, by machine type.
+    /// Tasks that finished since this controller's last periodic forecast, by machine type.
     pub completion_counts: HashMap<String, CompletionCounts>,
-    /// By machine type, over the whole fleet.
+    /// Arrival and completion rates over all controllers, by machine type.
     pub arrival_rates: HashMap<String, ArrivalRate>,
-    /// Rentals recorded by this process, for their names.
+    /// Number of rentals that this process has named; part of their names.
     pub rental_count: u32,
     /// Leader: when it last looked for small rentals to merge.
     pub last_merge: Option<Instant>,
-    /// The forecast to be published.
+    /// The forecast to publish next.
     pub pending_forecast: Option<ForecastSummaryRecord>,
-    /// The forecast published last, and when.
+    /// When the last forecast was published, and that forecast.
     pub published_forecast: Option<(Instant, ForecastSummaryRecord)>,
 }
 
 impl ScalingState {
-    /// The state of a controller that starts at `now`; its first forecast is due at once.
+    /// Creates the state of a controller that starts at `now`. Its first forecast is due at once.
     pub fn new(now: Instant) -> Self {
         Self {
             next_forecast: now,
@@ -56,26 +56,26 @@
         }
     }
 
-    /// Whether the cloud recently had no capacity in some pool.
+    /// Whether the cloud recently had no capacity in at least one pool.
     pub fn has_exhausted_pool(&self, now: Instant) -> bool {
         self.exhausted_pools.values().any(|until| *until > now)
     }
 }
 
-/// Machines of a type to be rented.
+/// A request to rent machines of one type.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScaleOutRequest {
     pub machine_type: String,
     pub count: u32,
-    /// How many of them may be spot machines.
+    /// Maximum number of spot machines among them.
     pub max_spot: u32,
-    /// None of them may be an on-demand machine.
+    /// Whether only spot machines may be rented.
     pub spot_only: bool,
-    /// What may be rented instead if the cloud has no more of the type.
+    /// What may be rented instead if the cloud has no more machines of the type.
     pub substitutes: Vec<Substitute>,
 }
 
-/// Machines of another type that late work may run on too.
+/// Machines of another type that can also run the late work.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Substitute {
     pub machine_type: String,
@@ -83,13 +83,13 @@
     pub spot_only: bool,
 }
 
-/// Tasks finished since the last provisioning event.
+/// Counts of tasks that finished since a controller's last periodic forecast.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CompletionCounts {
     pub finished: u32,
-    /// Their work, by the part of a machine that each filled.
+    /// Amount of their work: the sum of the fractions of a machine that they filled.
     pub finished_work: f64,
-    /// The work of those that were late.
+    /// Amount of work of those tasks that were late.
     pub late_work: f64,
 }
 
@@ -97,7 +97,7 @@
 const PAST_WEIGHT: f64 = 0.7;
 const PERIOD_WEIGHT: f64 = 0.3;
 
-/// Smoothed tasks per period.
+/// Exponentially smoothed numbers of tasks per period.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ArrivalRate {
     arrivals: f64,
@@ -106,19 +106,19 @@
 }
 
 impl ArrivalRate {
-    /// Takes in the tasks of a period.
+    /// Adds the numbers of tasks of one period.
     pub fn record_period(&mut self, arrived: u32, finished: u32) {
         self.arrivals_before_last_period = self.arrivals;
         self.arrivals = smoothed(self.arrivals, arrived);
         self.completions = smoothed(self.completions, finished);
     }
 
-    /// Arrivals per period as they were before the last one: what is usual.
+    /// Usual arrivals per period: the smoothed rate without the last period.
     pub fn usual_arrivals(&self) -> f64 {
         self.arrivals_before_last_period
     }
 
-    /// Arrivals per completion, the paper's coefficient k "based on the arrival rate" (algorithm 1).
+    /// Arrivals per completion. This is the paper's coefficient k, "based on the arrival rate" (algorithm 1).
     pub fn arrivals_per_completion(&self) -> f64 {
         self.arrivals / self.completions.max(1.0)
     }
--- a/src/renting/tests.rs
+++ b/src/renting/tests.rs
@@ -1,9 +1,8 @@
-use super::rules::{ScalingDecision, k_for_amount_of_work, periodic, remedial};
+use super::rules::{ScalingDecision, min_k_for_workload, periodic_policy, remedial_policy};
 use super::summary::DemandForecast;
 use crate::policy::ScalingParameters;
 
-/// The text of a decision in the snapshot, which was taken with earlier names: it shows that the decisions are
-/// the same.
+/// Formats a decision with the variant names that the stored snapshot contains.
 fn trace_decision(decision: ScalingDecision) -> String {
     match decision {
         ScalingDecision::ScaleOut(machines) => format!("Rent({machines})"),
@@ -41,19 +40,19 @@
         ((3, 10), (0, 10), 1.0),
         ((0, 0), (0, 0), 1.0),
     ] {
-        let decision = trace_decision(periodic(&forecast(now, next), &parameters, k));
+        let decision = trace_decision(periodic_policy(&forecast(now, next), &parameters, k));
         trace.push_str(&format!("now {now:?} next {next:?} k {k} -> {decision}\n"));
     }
     for counted in [10, 100, 1000] {
         let work = forecast((0, counted), (counted / 4, counted));
-        let k = k_for_amount_of_work(&work, &parameters).max(1.0);
-        let decision = trace_decision(periodic(&work, &parameters, k));
+        let k = min_k_for_workload(&work, &parameters).max(1.0);
+        let decision = trace_decision(periodic_policy(&work, &parameters, k));
         trace.push_str(&format!(
             "a quarter late of {counted}, k {k} -> {decision}\n"
         ));
     }
     for (startup, booting) in [(0, 0), (1, 0), (2, 0), (3, 0), (16, 0), (16, 5), (16, 9)] {
-        let n = remedial(startup, booting, &parameters);
+        let n = remedial_policy(startup, booting, &parameters);
         trace.push_str(&format!(
             "startup {startup} booting {booting} -> rent {n}\n"
         ));
