--- a/src/renting/machine_writes.rs
+++ b/src/renting/machine_writes.rs
@@ -1,4 +1,4 @@
-//! Writes changes of machines to the records of their rentals.
+//! Writes changes of machines to their rental records.
 
 use crate::fleet::{RentalPart, RentedMachine, split_to_fit};
 use crate::node::{Core, Node};
@@ -12,12 +12,12 @@
 struct MachineTransaction {
     preconditions: Vec<Precondition>,
     operations: Vec<Operation>,
-    /// The machines that it changes.
+    /// Names of the machines that it changes.
     machines: Vec<String>,
 }
 
-/// Changes machines in their rentals' records, as many as fit one transaction; returns those whose change is
-/// recorded. `change` returns false for a machine that leaves the record.
+/// Applies `change` to machines in their rental records, for as many machines as fit into one transaction. Returns
+/// the machines whose change was written. A machine for which `change` returns false is removed from its record.
 pub(super) async fn write_machine_changes(
     node: &Arc<Node>,
     names: &[String],
@@ -50,7 +50,8 @@
     names: &[String],
     change: impl FnMut(&mut RentedMachine) -> bool,
 ) -> MachineTransaction {
-    // More than this controller may write would only be refused, and take others' puts along.
+    // A larger transaction would exceed this controller's share of the state service's write limit. The service
+    // would refuse it, or refuse writes of other controllers in its place.
     let available = node.state.available_writes(WritePriority::UserFacing);
     let max_operations = node.settings.max_transaction_operations().min(available);
     let max_value_bytes = node.settings.max_value_bytes();
@@ -81,7 +82,7 @@
     transaction
 }
 
-/// A record without machines is deleted.
+/// Puts the record, or deletes it if it has no machines left.
 fn operation(part: &RentalPart) -> Operation {
     let key = RecordKey::Rental(&part.name).to_string();
     if part.rental.record.machines.is_empty() {
--- a/src/renting/release.rs
+++ b/src/renting/release.rs
@@ -1,8 +1,8 @@
-//! Machines on their way out: recorded as draining, recorded as releasing, released, and taken out of the
-//! records. Which machines these are is decided in `decide` and `release_decision`.
+//! Releases machines in four steps: records them as draining, records them as releasing, asks the cloud to
+//! release them, and removes them from the records. `decide` and `release_decision` select the machines.
 
 use super::machine_writes::write_machine_changes;
-use super::release_decision::{Release, Verdict, decide_releases};
+use super::release_decision::{Release, ReleaseDecision, decide_releases};
 use crate::fleet::{MachineState, RentedMachine};
 use crate::membership;
 use crate::node::Node;
@@ -10,13 +10,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Transactions by which machines are recorded as draining in one round of the loop.
+/// Maximum number of transactions that record machines as draining in one iteration of the loop.
 const MAX_DRAIN_TRANSACTIONS: usize = 3;
-/// How long a controller that does not receive its workers' heartbeats leaves them to others.
+/// How long a controller that does not receive its workers' heartbeats leaves its workers to other controllers.
 const STEP_DOWN_DURATION: Duration = Duration::from_secs(20);
 
-/// Releases this controller's machines that are drained, silent or failed, and removes them from the records
-/// once the cloud has answered: only then is everything on them provably gone.
+/// Releases this controller's machines that are drained, silent or failed. Removes them from the records once the
+/// cloud has confirmed the release, because only then is everything on them known to be gone.
 pub(super) async fn release_machines(node: &Arc<Node>) {
     let names = begin_releases(node);
     if names.is_empty() {
@@ -27,25 +27,26 @@
         return;
     }
     if let Err(error) = node.cloud.release(names.clone()).await {
-        tracing::info!(%error, "release unconfirmed");
-        return; // the next round finds the machines recorded as releasing, and releases them again
+        tracing::info!(%error, "release request failed, to be sent again");
+        return; // the next iteration finds the machines recorded as releasing and releases them again
     }
     remove_released(node, names).await;
     node.wake_up.notify_one();
 }
 
-/// Decides which machines to release now, and keeps and logs the decision; returns their names.
+/// Decides which machines to release now, marks them as releasing in memory and logs them. Returns their names.
 fn begin_releases(node: &Node) -> Vec<String> {
-    // Without contact nothing can be recorded as releasing, and silence means nothing, because workers were
-    // redirected. A controller that stepped down for it in an outage gave everything away right after.
+    // Without contact to the state service no release can be recorded, and missing heartbeats prove nothing,
+    // because workers were redirected. A controller that stepped down because of them during an outage handed
+    // all its jobs and machines to other controllers right after it.
     if node.is_partitioned() || !node.is_connected_within(CONTACT_TIMEOUT) {
         return Vec::new();
     }
     let now = Instant::now();
     let mut core = node.core();
     let releases = match decide_releases(node, &core, now) {
-        Verdict::Release(releases) => releases,
-        Verdict::StepDown { silent, reporting } => {
+        ReleaseDecision::Release(releases) => releases,
+        ReleaseDecision::StepDown { silent, reporting } => {
             tracing::info!(
                 silent,
                 reporting,
@@ -67,9 +68,9 @@
     names.collect()
 }
 
-/// Records each release before it is sent, under the precondition of the machine's rental: a controller that
-/// was cut off from the state service receives no heartbeats of its machines any more because they belong to
-/// another by now, and it must not release them. Returns the machines that are recorded.
+/// Records each release before it is sent, under a precondition on the machine's rental. A controller that was cut
+/// off from the state service may receive no heartbeats because its machines belong to another controller by now;
+/// the precondition keeps it from releasing them. Returns the machines that are recorded as releasing.
 async fn record_releasing(node: &Arc<Node>, names: Vec<String>) -> Vec<String> {
     let (mut recorded, new): (Vec<String>, Vec<String>) = {
         let core = node.core();
@@ -87,8 +88,8 @@
     recorded
 }
 
-/// Takes released machines out of the records. What cannot be written now is found again by the next round,
-/// which releases it once more.
+/// Removes released machines from the records. Machines whose removal cannot be written now are released once more
+/// in the next iteration.
 async fn remove_released(node: &Arc<Node>, names: Vec<String>) {
     let mut left = names;
     while !left.is_empty() {
@@ -106,7 +107,7 @@
     }
 }
 
-/// The leader: records the machines selected for draining.
+/// Records the machines selected for draining. Called on the leader only.
 pub(super) async fn record_draining(node: &Arc<Node>, leader_revision: u64) {
     let names = std::mem::take(&mut node.core().scaling.to_drain);
     if names.is_empty() || membership::leader_revision(node) != Some(leader_revision) {
@@ -120,7 +121,7 @@
     for _ in 0..MAX_DRAIN_TRANSACTIONS {
         let written = write_machine_changes(node, &left, set_draining).await;
         if written.is_empty() {
-            return; // they are offered again with the next forecast
+            return; // the next forecast offers them again
         }
         left.retain(|name| !written.contains(name));
         if left.is_empty() {
--- a/src/renting/release_decision.rs
+++ b/src/renting/release_decision.rs
@@ -1,4 +1,4 @@
-//! Which of this controller's machines are released now, and why. Nothing is changed here.
+//! Decides which of this controller's machines to release, and why. It changes no state.
 
 use crate::cloud::MAX_RELEASE_BATCH;
 use crate::fleet::{Machine, MachineState};
@@ -10,17 +10,17 @@
 /// Why a machine is released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseReason {
-    /// Its release was recorded earlier and may not have been carried out.
+    /// The release was recorded earlier, but may not have been carried out.
     AlreadyRecorded,
-    /// The cloud took it, as it had announced.
+    /// The cloud preempted the machine after giving notice, or the machine failed.
     Preempted,
     /// Its worker has sent no heartbeat for longer than its lease.
     Silent,
-    /// It sends heartbeats but does not carry out commands.
+    /// Its worker sends heartbeats but does not carry out commands.
     Unresponsive,
-    /// It was draining and has become empty.
+    /// The machine was draining and is now empty.
     Drained,
-    /// It has never reported.
+    /// Its worker has never sent a heartbeat.
     NeverReported,
 }
 
@@ -37,51 +37,53 @@
     }
 }
 
-/// A machine to be released.
+/// A machine to release, and the reason.
 pub(super) struct Release {
     pub machine: String,
     pub reason: ReleaseReason,
 }
 
-/// What a look at all owned machines gives.
-pub(super) enum Verdict {
-    /// These are to be released, at most as many as one request takes.
+/// The decision on all owned machines.
+pub(super) enum ReleaseDecision {
+    /// Release these machines, at most as many as one request may contain.
     Release(Vec<Release>),
-    /// Most machines fell silent at once: more likely this controller does not receive their heartbeats.
-    /// Others may; releasing them all would throw their work away.
+    /// Most machines fell silent at once. This controller probably does not receive their heartbeats, while
+    /// other controllers may. Releasing the machines would discard their work.
     StepDown { silent: usize, reporting: usize },
 }
 
-/// Silent machines from which on a controller doubts its own connection.
+/// Minimum number of silent machines for a controller to step down.
 const MIN_SILENT_TO_STEP_DOWN: usize = 3;
-/// The part of a worker's lease after which it counts as silent when most machines are compared: early, while
-/// another controller can still take them over before their workers' leases are over.
-const EARLY_SILENCE_LEASE_PART: f64 = 0.4;
-/// A worker's lease with the drift of its clock, and the time that a heartbeat takes.
-const LEASE_WITH_DRIFT: f64 = 1.02;
+/// Fraction of a worker's lease after which the worker counts as silent in the decision to step down. It is well
+/// below 1, so that another controller can take over the machines before their workers' leases expire.
+const EARLY_SILENCE_LEASE_FRACTION: f64 = 0.4;
+/// Factor on a worker's lease that allows for the drift of the worker's clock.
+const CLOCK_DRIFT_FACTOR: f64 = 1.02;
+/// Allowance for the time that a heartbeat takes to arrive.
 const HEARTBEAT_LATENCY: Duration = Duration::from_millis(500);
-/// What a machine may be silent beyond its heartbeat interval once the cloud was to take it.
+/// Silence beyond the heartbeat interval after which a machine counts as preempted, once the announced time of its
+/// preemption has passed.
 const PREEMPTION_GRACE: Duration = Duration::from_secs(2);
-/// Boot time of a machine type that the catalog does not have.
+/// Assumed boot time of a machine type that is not in the catalog.
 pub(super) const DEFAULT_BOOT_S: f64 = 60.0;
-/// A machine that has not reported after so many expected boots, and so many seconds, never will.
-const MAX_BOOTS: f64 = 3.0;
-const BOOT_GRACE_S: f64 = 15.0;
+/// A machine that has not reported within this many typical boot times plus the margin is assumed never to report.
+const BOOT_TIMEOUT_FACTOR: f64 = 3.0;
+const BOOT_TIMEOUT_MARGIN_S: f64 = 15.0;
 
-/// The times by which silence is judged.
-struct Limits {
+/// Time limits for judging whether a machine is silent.
+struct SilenceLimits {
     now: Instant,
     now_ms: u64,
     heartbeat_interval: Duration,
-    /// After this time without a heartbeat, a worker's lease is over.
-    silence: Duration,
-    /// After this time it counts as silent when most machines are compared.
+    /// Time without a heartbeat after which a worker's lease has expired.
+    lease_expiry: Duration,
+    /// Time without a heartbeat after which a worker counts as silent in the decision to step down.
     early_silence: Duration,
-    /// How long an owner that is cut off from the state service may keep its workers.
+    /// How long an owner that is cut off from the state service may keep renewing its workers' leases.
     disconnected_lease: Duration,
 }
 
-impl Limits {
+impl SilenceLimits {
     fn new(node: &Node, now: Instant) -> Self {
         let heartbeat_interval = node.settings.heartbeat_interval();
         let lease = node.settings.worker_lease();
@@ -89,9 +91,9 @@
             now,
             now_ms: wall_ms(),
             heartbeat_interval,
-            silence: lease.mul_f64(LEASE_WITH_DRIFT) + HEARTBEAT_LATENCY,
+            lease_expiry: lease.mul_f64(CLOCK_DRIFT_FACTOR) + HEARTBEAT_LATENCY,
             early_silence: lease
-                .mul_f64(EARLY_SILENCE_LEASE_PART)
+                .mul_f64(EARLY_SILENCE_LEASE_FRACTION)
                 .max(heartbeat_interval * 2),
             disconnected_lease: node.settings.disconnected_lease_limit(),
         }
@@ -102,12 +104,12 @@
     }
 }
 
-/// Decides which of the owned machines are released now.
-pub(super) fn decide_releases(node: &Node, core: &Core, now: Instant) -> Verdict {
+/// Decides which of the owned machines to release now.
+pub(super) fn decide_releases(node: &Node, core: &Core, now: Instant) -> ReleaseDecision {
     if core.membership.election.is_stepped_down() {
-        return Verdict::Release(Vec::new());
+        return ReleaseDecision::Release(Vec::new());
     }
-    let limits = Limits::new(node, now);
+    let limits = SilenceLimits::new(node, now);
     let mut releases = Vec::new();
     let (mut silent, mut reporting) = (0, 0);
     for (name, ownership) in &core.workers.owned {
@@ -122,7 +124,7 @@
             } else {
                 reporting += 1;
             }
-            reason_for_known(core, &limits, name, machine, agent)
+            reason_after_report(core, &limits, name, machine, agent)
         } else {
             never_reported(core, &limits, machine, ownership.since)
                 .then_some(ReleaseReason::NeverReported)
@@ -134,27 +136,27 @@
     }
     let has_peers = core.replica.presence.len() > 1;
     if has_peers && silent >= MIN_SILENT_TO_STEP_DOWN && silent > reporting {
-        return Verdict::StepDown { silent, reporting };
+        return ReleaseDecision::StepDown { silent, reporting };
     }
     releases.truncate(MAX_RELEASE_BATCH);
-    Verdict::Release(releases)
+    ReleaseDecision::Release(releases)
 }
 
-/// Why a machine that has reported is released, if it is.
-fn reason_for_known(
+/// The reason to release a machine that has reported before, if there is one.
+fn reason_after_report(
     core: &Core,
-    limits: &Limits,
+    limits: &SilenceLimits,
     name: &str,
     machine: &Machine,
     agent: &AgentStatus,
 ) -> Option<ReleaseReason> {
-    let quiet = limits.since(agent.last_heartbeat_at);
-    let is_preempted = agent
-        .preemption_at
-        .is_some_and(|at| limits.now > at && quiet > limits.heartbeat_interval + PREEMPTION_GRACE);
+    let silence = limits.since(agent.last_heartbeat_at);
+    let is_preempted = agent.preemption_at.is_some_and(|at| {
+        limits.now > at && silence > limits.heartbeat_interval + PREEMPTION_GRACE
+    });
     if is_preempted {
         Some(ReleaseReason::Preempted)
-    } else if quiet > limits.silence {
+    } else if silence > limits.lease_expiry {
         Some(ReleaseReason::Silent)
     } else if is_unresponsive(limits, agent) {
         Some(ReleaseReason::Unresponsive)
@@ -165,14 +167,16 @@
     }
 }
 
-/// What ran on such a machine has ended with its lease, which our answers do not renew.
-fn is_unresponsive(limits: &Limits, agent: &AgentStatus) -> bool {
-    let has_lost_work = agent.expired_leases != 1 || agent.attempts.has_unacknowledged_runs();
+/// Whether the machine has ignored its owner's responses until its lease expired. Its tasks have then ended,
+/// because responses that a worker does not receive do not renew its lease. A single expired lease is not
+/// sufficient evidence, unless a `run` command is still unacknowledged as well.
+fn is_unresponsive(limits: &SilenceLimits, agent: &AgentStatus) -> bool {
+    let has_evidence = agent.expired_leases != 1 || agent.attempts.has_unacknowledged_runs();
     let unresponsive_for = agent.unresponsive_since.map(|since| limits.since(since));
-    unresponsive_for.is_some_and(|time| time > limits.silence) && has_lost_work
+    unresponsive_for.is_some_and(|time| time > limits.lease_expiry) && has_evidence
 }
 
-/// Whether nothing is recorded, planned or running on a machine.
+/// Whether no task is recorded, planned or running on a machine.
 fn is_empty(core: &Core, name: &str, agent: &AgentStatus) -> bool {
     let mut tasks = agent.latest_heartbeat.tasks.iter();
     !core.replica.tasks_by_machine.contains_key(name)
@@ -180,15 +184,21 @@
         && tasks.all(|task| task.state == TaskState::Ended)
 }
 
-/// Whether a machine should have reported long ago.
-fn never_reported(core: &Core, limits: &Limits, machine: &Machine, owned_since: Instant) -> bool {
+/// Whether the first heartbeat of a machine is overdue.
+fn never_reported(
+    core: &Core,
+    limits: &SilenceLimits,
+    machine: &Machine,
+    owned_since: Instant,
+) -> bool {
     let machine_type = core.machine_type(&machine.pool.machine_type);
     let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
-    let is_overdue = age_s(machine.requested_ms, limits.now_ms) > boot_s * MAX_BOOTS + BOOT_GRACE_S;
-    // In an outage an owner may keep its workers for as long as that lasts (`may_renew_leases`). An owner before us
-    // that is cut off from the state service may keep the worker for as long as its lease without contact;
-    // only then does silence mean anything.
+    let is_overdue = age_s(machine.requested_ms, limits.now_ms)
+        > boot_s * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_MARGIN_S;
+    // During an outage of the state service, an owner may renew its workers' leases for as long as the outage lasts
+    // (`may_renew_leases`). A previous owner that alone is cut off may renew them for `disconnected_lease`. Missing
+    // heartbeats prove nothing before that time and a lease have passed.
     let in_contact_since = core.connected_since.unwrap_or(limits.now);
     let known_for = limits.since(in_contact_since.max(owned_since));
-    is_overdue && known_for > limits.silence + limits.disconnected_lease
+    is_overdue && known_for > limits.lease_expiry + limits.disconnected_lease
 }
