--- a/src/renting/forecast.rs
+++ b/src/renting/forecast.rs
@@ -1,7 +1,8 @@
-//! A controller's own forecast: the deadline misses it predicts, and the idle machines it offers.
+//! A controller's own forecast: the deadline misses that it predicts, and the idle machines that it offers for
+//! release.
 //!
-//! The forecast is made in the scheduling cycle, from that cycle's snapshot; `service` publishes it. Nothing
-//! is decided here.
+//! The forecast is computed in the scheduling cycle from that cycle's snapshot, and `service` publishes it. The
+//! leader decides on it in `decide`.
 
 mod waiting_work;
 
@@ -19,14 +20,15 @@
 use std::time::{Duration, Instant};
 use waiting_work::WaitingWork;
 
-/// A startup queue that grows, and a gang that waits for its team's limit, are published before the period
-/// is over, but not more often than this.
+/// Shortest interval between forecasts that are published before the period is over, because the startup queue
+/// grew or the gangs blocked by their team's limit changed.
 const MIN_PUBLISH_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The remedial policy takes one off the startup queue and divides: a queue longer by less changes nothing.
+/// Growth of the startup queue, in tasks, that makes the published forecast stale. The remedial policy subtracts
+/// one from the length and divides the rest, so a smaller growth has little or no effect on it.
 const MIN_QUEUE_GROWTH: u32 = 2;
 
-/// Makes the forecast to be published, at each period, and earlier if the one published is stale.
+/// Computes the forecast to publish, once per period, and earlier if the published one is stale.
 pub fn update_forecast(
     node: &Node,
     core: &mut Core,
@@ -49,7 +51,7 @@
     core.scaling.pending_forecast = Some(record);
 }
 
-/// The headroom of limited teams with what their running tasks release.
+/// The headroom of limited teams, including what their running tasks will release.
 fn headroom_with_releases(
     core: &mut Core,
     snapshot: &ClusterSnapshot,
@@ -67,7 +69,7 @@
     headroom
 }
 
-/// Whether the forecast published last lacks what the leader should know before the period is over.
+/// Whether the leader needs a newer forecast than the published one before the period is over.
 fn forecast_is_stale(
     core: &Core,
     snapshot: &ClusterSnapshot,
@@ -135,13 +137,14 @@
     }
 }
 
-/// Of each job's waiting tasks, those that its team's limit lets start: no machine helps the others.
+/// Per job, the number of waiting tasks that its team's limit allows to start. More machines would not help the
+/// others.
 fn permitted_tasks(snapshot: &ClusterSnapshot) -> Vec<u32> {
     let order = batch_order(&snapshot.jobs);
     snapshot.headroom.clone().permitted(&snapshot.jobs, &order)
 }
 
-/// The lengths of the startup queues by machine type, of the tasks that limits let start.
+/// The lengths of the startup queues by machine type, counting only tasks that their team's limit allows to start.
 fn startup_queues(
     snapshot: &ClusterSnapshot,
     permitted: &[u32],
@@ -158,7 +161,7 @@
     queues
 }
 
-/// What the placement forecast predicts, by machine type: steps 1 to 6 of algorithm 1.
+/// Computes the demand by machine type from the placement forecast: steps 1 to 6 of algorithm 1.
 fn demand_by_machine_type(
     node: &Node,
     core: &Core,
@@ -190,7 +193,8 @@
     demand
 }
 
-/// For each machine type of the catalog, what finished since the last event, and its startup queue.
+/// For each machine type of the catalog: the work that finished since the last periodic forecast, and the length
+/// of the startup queue.
 fn completed_work(
     core: &Core,
     startup_queues: &BTreeMap<String, u32>,
@@ -219,7 +223,7 @@
     }
 }
 
-/// Own machines of a type that have not reported yet.
+/// Number of own machines of a type that have not reported yet.
 fn booting_machines(node: &Node, core: &Core, machine_type: &str) -> u32 {
     let machines = core.replica.fleet.machines.iter();
     let booting = machines.filter(|(name, machine)| {
@@ -230,7 +234,7 @@
     booting.count() as u32
 }
 
-/// Tasks of own jobs of a machine type that arrived within the last period.
+/// Number of tasks of own jobs that arrived within the last period and whose cheapest machine type is this one.
 fn arrived_tasks(node: &Node, core: &Core, machine_type: &str, now_ms: u64) -> u32 {
     let period_s = node.policy.period_s;
     let jobs = core.replica.jobs.values();
@@ -245,8 +249,9 @@
         .sum()
 }
 
-/// Own active machines past their hold that are idle and to which nothing was mapped, least remaining hold
-/// first. Billing is by the second, so nothing is paid ahead and the hold begins again with each use.
+/// Own active machines that are idle, whose hold is over, and to which the forecast mapped no task; least
+/// remaining hold first. The hold restarts with each use: machines are billed by the second, so no prepaid time
+/// is lost.
 fn idle_machines(
     node: &Node,
     core: &Core,
@@ -286,19 +291,16 @@
     idle
 }
 
-/// How many of these idle machines the record has room for, at least one: it must fit its value, and the
-/// others follow with the next forecast.
+/// Number of these idle machines that the record has room for, at least one. The record must fit into a value of
+/// the state service; the other machines follow with the next forecast.
 fn max_published_idle(node: &Node, core: &Core, idle: &[IdleMachine]) -> usize {
     let machine_types = core.machine_types.len().max(1);
-    let published_gangs = if core.limits.has_divided_teams(core) {
+    let gang_bytes = if core.limits.has_divided_teams(core) {
         MAX_PUBLISHED_GANG_BYTES
     } else {
         0
     };
-    let value_bytes = node
-        .settings
-        .max_value_bytes()
-        .saturating_sub(published_gangs);
+    let value_bytes = node.settings.max_value_bytes().saturating_sub(gang_bytes);
     let max_machines = if core.replica.is_current_schema_active() {
         let name_bytes = idle.iter().map(|m| m.name.len() + NAME_OVERHEAD_BYTES);
         let longest = name_bytes.max().unwrap_or(1);
@@ -309,15 +311,15 @@
     max_machines.max(1)
 }
 
-/// Idle machines that a forecast offers at most, per machine type, in the form that the version before reads.
-/// In the form by names alone only the record's size bounds them: with 6 a period, which was all that a value
-/// of 2 KiB took, hundreds stayed idle for minutes.
+/// Maximum number of idle machines per machine type in the format with hold times, which the previous version
+/// reads. The format with names only is limited by the record's size alone: a value of 2 KiB holds just 6 machines
+/// with hold times, and hundreds of machines stayed idle for minutes when 6 per period were offered.
 const MAX_IDLE_WITH_HOLD: usize = 30;
-/// Bytes of an idle machine in that form.
+/// Bytes per idle machine in the format with hold times.
 const IDLE_MACHINE_BYTES: usize = 160;
-/// Bytes of a name in the list of names beside the name itself: two quotes and a comma.
+/// Bytes per entry of the list of names, besides the name itself: two quotes and a comma.
 const NAME_OVERHEAD_BYTES: usize = 3;
-/// Bytes of a machine type's forecast beside these names.
+/// Bytes of a machine type's forecast, besides the list of names.
 const FORECAST_BYTES: usize = 480;
 
 #[cfg(test)]
--- a/src/renting/forecast/tests.rs
+++ b/src/renting/forecast/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// A forecast that does not fit its record is refused for ever: with as many idle machines as there are, each
-/// with a long name, it fits the lowest limit so far.
+/// A forecast whose record exceeds the value limit is refused forever. The largest forecast, with as many long
+/// machine names as are published at once, fits each limit.
 #[test]
 fn the_largest_forecast_fits_its_record() {
     let number = 123_456.789_012_345_6;
--- a/src/renting/forecast/waiting_work.rs
+++ b/src/renting/forecast/waiting_work.rs
@@ -1,26 +1,26 @@
-//! What the waiting tasks of one job add to the demand for its machine type.
+//! The demand that the waiting tasks of one job add for its machine type.
 
 use crate::cloud::MachineType;
 use crate::placement::forecast::{BeyondHeadroom, JobForecast};
 use crate::placement::{FallbackPool, JobSnapshot, capacity_of};
 use crate::renting::summary::DemandForecast;
 
-/// The waiting tasks of a job, with what the forecast says of them.
+/// The waiting tasks of a job, with their forecast.
 pub(super) struct WaitingWork<'a> {
     pub job: &'a JobSnapshot,
-    /// The cheapest machine type that fits.
+    /// The cheapest machine type that the job may run on.
     pub machine_type: &'a MachineType,
-    /// Tasks that the team's limit lets start.
+    /// Number of tasks that the team's limit allows to start.
     pub permitted: u32,
     pub forecast: JobForecast,
-    /// What machines keep waiting beyond what the limit lets start now.
+    /// Tasks beyond the limit's current headroom that wait for machines.
     pub beyond_headroom: BeyondHeadroom,
-    /// The next machine type that the tasks may run on, and the part of such a machine that each fills.
+    /// The next machine type that the tasks may run on, and the fraction of such a machine that each task fills.
     pub substitute: Option<&'a FallbackPool>,
 }
 
 impl WaitingWork<'_> {
-    /// Logs, of a limited team's job, what the forecast counts and what bounds the machines rented for it.
+    /// Logs the forecast of a limited team's job, and the number of machines wanted for it.
     pub fn log_if_limited(&self) {
         if self.job.team.is_none() {
             return;
@@ -69,34 +69,36 @@
         }
     }
 
-    /// Machines that the late tasks would fill which new machines help, each task filling `share` of one. For
-    /// those beyond the team's headroom no more are counted than its unused quota could fill at once.
+    /// Number of machines that would be filled by those late tasks that new machines help, if each task fills
+    /// `share` of a machine. Tasks beyond the team's headroom add at most the machines that the team's unused quota
+    /// could fill at once.
     fn machines_filled(&self, share: f64) -> f64 {
-        let rounds = rounds_in_time(self.job.due, self.job.duration, self.machine_type.boot_s);
+        let per_slot = tasks_per_slot(self.job.due, self.job.duration, self.machine_type.boot_s);
         let BeyondHeadroom {
             helped,
             unused_quota_tasks,
         } = self.beyond_headroom;
-        let slots = f64::from(self.forecast.helped) / rounds;
-        let all_slots = f64::from(self.forecast.helped + helped) / rounds;
+        let slots = f64::from(self.forecast.helped) / per_slot;
+        let all_slots = f64::from(self.forecast.helped + helped) / per_slot;
         let unused_quota = f64::from(self.permitted.min(unused_quota_tasks));
         share * slots.max(all_slots.min(unused_quota))
     }
 }
 
-/// How many late tasks a slot of a new machine can run one after the other, in time. Where none would be in
-/// time, no machine cures the miss, and the work is spread over `MAX_LATE_WORK_S`. All times in seconds.
-fn rounds_in_time(due: f64, duration: f64, boot_s: f64) -> f64 {
+/// Number of late tasks that a slot of a new machine can run one after the other before they are due. If not even
+/// one would end in time, no machine prevents the miss, and the tasks are spread over `LATE_WORK_WINDOW_S` instead.
+/// All times are in seconds.
+fn tasks_per_slot(due: f64, duration: f64, boot_s: f64) -> f64 {
     let window = due - boot_s;
     let window = if window >= duration {
         window
     } else {
-        MAX_LATE_WORK_S
+        LATE_WORK_WINDOW_S
     };
-    (window / duration).floor().clamp(1.0, MAX_ROUNDS)
+    (window / duration).floor().clamp(1.0, MAX_TASKS_PER_SLOT)
 }
 
-/// How long work that is late anyway may take on machines rented for it.
-const MAX_LATE_WORK_S: f64 = 120.0;
-/// Rounds that are counted on at most.
-const MAX_ROUNDS: f64 = 6.0;
+/// Time in seconds within which machines rented for work that is late in any case should run it.
+const LATE_WORK_WINDOW_S: f64 = 120.0;
+/// Upper bound on the number of tasks that a slot is expected to run one after the other.
+const MAX_TASKS_PER_SLOT: f64 = 6.0;
--- a/src/renting/summary.rs
+++ b/src/renting/summary.rs
@@ -1,80 +1,81 @@
 //! The record in which a controller publishes its forecast, and the sum of such records.
 //!
-//! The JSON is read by controllers of other versions, so its fields keep their names and their order.
+//! Controllers of other versions read this JSON, so the names and the order of its fields must not change.
 
 use rowanmill_limits::WaitingUnit;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Demand for one machine type, as a controller sees it or as the leader adds it up.
+/// Demand for one machine type, as one controller forecasts it or as the leader sums it.
 ///
-/// Amounts of work count each task by the part of a machine that it fills. The paper's tasks are alike; here
-/// a few gangs that wait for whole machines would be lost among thousands of small tasks.
+/// Amounts of work weight each task by the fraction of a machine that it fills. The paper counts tasks, since its
+/// tasks are alike; here, a few gangs that wait for whole machines would hardly count among thousands of small
+/// tasks.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct DemandForecast {
     /// Work that is late now: finished late since the last provisioning event, or waiting past its deadline.
     pub late_now: f64,
-    /// All work of which `late_now` is a part.
+    /// Total work that `late_now` is a part of.
     pub counted_now: f64,
-    /// Work expected to be late among what is mapped up to the next provisioning event.
+    /// Waiting work that is expected to be late, as predicted for the next provisioning event.
     pub late_next: f64,
-    /// All work of which `late_next` is a part.
+    /// Total work that `late_next` is a part of.
     pub counted_next: f64,
-    /// Work on machines.
+    /// Work of the tasks placed on machines.
     pub running: f64,
-    /// Tasks that wait.
+    /// Number of waiting tasks.
     pub waiting: u32,
-    /// Tasks in the startup queue, N_s of equation 2.
+    /// Length of the startup queue, N_s of equation 2.
     #[serde(rename = "startup")]
     pub startup_queue: u32,
-    /// Machines that have not reported yet.
+    /// Number of machines that have not reported yet.
     pub booting: u32,
-    /// Machines that the late tasks would fill.
+    /// Number of machines that would be filled by those late tasks that new machines help.
     #[serde(rename = "wanted")]
     pub wanted_machines: f64,
     /// How many of these may be spot machines.
     #[serde(rename = "wanted_spot")]
     pub wanted_spot_machines: f64,
-    /// Of other machine types that the late tasks may run on too, by name: how many they would fill.
+    /// For each other machine type that these tasks may run on: the number of machines that they would fill.
     #[serde(
         rename = "wanted_else",
         default,
         skip_serializing_if = "BTreeMap::is_empty"
     )]
     pub wanted_substitutes: BTreeMap<String, f64>,
-    /// Tasks that arrived since the last provisioning event.
+    /// Number of tasks that arrived since the last provisioning event.
     pub arrived: u32,
-    /// Tasks that finished since the last provisioning event.
+    /// Number of tasks that finished since the last provisioning event.
     pub finished: u32,
-    /// Machines past their hold to which nothing was mapped.
+    /// Idle machines whose hold is over and to which the forecast mapped no task.
     #[serde(rename = "held")]
     pub idle: Vec<IdleMachine>,
-    /// The same by their names alone, once no leader can be of the version before: five times as many fit
-    /// the record.
+    /// The same machines by name only, used once no controller of the previous version can be the leader. Five
+    /// times as many fit into the record.
     #[serde(rename = "idle", default, skip_serializing_if = "Vec::is_empty")]
     pub idle_names: Vec<String>,
 }
 
-/// A machine to which nothing was mapped.
+/// An idle machine to which the forecast mapped no task.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct IdleMachine {
     pub name: String,
-    /// Seconds until the operators' hold on an idle machine is over; not above 0 if it is.
+    /// Seconds until the operators' hold on the idle machine is over; 0 or negative once it is.
     pub remaining_hold_s: f64,
 }
 
-/// All that a controller publishes.
+/// The forecasts and the write rate that a controller publishes.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct ForecastSummaryRecord {
-    /// When it was made, in milliseconds since the Unix epoch.
+    /// Time of the forecast, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Puts a second that the controller recently sent, so that others may use what it leaves of its share.
+    /// Puts per second that the controller recently sent. Others may use what it leaves of its share.
     #[serde(default)]
     pub puts_per_s: f64,
-    /// Pages that it could not write in its recent cycles, on the mean, for want of puts.
+    /// Smoothed number of pages per cycle that it could not write because its puts were used up.
     #[serde(rename = "unwritten", default, skip_serializing_if = "is_zero")]
     pub write_backlog: f64,
-    /// It saw that the state service's lower limits are in force.
+    /// Whether it knows that the state service's lower limits are in force.
     #[serde(rename = "fallen", default, skip_serializing_if = "std::ops::Not::not")]
     pub has_lower_quota: bool,
     /// The forecasts by machine type.
@@ -122,12 +123,12 @@
             }));
     }
 
-    /// Whether there is or was any work.
+    /// Whether any work is waiting, running, or finished since the last provisioning event.
     pub fn has_work(&self) -> bool {
         self.counted_next + self.counted_now + self.running > 0.0
     }
 
-    /// The present deadline miss rate, γ(t) of algorithm 1.
+    /// The current deadline miss rate, γ(t) of algorithm 1.
     pub fn miss_rate_now(&self) -> f64 {
         ratio(self.late_now, self.counted_now)
     }
@@ -137,8 +138,8 @@
         ratio(self.late_next, self.counted_next)
     }
 
-    /// The predicted rate among all tasks, those on machines included: one late task must not keep a fleet
-    /// that has no use for it.
+    /// The predicted deadline miss rate of all work, including running work. It is used for scaling in, because a
+    /// single late task must not prevent the release of idle machines.
     pub fn miss_rate_next_of_all(&self) -> f64 {
         ratio(self.late_next, self.counted_next + self.running)
     }
