--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -178,7 +178,7 @@
 
     /// Rents machines and returns their names.
     pub async fn rent(&self, request: &RentalRequest<'_>) -> Result<Vec<String>, CloudError> {
-        let body = serde_json::to_vec(request).expect("plain data");
+        let body = serde_json::to_vec(request).expect("request is serializable");
         match self.call(Method::POST, "/rentals", body.into()).await? {
             (StatusCode::OK, body) => {
                 let rented: Result<MachineNames, _> = serde_json::from_slice(&body);
@@ -196,7 +196,7 @@
     /// Releases at most [`MAX_RELEASE_BATCH`] machines. When this returns `Ok`, the machines and everything that
     /// ran on them are gone.
     pub async fn release(&self, names: Vec<String>) -> Result<(), CloudError> {
-        let body = serde_json::to_vec(&MachineNames { names }).expect("plain data");
+        let body = serde_json::to_vec(&MachineNames { names }).expect("request is serializable");
         let path = "/rentals/release";
         match self.call(Method::POST, path, body.into()).await? {
             (StatusCode::OK, _) => Ok(()),
--- a/src/renting/cloud_list.rs
+++ b/src/renting/cloud_list.rs
@@ -1,4 +1,4 @@
-//! Keeps the records in line with the cloud's list of machines, which lags behind.
+//! Reconciles the records with the cloud's list of machines, which may be out of date.
 
 use super::service::leadership_precondition;
 use crate::cloud::ListedMachine;
@@ -8,19 +8,20 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A failed machine counts as taken by the cloud since so long.
-const FAILED_SINCE: Duration = Duration::from_secs(1);
-/// How long a leader must have led before it trusts the list: so many times its lag, and so many seconds.
-const TRUSTED_LAGS: f64 = 2.0;
-const TRUSTED_MARGIN_S: f64 = 5.0;
+/// How far in the past the preemption time of a failed machine is set, so that the machine counts as preempted now.
+const FAILED_MACHINE_PREEMPTION_AGE: Duration = Duration::from_secs(1);
+/// A leader adopts machines from the list after it has led for this many times the list's lag plus the margin.
+const ADOPTION_LAG_FACTOR: f64 = 2.0;
+const ADOPTION_MARGIN_S: f64 = 5.0;
 const MS_PER_S: f64 = 1000.0;
 
-/// The leader: reads the cloud's list, adopts machines that no record names and has failed ones released.
+/// Reads the cloud's list, adopts machines that no record names, and marks failed machines for release. Called on the
+/// leader only.
 pub(super) async fn reconcile_with_cloud_list(node: &Arc<Node>, leader_revision: u64) {
     let Ok(list) = node.cloud.list().await else {
-        return; // the next interval reads it again
+        return; // the list is read again after the next interval
     };
-    let may_adopt = list_shows_no_old_releases(node, &node.core());
+    let may_adopt = can_adopt_machines(node, &node.core());
     for listed in list {
         if is_unrecorded(&mut node.core(), &listed) && may_adopt && !listed.has_failed() {
             adopt(node, leader_revision, listed).await;
@@ -28,18 +29,19 @@
     }
 }
 
-/// The list lags: a machine just released also looks unknown. This process remembers its own releases; those
-/// before its leadership are out of the list after twice the lag. A request that may be in progress may also
-/// have machines that no record names yet.
-fn list_shows_no_old_releases(node: &Node, core: &Core) -> bool {
+/// Whether a listed machine that no record names may be adopted. Because the list lags, a machine that was just
+/// released also looks unrecorded. This process remembers its own releases, and machines released before its
+/// leadership have left the list after twice the lag. A rental request in progress may also have machines that no
+/// record names yet.
+fn can_adopt_machines(node: &Node, core: &Core) -> bool {
     let lag_s = node.settings.params.cloud.list_lag_s;
-    let trusted_after = Duration::from_secs_f64(lag_s * TRUSTED_LAGS + TRUSTED_MARGIN_S);
+    let adoption_delay = Duration::from_secs_f64(lag_s * ADOPTION_LAG_FACTOR + ADOPTION_MARGIN_S);
     let leadership = core.membership.election.leadership();
-    leadership.is_some_and(|leadership| leadership.since.elapsed() > trusted_after)
+    leadership.is_some_and(|leadership| leadership.since.elapsed() > adoption_delay)
         && core.replica.fleet.unconfirmed_rentals().next().is_none()
 }
 
-/// Whether neither a record nor a release known here names the machine. A recorded one that failed is marked
+/// Whether no record names the machine and no release of it is known here. A recorded machine that failed is marked
 /// for release.
 fn is_unrecorded(core: &mut Core, listed: &ListedMachine) -> bool {
     let fleet = &core.replica.fleet;
@@ -49,15 +51,15 @@
     if listed.has_failed()
         && let Some(agent) = core.workers.agents.get_mut(&listed.name)
     {
-        // It stopped by itself: nothing on it can come back, and releasing it proves that.
-        agent.preemption_at = Some(Instant::now() - FAILED_SINCE);
+        // The machine stopped by itself, so nothing on it can resume. Its release confirms that.
+        agent.preemption_at = Some(Instant::now() - FAILED_MACHINE_PREEMPTION_AGE);
         core.pending_changes.mark_machine_changed(&listed.name);
     }
     false
 }
 
-/// Records a machine that exists and is in no record: a rental of one, under the machine's own name, so that
-/// it cannot be recorded twice.
+/// Records a machine that exists but is in no record, as a rental of one machine. The rental is named after the
+/// machine, so that the machine cannot be recorded twice.
 async fn adopt(node: &Arc<Node>, leader_revision: u64, listed: ListedMachine) {
     let key = RecordKey::Rental(&format!("a-{}", listed.name)).to_string();
     let machine = RentedMachine {
--- a/src/renting/initial_owners.rs
+++ b/src/renting/initial_owners.rs
@@ -1,4 +1,4 @@
-//! Which controllers get new machines.
+//! Chooses the controllers that own new machines.
 
 use crate::fleet::{Machine, MachinePool};
 use crate::membership::WorkloadEstimate;
@@ -8,28 +8,30 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// Machines by which the deficits of two controllers may differ and still count as equal, so that a zone's
-/// machines are kept together.
+/// Step in machines by which deficits are compared. Controllers whose deficits fall into the same step count as
+/// equal, so that a zone's machines are kept together.
 const DEFICIT_STEP: f64 = 16.0;
 
-/// The machines of the pool's type and price that a controller has, those just given to it included.
+/// Number of machines of the pool's type, spot or on-demand like the pool, that a controller owns, including new
+/// ones just assigned to it.
 #[derive(Default)]
-struct Holding {
-    machines: f64,
+struct OwnedMachines {
+    count: f64,
     in_zone: u32,
 }
 
-/// A controller as a candidate for the next machine.
+/// A controller as a candidate owner of the next machine.
 struct Candidate<'a> {
     member: &'a Member,
-    /// Machines that it lacks of its target.
+    /// Number of machines that it lacks to reach its target.
     deficit: f64,
     in_zone: u32,
 }
 
 impl Candidate<'_> {
-    /// By deficit; among nearly equal ones, whoever has most of the zone keeps it whole.
-    fn cmp_need(&self, other: &Self) -> Ordering {
+    /// Ranks the candidate with the larger deficit higher. Within the same step, the candidate with more machines
+    /// in the zone ranks higher, so that the zone stays together.
+    fn cmp_priority(&self, other: &Self) -> Ordering {
         let step = |deficit: f64| (deficit / DEFICIT_STEP).floor();
         let by_step = step(self.deficit).total_cmp(&step(other.deficit));
         by_step
@@ -38,8 +40,8 @@
     }
 }
 
-/// The owners of `count` new machines of a pool: those controllers whose work lacks most machines, so that
-/// few change owner while they boot.
+/// Chooses the owners of `count` new machines of a pool. Each machine goes to the controller whose work lacks the
+/// most machines, so that few machines change owner while they boot.
 pub(super) fn initial_owners(
     node: &Node,
     core: &Core,
@@ -50,11 +52,11 @@
     let Some(assignment) = core.replica.assignment.as_ref() else {
         return vec![node.identity.clone(); count];
     };
-    let alike: Vec<&Machine> = machines_of_type(core, &pool.machine_type).collect();
+    let same_type: Vec<&Machine> = machines_of_type(core, &pool.machine_type).collect();
     let machines_after = |spot: bool| {
-        let present = alike.iter().filter(|machine| machine.pool.spot == spot);
+        let existing = same_type.iter().filter(|machine| machine.pool.spot == spot);
         let new = if spot == pool.spot { count } else { 0 };
-        (present.count() + new) as f64
+        (existing.count() + new) as f64
     };
     let demand = WorkloadEstimate::new(node, core, &assignment.record).by_member;
     let counts = MachineCounts {
@@ -65,27 +67,27 @@
     let targets = targets.of(pool.spot);
     let target_of = |member: &Member| targets.get(member).copied().unwrap_or(0.0);
 
-    let mut holdings: BTreeMap<&Member, Holding> = present
+    let mut owned_by_member: BTreeMap<&Member, OwnedMachines> = present
         .iter()
-        .map(|member| (member, Holding::default()))
+        .map(|member| (member, OwnedMachines::default()))
         .collect();
-    for machine in alike
+    for machine in same_type
         .iter()
         .filter(|machine| machine.pool.spot == pool.spot)
     {
-        if let Some(holding) = holdings.get_mut(&machine.owner) {
-            holding.machines += 1.0;
-            holding.in_zone += u32::from(machine.pool.zone == pool.zone);
+        if let Some(owned) = owned_by_member.get_mut(&machine.owner) {
+            owned.count += 1.0;
+            owned.in_zone += u32::from(machine.pool.zone == pool.zone);
         }
     }
     let mut owners = Vec::with_capacity(count);
     for _ in 0..count {
-        let owner = neediest(&holdings, target_of)
+        let owner = highest_priority_member(&owned_by_member, target_of)
             .unwrap_or(&node.identity)
             .clone();
-        if let Some(holding) = holdings.get_mut(&owner) {
-            holding.machines += 1.0;
-            holding.in_zone += 1;
+        if let Some(owned) = owned_by_member.get_mut(&owner) {
+            owned.count += 1.0;
+            owned.in_zone += 1;
         }
         owners.push(owner);
     }
@@ -100,15 +102,15 @@
     machines.filter(move |machine| machine.pool.machine_type == machine_type)
 }
 
-fn neediest<'a>(
-    holdings: &BTreeMap<&'a Member, Holding>,
+fn highest_priority_member<'a>(
+    owned_by_member: &BTreeMap<&'a Member, OwnedMachines>,
     target_of: impl Fn(&Member) -> f64,
 ) -> Option<&'a Member> {
-    let candidates = holdings.iter().map(|(member, holding)| Candidate {
+    let candidates = owned_by_member.iter().map(|(member, owned)| Candidate {
         member,
-        deficit: target_of(member) - holding.machines,
-        in_zone: holding.in_zone,
+        deficit: target_of(member) - owned.count,
+        in_zone: owned.in_zone,
     });
-    let neediest = candidates.max_by(Candidate::cmp_need)?;
-    Some(neediest.member)
+    let highest = candidates.max_by(Candidate::cmp_priority)?;
+    Some(highest.member)
 }
--- a/src/renting/merge.rs
+++ b/src/renting/merge.rs
@@ -1,5 +1,5 @@
-//! Merges the records of small rentals. Rentals of a few machines each would make a takeover cost as many
-//! puts as one of a key per machine.
+//! Merges the records of small rentals. With only a few machines per record, taking over a controller's machines
+//! would cost nearly as many puts as with one record per machine.
 
 use super::release_decision::DEFAULT_BOOT_S;
 use super::service::leadership_precondition;
@@ -13,22 +13,22 @@
 use std::time::{Duration, Instant};
 
 const MERGE_INTERVAL: Duration = Duration::from_secs(3);
-/// The part of this controller's writes that must be unused for a merge.
+/// Minimum fraction of this controller's budget for background writes that must be left for a merge.
 const MIN_WRITE_HEADROOM: f64 = 0.5;
-/// Rentals merged at a time, at least and at most.
+/// Minimum and maximum number of rentals merged at a time.
 const MIN_MERGED: usize = 3;
 const MAX_MERGED: usize = 6;
-/// A rental's machines are surely up after so many expected boots, and so many seconds.
-const SETTLED_BOOTS: f64 = 3.0;
-const SETTLED_GRACE_S: f64 = 20.0;
+/// All machines of a rental are assumed to have booted after this many typical boot times plus the margin.
+const SETTLED_BOOT_FACTOR: f64 = 3.0;
+const SETTLED_MARGIN_S: f64 = 20.0;
 
 /// A recorded rental with its name.
 type NamedRental = (String, Versioned<Rental>);
-/// The same, as the replica holds it.
-type HeldRental<'a> = (&'a String, &'a Versioned<Rental>);
+/// A borrowed recorded rental with its name.
+type RentalRef<'a> = (&'a String, &'a Versioned<Rental>);
 
-/// The leader: moves the machines of small rentals, once all are surely up, into one record. That costs a
-/// put, and the deletions that the ends of these rentals would cost in any case.
+/// Moves the machines of small rentals into one record once all have booted. Called on the leader only. This
+/// costs one put, and the deletions that would be needed anyway when these rentals end.
 pub(super) async fn merge_rentals(node: &Arc<Node>, leader_revision: u64) {
     if !begin_merge(node) {
         return;
@@ -55,7 +55,7 @@
     node.core().apply(operations, revision);
 }
 
-/// Whether a merge is due and there are writes for it; keeps when it was.
+/// Whether a merge is due and enough writes are left for it. If so, records the time.
 fn begin_merge(node: &Node) -> bool {
     let now = Instant::now();
     let mut core = node.core();
@@ -68,8 +68,8 @@
     true
 }
 
-/// The name of the merged rental, its number of machines, and the changes. The put comes first: a machine is
-/// released when no record lists it.
+/// Returns the name of the merged rental, its number of machines, and the operations. The put precedes the
+/// deletions, because a machine counts as released when no record lists it.
 fn merge_operations(rentals: Vec<NamedRental>) -> (String, u32, Vec<Operation>) {
     let mut rentals = rentals.into_iter();
     let (name, target) = rentals.next().expect("at least MIN_MERGED rentals");
@@ -86,10 +86,11 @@
     (name, merged.count, operations)
 }
 
-/// Rentals of the pool that has most of them whose machines fit one record, the largest first.
+/// Selects rentals to merge from the pool with the most settled rentals: the largest ones first, as long as their
+/// machines fit into one record.
 fn rentals_to_merge(node: &Node, core: &Core) -> Vec<NamedRental> {
     let now_ms = wall_ms();
-    let mut by_pool: BTreeMap<&MachinePool, Vec<HeldRental<'_>>> = BTreeMap::new();
+    let mut by_pool: BTreeMap<&MachinePool, Vec<RentalRef<'_>>> = BTreeMap::new();
     for (name, rental) in &core.replica.fleet.rentals {
         if is_settled(core, &rental.record, now_ms) {
             let pool = by_pool.entry(&rental.record.pool).or_default();
@@ -113,10 +114,10 @@
     chosen
 }
 
-/// Whether the machines of a rental are surely up.
+/// Whether a rental is confirmed and old enough for all its machines to have booted.
 fn is_settled(core: &Core, rental: &Rental, now_ms: u64) -> bool {
     let machine_type = core.machine_type(&rental.pool.machine_type);
     let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
     let age = age_s(rental.requested_ms, now_ms);
-    !rental.unconfirmed && age > boot_s * SETTLED_BOOTS + SETTLED_GRACE_S
+    !rental.unconfirmed && age > boot_s * SETTLED_BOOT_FACTOR + SETTLED_MARGIN_S
 }
--- a/src/renting/provision.rs
+++ b/src/renting/provision.rs
@@ -1,4 +1,4 @@
-//! Spreads the requested machines over the cloud's offers. `rental` records and sends each rental.
+//! Spreads the requested machines over the cloud's pools. `rental` records and sends each rental.
 
 use super::rental::rent;
 use super::state::ScaleOutRequest;
@@ -7,28 +7,28 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Rents what was requested, and then substitutes for what the cloud lacks.
+/// Rents the requested machines, and then substitutes for those that the cloud lacks.
 pub(super) async fn provision(node: &Arc<Node>, leader_revision: u64) {
     let requests = std::mem::take(&mut node.core().scaling.scale_out_requests);
     let mut substitutes = Vec::new();
     for request in requests {
-        substitutes.extend(fulfil(node, leader_revision, &request).await);
+        substitutes.extend(fulfil_request(node, leader_revision, &request).await);
     }
     for request in substitutes {
-        // A substitute has no substitutes of its own.
-        fulfil(node, leader_revision, &request).await;
+        // A request for substitutes has no substitutes of its own.
+        fulfil_request(node, leader_revision, &request).await;
     }
 }
 
-/// What is left of a request while its offers are tried.
+/// Machines of a request that are still to be rented.
 struct Remaining {
     count: u32,
     spot: u32,
 }
 
 impl Remaining {
-    /// Machines that may still be rented of such an offer.
-    fn for_offer(&self, request: &ScaleOutRequest, spot: bool) -> u32 {
+    /// Number of machines that may still be rented from a spot or an on-demand pool.
+    fn for_pool(&self, request: &ScaleOutRequest, spot: bool) -> u32 {
         if spot {
             self.count.min(self.spot)
         } else if request.spot_only {
@@ -46,8 +46,8 @@
     }
 }
 
-/// Rents the machines of a request, offer by offer; returns the requests for substitutes.
-async fn fulfil(
+/// Rents the machines of a request pool by pool. Returns requests for substitutes of the missing ones.
+async fn fulfil_request(
     node: &Arc<Node>,
     leader_revision: u64,
     request: &ScaleOutRequest,
@@ -56,14 +56,17 @@
         count: request.count,
         spot: request.max_spot,
     };
-    let offers = offers(node, request);
-    for (index, pool) in offers.iter().enumerate() {
-        let count = remaining.for_offer(request, pool.spot);
+    let pools = pools_to_try(node, request);
+    for (index, pool) in pools.iter().enumerate() {
+        let count = remaining.for_pool(request, pool.spot);
         if count == 0 {
             continue;
         }
-        // The zones share what is requested, and what one of them lacks the next ones give.
-        let zones = offers[index..].iter().filter(|o| o.spot == pool.spot);
+        // Divides the remaining machines evenly among the remaining zones. What one zone lacks is requested from the
+        // next ones.
+        let zones = pools[index..]
+            .iter()
+            .filter(|other| other.spot == pool.spot);
         let count = count.div_ceil(zones.count() as u32);
         let received = rent_from_pool(node, leader_revision, pool, count).await;
         remaining.record_received(received, pool.spot);
@@ -79,8 +82,8 @@
     substitute_requests(request, remaining.count)
 }
 
-/// Rents machines of one pool, in as many rentals as their records need; stops at the first that is not
-/// filled. Returns how many machines it got.
+/// Rents machines of one pool, in as many rentals as the size of their records requires. Stops at the first rental
+/// that the cloud does not fill. Returns the number of machines received.
 async fn rent_from_pool(
     node: &Arc<Node>,
     leader_revision: u64,
@@ -109,8 +112,8 @@
     received
 }
 
-/// The paper has one machine type. Where the cloud has no more of a type, work that may run on another is
-/// better late on that one than not run at all.
+/// Returns requests for substitutes of the missing machines. The paper has only one machine type. If the cloud has
+/// no more machines of a type, running late work on another type is better than not running it.
 fn substitute_requests(request: &ScaleOutRequest, missing: u32) -> Vec<ScaleOutRequest> {
     let substitutes = request.substitutes.iter();
     substitutes
@@ -126,9 +129,10 @@
         .collect()
 }
 
-/// The pools to try for a request: spot machines first where they are allowed and cheaper, then the zones
-/// with the fewest machines of the type. Pools that recently had no capacity are left out.
-fn offers(node: &Node, request: &ScaleOutRequest) -> Vec<MachinePool> {
+/// Returns the pools to try for a request: spot pools first, if they are allowed and cheaper, then on-demand pools;
+/// in both cases, zones with the fewest machines of the type come first. Pools that recently had no capacity are
+/// left out.
+fn pools_to_try(node: &Node, request: &ScaleOutRequest) -> Vec<MachinePool> {
     let core = node.core();
     let Some(machine_type) = core.machine_type(&request.machine_type) else {
         return Vec::new();
@@ -138,7 +142,7 @@
     zones.sort_by_key(|zone| machines_in_zone(&core, &machine_type.name, zone));
     let spot_is_cheaper =
         machine_type.spot_price > 0.0 && machine_type.spot_price < machine_type.price;
-    let mut offers = Vec::new();
+    let mut pools = Vec::new();
     for spot in [true, false] {
         if spot && (request.max_spot == 0 || !spot_is_cheaper) {
             continue;
@@ -151,11 +155,11 @@
             };
             let exhausted_until = core.scaling.exhausted_pools.get(&pool);
             if exhausted_until.is_none_or(|until| *until < now) {
-                offers.push(pool);
+                pools.push(pool);
             }
         }
     }
-    offers
+    pools
 }
 
 fn machines_in_zone(core: &Core, machine_type: &str, zone: &str) -> usize {
--- a/src/renting/rental.rs
+++ b/src/renting/rental.rs
@@ -1,5 +1,5 @@
-//! A rental from its record to its machines: recorded under its name before it is sent, and sent again under
-//! that name until the cloud has answered.
+//! Sends rentals to the cloud and records their machines. A rental is recorded under its name before it is sent,
+//! and sent again under that name until the cloud has answered.
 
 use super::initial_owners::initial_owners;
 use super::service::leadership_precondition;
@@ -10,14 +10,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a pool without capacity is not asked for again.
-const EXHAUSTED_FOR: Duration = Duration::from_secs(20);
-/// Seconds from a rental's request after which it is sent again: its call has timed out by then.
+/// Time for which a pool without capacity is not requested again.
+const EXHAUSTED_POOL_BACKOFF: Duration = Duration::from_secs(20);
+/// Age in seconds at which an unconfirmed rental is sent again. The earlier request has timed out by then.
 const RETRY_AFTER_S: f64 = 4.0;
-/// Rentals sent again in one round of the loop.
-const MAX_RETRIES_PER_ROUND: usize = 4;
+/// Maximum number of rentals sent again in one iteration of the loop.
+const MAX_RETRIES_PER_ITERATION: usize = 4;
 
-/// Records a rental under a new name, sends it, and records its machines. Returns how many the cloud gave.
+/// Records a rental under a new name, sends it, and records its machines. Returns the number of machines received.
 pub(super) async fn rent(node: &Arc<Node>, leader_revision: u64, rental: Rental) -> u32 {
     let name = new_name(&mut node.core(), leader_revision);
     let put = Operation::put(RecordKey::Rental(&name), &rental);
@@ -39,13 +39,13 @@
     send_rental(node, leader_revision, &name, &rental).await
 }
 
-/// The leader key's revision is never given twice, so neither is this name.
+/// Returns a name that is never used again, because the leader key's revision is different in each term.
 fn new_name(core: &mut Core, leader_revision: u64) -> String {
     core.scaling.rental_count += 1;
     format!("r-{leader_revision}-{}", core.scaling.rental_count)
 }
 
-/// Sends rentals again whose answer never came, or whose leader ended.
+/// Sends rentals again that the cloud has not answered, or whose leader ended before it recorded the answer.
 pub(super) async fn retry_rentals(node: &Arc<Node>, leader_revision: u64) {
     let now_ms = wall_ms();
     let overdue: Vec<(String, Rental)> = {
@@ -53,7 +53,7 @@
         let unconfirmed = core.replica.fleet.unconfirmed_rentals();
         unconfirmed
             .filter(|(_, rental)| age_s(rental.requested_ms, now_ms) > RETRY_AFTER_S)
-            .take(MAX_RETRIES_PER_ROUND)
+            .take(MAX_RETRIES_PER_ITERATION)
             .map(|(name, rental)| (name.clone(), rental.clone()))
             .collect()
     };
@@ -62,8 +62,8 @@
     }
 }
 
-/// Sends a recorded rental, for the first time or again: a repeat of one that was carried out rents nothing
-/// and returns the same machines. Returns how many machines the cloud gave.
+/// Sends a recorded rental, for the first time or again. If the cloud has already executed it, it rents nothing more
+/// and returns the same machines. Returns the number of machines received.
 async fn send_rental(node: &Arc<Node>, leader_revision: u64, name: &str, rental: &Rental) -> u32 {
     let Some(machines) = request_machines(node, name, rental).await else {
         return 0;
@@ -78,7 +78,8 @@
     received
 }
 
-/// The names of the machines that the cloud gave; none if it did not answer, and the rental stays unconfirmed.
+/// Returns the names of the machines received, or `None` if the request failed, so that the rental stays
+/// unconfirmed.
 async fn request_machines(node: &Node, name: &str, rental: &Rental) -> Option<Vec<String>> {
     let pool = &rental.pool;
     let request = RentalRequest {
@@ -92,7 +93,7 @@
         Ok(machines) => machines,
         Err(CloudError::NoCapacity | CloudError::Malformed) => Vec::new(),
         Err(error) => {
-            tracing::info!(rental = name, %error, "rental unconfirmed");
+            tracing::info!(rental = name, %error, "rental request failed, to be sent again");
             return None;
         }
     };
@@ -108,21 +109,22 @@
     Some(machines)
 }
 
-/// What the cloud gave for a rental.
+/// The cloud's answer to a rental.
 struct RentalAnswer<'a> {
     name: &'a str,
     /// The rental as it was sent.
     rental: &'a Rental,
+    /// Names of the machines received.
     machines: Vec<String>,
 }
 
-/// Records the machines that a rental got, or deletes its record if it got none.
+/// Records the machines received for a rental, or deletes its record if there are none.
 async fn record_answer(node: &Arc<Node>, leader_revision: u64, answer: RentalAnswer<'_>) {
     let key = RecordKey::Rental(answer.name).to_string();
     let (operation, recorded_revision) = {
         let mut core = node.core();
-        // An earlier answer to the same request may be in the record by now, and its machines may have
-        // changed owner or been released: filling it again would take their tokens back.
+        // An earlier answer to the same request may already be recorded, and its machines may since have changed
+        // owner or been released. Recording them again would reset their fencing tokens.
         let recorded = core.replica.fleet.rentals.get(answer.name);
         let unconfirmed = recorded.filter(|recorded| recorded.record.unconfirmed);
         let Some(recorded_revision) = unconfirmed.map(|recorded| recorded.revision) else {
@@ -130,14 +132,14 @@
         };
         if answer.machines.len() < answer.rental.count as usize {
             let pool = answer.rental.pool.clone();
-            let until = Instant::now() + EXHAUSTED_FOR;
+            let until = Instant::now() + EXHAUSTED_POOL_BACKOFF;
             core.scaling.exhausted_pools.insert(pool, until);
         }
-        let filled = confirmed_rental(node, &core, leader_revision, answer);
-        let operation = if filled.machines.is_empty() {
+        let confirmed = confirmed_rental(node, &core, leader_revision, answer);
+        let operation = if confirmed.machines.is_empty() {
             Operation::delete(key.clone())
         } else {
-            Operation::put(key.clone(), &filled)
+            Operation::put(key.clone(), &confirmed)
         };
         (operation, recorded_revision)
     };
@@ -158,8 +160,8 @@
     }
 }
 
-/// The rental with its machines. A fencing token starts at the revision of the leader's key, and rises from
-/// there with each change of owner.
+/// Returns the rental with its machines. Their fencing tokens start at the revision of the leader's key and increase
+/// with each change of owner.
 fn confirmed_rental(
     node: &Node,
     core: &Core,
