--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -73,8 +73,8 @@
     }
 }
 
-/// A rental of 50 machines that no longer fits into a record, because the value limit fell, is written in parts.
-/// The replica keeps all its machines whichever part arrives first.
+/// A rental of 50 machines that no longer fits into a record, because the value limit fell, for example to 1 KiB,
+/// is written in parts. The replica keeps all its machines whichever part arrives first.
 #[test]
 fn a_rental_too_large_for_its_record_is_written_in_parts() {
     let mut old = rental(50, 9);
