--- a/src/jobs/failures.rs
+++ b/src/jobs/failures.rs
@@ -22,14 +22,14 @@
 
 impl Failures {
     /// Whether the job fails wherever it is tried: another machine does not help.
-    pub fn is_everywhere(&self) -> bool {
+    pub fn is_job_at_fault(&self) -> bool {
         self.machines.len() >= MACHINES_OF_FAULTY_JOB
     }
 
     /// When a job that fails everywhere may be tried again.
     pub fn not_before(&self) -> Option<Instant> {
         let backoff = Duration::from_secs(1 << self.count.min(MAX_BACKOFF_EXPONENT));
-        let last = self.last.filter(|_| self.is_everywhere());
+        let last = self.last.filter(|_| self.is_job_at_fault());
         last.map(|last| last + backoff)
     }
 }
--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -156,7 +156,7 @@
         }
         let team = *self.team_indices.get(record.spec.team.as_str())?;
         let mut snapshot = self.job_snapshot(record, progress, team)?;
-        let mut is_unplaceable = failures.is_some_and(|f| f.is_everywhere());
+        let mut is_unplaceable = failures.is_some_and(|f| f.is_job_at_fault());
         if record.foreign && !self.protected_pools.is_empty() {
             snapshot.excluded_pools = self.protected_pools.clone();
             let exclusion = exclusion_of(self.node, self.core, &record.spec, self.now_ms);
--- a/src/workers/exits.rs
+++ b/src/workers/exits.rs
@@ -97,7 +97,7 @@
     failures.machines.insert(machine.to_owned());
     failures.count += 1;
     failures.last = Some(now);
-    if failures.is_everywhere() {
+    if failures.is_job_at_fault() {
         return; // the job is at fault rather than the machine
     }
     status.failed_jobs.insert(task.job.clone());
