--- a/src/cells/local_state.rs
+++ b/src/cells/local_state.rs
@@ -43,7 +43,7 @@
     let is_excluded = || protection::exclusion_of(node, core, &job.record.spec, now_ms).is_some();
     LocalJobState::Open {
         has_started,
-        age_ms: job.record.waited_here_ms(now_ms),
+        age_ms: job.record.waited_in_cell_ms(now_ms),
         excluded_by_protection: job.record.foreign && !has_started && is_excluded(),
     }
 }
--- a/src/jobs/records.rs
+++ b/src/jobs/records.rs
@@ -53,7 +53,7 @@
     /// How long this cell could have run it, in milliseconds: since it was adopted or, without that, since its
     /// tasks could first start. Its deadline and urgency count from its acceptance all the same. A time of
     /// adoption that no clock of the cell can have shown yet counts as missing.
-    pub fn waited_here_ms(&self, now_ms: u64) -> u64 {
+    pub fn waited_in_cell_ms(&self, now_ms: u64) -> u64 {
         let latest = now_ms.saturating_add(MAX_CLOCK_DIFFERENCE_MS);
         let adopted_ms = self.adopted_ms.filter(|adopted| *adopted <= latest);
         let since_ms = self.eligible_since_ms().max(adopted_ms.unwrap_or(0));
--- a/src/testing/compatibility/job_records.rs
+++ b/src/testing/compatibility/job_records.rs
@@ -141,7 +141,7 @@
             adopted_ms,
             ..accepted.clone()
         };
-        record.waited_here_ms(now_ms)
+        record.waited_in_cell_ms(now_ms)
     };
     assert_eq!(waited_ms(None), 100_000);
     assert_eq!(waited_ms(Some(now_ms - 5)), 5);
