--- a/src/jobs/pages.rs
+++ b/src/jobs/pages.rs
@@ -1,11 +1,15 @@
-//! Progress pages: the recorded states of some of a job's tasks, in an encoding that fits one value.
-//! Knows the encodings alone; when a page is written, and under which preconditions, is the writer's.
+//! Progress pages. A page records the states of consecutive tasks of a job and is stored as one value.
+//! This module defines how pages are encoded; `jobs::writer` decides when a page is written, and under
+//! which preconditions.
 //!
-//! There are two encodings. *Plain* pages are those of the version before, which knows no other: their
-//! length follows from the limit on values, and all processes must agree on it. *Compact* pages are for
-//! lower limits on values. They are written once no process of the version before can be running, and
-//! from then on override the plain pages for the tasks that they cover: so a job's plain pages are
-//! migrated one compact page at a time, when one of its tasks changes.
+//! There are two encodings:
+//!
+//! - *Plain* pages are the only ones that the previous version can read. The number of tasks on a page is
+//!   derived from the maximum size of a value, and all processes must use the same number.
+//! - *Compact* pages are for a lower maximum size of values. They are written once no process of the
+//!   previous version can be running. A compact page overrides the plain pages for the tasks that it
+//!   covers. It is created when one of these tasks changes, so that a job's plain pages are migrated
+//!   gradually.
 
 mod compact;
 mod layout;
@@ -16,18 +20,18 @@
 
 use serde::{Deserialize, Serialize};
 
-/// One page: a record for each slot. Tasks beyond its end wait and were never started.
+/// The records of a page's tasks, by slot. Tasks beyond the last slot were never started.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ProgressPage(pub Vec<TaskRecord>);
 
 impl ProgressPage {
-    /// The record in a slot.
+    /// The record in a slot; `NEVER_STARTED` beyond the last one.
     pub fn get(&self, slot: usize) -> &TaskRecord {
         self.0.get(slot).unwrap_or(&TaskRecord::NEVER_STARTED)
     }
 
-    /// Replaces the record in a slot; the page grows as far as needed.
+    /// Replaces the record in a slot, and extends the page if it is too short.
     pub fn set(&mut self, slot: usize, record: TaskRecord) {
         if self.0.len() <= slot {
             self.0.resize(slot + 1, TaskRecord::default());
@@ -35,7 +39,7 @@
         self.0[slot] = record;
     }
 
-    /// The page's size as a value, in bytes.
+    /// The page's encoded size, in bytes.
     pub fn bytes(&self, id: PageId) -> usize {
         let json = match id {
             PageId::Plain(_) => serde_json::to_vec(self),
@@ -45,16 +49,16 @@
     }
 }
 
-/// What a started task takes of a plain page beside the machine's name, in bytes:
-/// `[attempt,"machine",incarnation]` and a comma.
+/// Upper bound of a started task's size on a plain page without the machine's name, in bytes. The record
+/// is `[attempt,"machine",incarnation]`, followed by a comma.
 const PLAIN_PLACED_BYTES: usize = 28;
 
-/// What a started task takes of a compact page beside the machine's name, in bytes: its number, the
-/// name's quotes and comma, and the incarnation.
+/// Upper bound of a started task's size on a compact page without the machine's name, in bytes: the task's
+/// code, the quotes and comma of the name, and the incarnation.
 const COMPACT_PLACED_BYTES: usize = 30;
 
-/// Upper bound of what one more started task takes of a page, in bytes.
-pub fn placed_bytes(id: PageId, machine: &str) -> usize {
+/// Upper bound of the bytes that a started task adds to a page.
+pub fn placed_record_bytes(id: PageId, machine: &str) -> usize {
     let fixed_bytes = match id {
         PageId::Plain(_) => PLAIN_PLACED_BYTES,
         PageId::Compact(_) => COMPACT_PLACED_BYTES,
--- a/src/jobs/pages/compact.rs
+++ b/src/jobs/pages/compact.rs
@@ -1,18 +1,18 @@
-//! The compact encoding of a progress page: each machine's name once, and one number for each task.
+//! The compact encoding of a progress page: a list of the machines' names, and one integer for each task.
 
 use super::{ProgressPage, TaskRecord};
 use serde::de::Error;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// Factor of the attempt in a started task's number, which is `attempt * MACHINE_SLOTS + machine`, the
-/// machine as its place in the list of names. More than a page has tasks.
-const MACHINE_SLOTS: i64 = 1000;
+/// A started task is encoded as `attempt * ATTEMPT_FACTOR + index`, where `index` is the machine's position
+/// in the list of machines. The factor exceeds the number of tasks on a page, and so every index.
+const ATTEMPT_FACTOR: i64 = 1000;
 
-/// The number of a task that is done.
+/// Code of a task that is done.
 const DONE: i64 = -1;
 
-/// The incarnation that is left out of the list.
+/// The incarnation of machines beyond the end of the list of incarnations.
 const DEFAULT_INCARNATION: u64 = 1;
 
 /// The JSON of a compact page.
@@ -20,36 +20,38 @@
 struct CompactPage {
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
     machines: Vec<String>,
-    /// The machines' worker incarnations; those at the end that are 1 are left out.
+    /// The incarnations of the machines' workers, without those at the end that are 1.
     #[serde(rename = "s", default, skip_serializing_if = "Vec::is_empty")]
     incarnations: Vec<u64>,
-    /// For each task: 0 if it was never started, -1 if it is done, `-1 - last` if it waits after
-    /// attempt `last`, and else the attempt and machine where it was started.
+    /// The code of each task: 0 if it was never started, -1 if it is done, `-1 - last` if it waits after
+    /// attempt `last`, otherwise its attempt and machine, see [`ATTEMPT_FACTOR`].
     #[serde(rename = "t")]
     tasks: Vec<i64>,
 }
 
 impl CompactPage {
-    fn decode(&self, number: i64) -> Result<TaskRecord, serde_json::Error> {
-        if number == 0 {
+    fn decode(&self, code: i64) -> Result<TaskRecord, serde_json::Error> {
+        if code == 0 {
             return Ok(TaskRecord::default());
         }
-        if number == DONE {
+        if code == DONE {
             return Ok(TaskRecord::Done);
         }
-        if number < 0 {
-            let last = (DONE - number) as u64;
+        if code < 0 {
+            let last = (DONE - code) as u64;
             return Ok(TaskRecord::Waiting { last });
         }
-        let slot = (number % MACHINE_SLOTS) as usize;
-        let machine = self.machines.get(slot);
-        let machine = machine.ok_or_else(|| serde_json::Error::custom("no such machine"))?;
+        let index = (code % ATTEMPT_FACTOR) as usize;
+        let machine = self.machines.get(index);
+        let machine = machine.ok_or_else(|| {
+            serde_json::Error::custom("a task refers to a machine that is not in the list")
+        })?;
         Ok(TaskRecord::Placed {
-            attempt: (number / MACHINE_SLOTS) as u64,
+            attempt: (code / ATTEMPT_FACTOR) as u64,
             machine: machine.clone(),
             incarnation: self
                 .incarnations
-                .get(slot)
+                .get(index)
                 .copied()
                 .unwrap_or(DEFAULT_INCARNATION),
         })
@@ -64,7 +66,7 @@
             incarnations: Vec::new(),
             tasks: Vec::with_capacity(self.0.len()),
         };
-        let mut slots: HashMap<(&str, u64), usize> = HashMap::new();
+        let mut indices: HashMap<(&str, u64), usize> = HashMap::new();
         for record in &self.0 {
             compact.tasks.push(match record {
                 TaskRecord::Done => DONE,
@@ -75,12 +77,12 @@
                     machine,
                     incarnation,
                 } => {
-                    let slot = *slots.entry((machine, *incarnation)).or_insert_with(|| {
+                    let index = *indices.entry((machine, *incarnation)).or_insert_with(|| {
                         compact.machines.push(machine.clone());
                         compact.incarnations.push(*incarnation);
                         compact.machines.len() - 1
                     });
-                    *attempt as i64 * MACHINE_SLOTS + slot as i64
+                    *attempt as i64 * ATTEMPT_FACTOR + index as i64
                 }
             });
         }
@@ -90,11 +92,11 @@
         compact
     }
 
-    /// Reads the compact encoding. A number that names no machine is an error, and never taken for a
-    /// task that waits.
+    /// Decodes a page from the compact encoding. A code whose machine is not in the list is an error: a task
+    /// read as waiting instead could be started a second time.
     pub fn from_compact(data: &str) -> Result<Self, serde_json::Error> {
         let compact: CompactPage = serde_json::from_str(data)?;
-        let records = compact.tasks.iter().map(|number| compact.decode(*number));
+        let records = compact.tasks.iter().map(|code| compact.decode(*code));
         records.collect::<Result<_, _>>().map(Self)
     }
 }
--- a/src/jobs/pages/layout.rs
+++ b/src/jobs/pages/layout.rs
@@ -3,28 +3,28 @@
 use serde::{Deserialize, Serialize};
 use std::ops::{Range, RangeInclusive};
 
-/// Tasks on a page of either encoding, and what a page may take. Where both are as long, compact pages
-/// are not used.
+/// The number of tasks on a page in each encoding, and the maximum size of a page. If the numbers are equal,
+/// compact pages are not used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct PageLayout {
-    /// Tasks on a plain page.
+    /// Number of tasks on a plain page.
     #[serde(rename = "wide")]
     pub plain_tasks: usize,
-    /// Tasks on a compact page.
+    /// Number of tasks on a compact page.
     #[serde(rename = "dense")]
     pub compact_tasks: usize,
-    /// Most bytes of a page's value.
+    /// Maximum size of a page's value, in bytes.
     #[serde(skip)]
     pub value_bytes: usize,
 }
 
-/// A page of a job: its encoding and its number. Plain ones come first: when a job's pages are deleted,
-/// none of them may be left without the compact page that overrides it.
+/// A page of a job: its encoding and its number. A job's pages are deleted in this order, plain pages first,
+/// so that no plain page is ever left without the compact page that overrides it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PageId {
-    /// A page in the encoding of the version before.
+    /// A page in the encoding that the previous version can read.
     Plain(usize),
-    /// A page in the encoding for lower limits on values.
+    /// A page in the encoding for a lower maximum size of values.
     Compact(usize),
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl TaskRange {
-    /// The indices of the tasks.
+    /// The task indices in this range.
     pub fn indices(self) -> Range<u32> {
         self.first..self.first.saturating_add(self.count as u32)
     }
@@ -55,12 +55,12 @@
         PageId::Compact(task as usize / self.compact_tasks)
     }
 
-    /// Whether pages are written in the compact encoding once every process reads it.
+    /// Whether compact pages are written once every process can read them.
     pub fn uses_compact(&self) -> bool {
         self.compact_tasks < self.plain_tasks
     }
 
-    /// The tasks that a page covers; the last page of a job covers more than the job has.
+    /// The tasks that a page covers. The range of a job's last page may extend beyond the job's last task.
     pub fn tasks_on(&self, page: PageId) -> TaskRange {
         let (number, count) = match page {
             PageId::Plain(number) => (number, self.plain_tasks),
@@ -72,13 +72,13 @@
         }
     }
 
-    /// A task's slot on the page that covers it, from 0.
+    /// The zero-based slot of a task on the page that covers it.
     pub fn slot(&self, page: PageId, task: u32) -> usize {
         task as usize % self.tasks_on(page).count
     }
 
-    /// The numbers of the plain pages that cover tasks of a page.
-    pub fn plain_pages_under(&self, page: PageId) -> RangeInclusive<usize> {
+    /// The numbers of the plain pages that share tasks with a page.
+    pub fn plain_pages_overlapping(&self, page: PageId) -> RangeInclusive<usize> {
         let TaskRange { first, count } = self.tasks_on(page);
         let last = first as usize + count - 1;
         first as usize / self.plain_tasks..=last / self.plain_tasks
--- a/src/jobs/pages/task_record.rs
+++ b/src/jobs/pages/task_record.rs
@@ -4,22 +4,22 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt::{self, Formatter};
 
-/// The state of one task.
+/// The recorded state of one task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TaskRecord {
-    /// Not on any machine.
+    /// It is on no machine.
     Waiting {
-        /// The highest attempt ever recorded for it, 0 before the first. Attempts are never used
-        /// twice, since a worker that has forgotten one would run it again.
+        /// The highest attempt ever recorded for the task, 0 before the first. Attempt numbers are never
+        /// reused: a worker that no longer remembers an attempt would run it again.
         last: u64,
     },
-    /// Recorded as started: it may be on that machine until proven gone.
+    /// It is recorded as started: it may be on that machine until its absence is confirmed.
     Placed {
-        /// From 1, higher with each start of the task.
+        /// Starts at 1 and rises with each start of the task.
         attempt: u64,
         /// The machine's name.
         machine: String,
-        /// The incarnation of the machine's worker that the start is for.
+        /// The incarnation of the machine's worker for which the start is meant.
         incarnation: u64,
     },
     /// It completed.
@@ -33,10 +33,10 @@
 }
 
 impl TaskRecord {
-    /// The state of a task that is on no page.
+    /// The state of a task that no page records.
     pub const NEVER_STARTED: TaskRecord = TaskRecord::Waiting { last: 0 };
 
-    /// The highest attempt recorded for the task; 0 once it is done.
+    /// The highest attempt recorded for the task, or 0 if it is done.
     pub fn last_attempt(&self) -> u64 {
         match self {
             TaskRecord::Waiting { last } => *last,
@@ -60,7 +60,8 @@
     }
 }
 
-/// Reads a record in one pass, without a guess at its form: pages are most of what every controller reads.
+/// Deserializes a record in one pass. An untagged enum would buffer each record and try one variant after the
+/// other, and pages are most of the data that every controller reads.
 struct TaskRecordVisitor;
 
 impl<'de> Visitor<'de> for TaskRecordVisitor {
@@ -78,16 +79,18 @@
         if done {
             Ok(TaskRecord::Done)
         } else {
-            Err(E::custom("a task is `true` when done"))
+            Err(E::custom(
+                "the only boolean that a task record may be is `true`, for a completed task",
+            ))
         }
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut parts: A) -> Result<TaskRecord, A::Error> {
-        let too_short = |length| A::Error::invalid_length(length, &"three parts");
+    fn visit_seq<A: SeqAccess<'de>>(self, mut elements: A) -> Result<TaskRecord, A::Error> {
+        let too_short = |length| A::Error::invalid_length(length, &"three elements");
         Ok(TaskRecord::Placed {
-            attempt: parts.next_element()?.ok_or_else(|| too_short(0))?,
-            machine: parts.next_element()?.ok_or_else(|| too_short(1))?,
-            incarnation: parts.next_element()?.ok_or_else(|| too_short(2))?,
+            attempt: elements.next_element()?.ok_or_else(|| too_short(0))?,
+            machine: elements.next_element()?.ok_or_else(|| too_short(1))?,
+            incarnation: elements.next_element()?.ok_or_else(|| too_short(2))?,
         })
     }
 }
--- a/src/jobs/pages/tests.rs
+++ b/src/jobs/pages/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-/// A layout without compact pages.
-pub fn plain_layout(len: usize) -> PageLayout {
+/// A layout that does not use compact pages.
+pub fn plain_layout(tasks_per_page: usize) -> PageLayout {
     PageLayout {
-        plain_tasks: len,
-        compact_tasks: len,
+        plain_tasks: tasks_per_page,
+        compact_tasks: tasks_per_page,
         value_bytes: 8192,
     }
 }
 
-/// A number that names no machine makes the page unreadable.
+/// A page is rejected if a task's code refers to a machine that is not in the list.
 #[test]
 fn a_compact_page_reads_back_as_written() {
     let placed = |attempt, machine: &str, incarnation| TaskRecord::Placed {
--- a/src/jobs/writer/page_write.rs
+++ b/src/jobs/writer/page_write.rs
@@ -3,7 +3,7 @@
 use super::selection::Selection;
 use super::withdrawal::is_applicable;
 use crate::fleet::MachineState;
-use crate::jobs::pages::placed_bytes;
+use crate::jobs::pages::placed_record_bytes;
 use crate::jobs::{PageId, ProgressPage, TaskRecord};
 use crate::limits::QuotaCharge;
 use crate::node::Core;
@@ -94,7 +94,7 @@
         let replica = &core.replica;
         match self.page {
             PageId::Compact(_) if !self.job.pages.contains_key(&self.page) => {
-                let plain_pages = replica.layout.plain_pages_under(self.page);
+                let plain_pages = replica.layout.plain_pages_overlapping(self.page);
                 plain_pages
                     .map(|number| self.precondition(PageId::Plain(number)))
                     .collect()
@@ -192,7 +192,7 @@
             return;
         }
         if let TaskRecord::Placed { machine, .. } = change {
-            self.value_bytes += placed_bytes(self.page_id, machine);
+            self.value_bytes += placed_record_bytes(self.page_id, machine);
             if self.value_bytes > self.selection.core.replica.layout.value_bytes {
                 self.is_complete = false;
                 return;
