--- a/src/jobs/archive.rs
+++ b/src/jobs/archive.rs
@@ -1,5 +1,5 @@
-//! Archives jobs that have ended: their terminal state goes to its own key, their record and pages are
-//! deleted. Jobs that become another cell's are relinquished in the same way. Only a job's owner does so.
+//! Archives jobs that have ended: writes their terminal state to a key of its own, and deletes their record and
+//! pages. Jobs that move to another cell are relinquished in the same way. Only a job's owner does this.
 
 use super::writer::Unconfirmed;
 use super::{PageId, Relinquished, StoredJob, TaskRecord, TerminalState};
@@ -11,58 +11,60 @@
 use rowanmill_state::WritePriority;
 use std::sync::Arc;
 
-/// Operations that move a job to its terminal key, beside those for its pages: put one, delete the other.
+/// Operations that move a job to its terminal key: one put and one delete. The deletions of its pages are not
+/// included.
 pub(super) const MOVE_OPERATIONS: usize = 2;
 
-/// From this share of the write quota on that is unused, writes are not scarce.
-const SUFFICIENT_HEADROOM: f64 = 0.5;
+/// Writes are scarce while a smaller share of the write quota is unused.
+const SCARCE_WRITE_HEADROOM: f64 = 0.5;
 
-/// From this many pages on that a write leaves for the next one, smoothed, writes are scarce.
+/// Writes are scarce while the smoothed number of pages that a cycle leaves for the next one is at least this.
 const SCARCE_BACKLOG_PAGES: f64 = 0.5;
 
-/// What follows for a job that has ended.
+/// How a job is removed from the unfinished jobs of this cell.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Ending {
+    /// It has reached a terminal state.
     Archived(TerminalState),
-    /// Nothing of it runs here any more, and it becomes another cell's.
+    /// It moves to another cell, and none of its tasks runs here any more.
     Relinquished(OwnershipVersion),
 }
 
-/// A job that has ended, as it is to be archived.
+/// A job that has ended and is to be archived.
 struct EndedJob {
     id: String,
     revision: u64,
     pages: Vec<PageId>,
-    /// `pages` are all its pages.
+    /// Whether `pages` holds all pages of the job.
     has_all_pages: bool,
     ending: Ending,
 }
 
-/// How much of an ended job is written.
+/// How the end of a job is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ArchiveMode {
     /// The job is moved to its terminal key, and its pages are deleted.
     Move,
-    /// The end alone is written at the job's key; the leader moves it later.
+    /// The job's record is replaced by its terminal state. The leader moves it to the terminal key later.
     MarkFinished,
 }
 
-/// One transaction that ends jobs.
+/// One transaction that archives or relinquishes jobs.
 struct ArchiveBatch {
     preconditions: Vec<Precondition>,
     operations: Vec<Operation>,
-    /// How many jobs it ends.
+    /// Number of jobs.
     jobs: usize,
 }
 
-/// Whether writes are scarce: little of the quota is unused, or pages were left for later writes recently.
-/// At the start of a cycle a controller may write again, however much waits for it.
+/// Whether writes are scarce: little of the quota is unused, or pages were deferred recently. The unused quota
+/// alone does not show this, since at the start of a cycle some is available again, however many pages wait.
 pub(super) fn writes_are_scarce(node: &Node, core: &Core) -> bool {
     core.pending_changes.write_backlog() >= SCARCE_BACKLOG_PAGES
-        || node.state.write_headroom() < SUFFICIENT_HEADROOM
+        || node.state.write_headroom() < SCARCE_WRITE_HEADROOM
 }
 
-/// Archives this controller's jobs that have ended, as many in a transaction as fit.
+/// Archives this controller's jobs that have ended, with as many of them in a transaction as fit.
 pub async fn archive_ended_jobs(node: &Arc<Node>) -> Result<(), Unconfirmed> {
     let max_operations = node.settings.max_transaction_operations();
     let mode = archive_mode(node);
@@ -83,8 +85,8 @@
     Ok(())
 }
 
-/// Moving a job takes an operation for each of its keys, so that where writes are scarce the move waits.
-/// Only controllers of the present version read the shorter form.
+/// Moving a job takes an operation for each of its keys, so the move is postponed while writes are scarce. The
+/// shorter form is used only once all controllers can read it.
 fn archive_mode(node: &Node) -> ArchiveMode {
     let core = node.core();
     if core.replica.is_current_schema_active() && writes_are_scarce(node, &core) {
@@ -128,7 +130,7 @@
 }
 
 impl ArchiveBatch {
-    /// Ends as many of the jobs as so many operations allow, and at least one.
+    /// A batch of the first of these jobs: as many as `max_operations` allow, but at least one.
     fn build(ended: &[EndedJob], mode: ArchiveMode, max_operations: usize) -> Self {
         let mut batch = Self {
             preconditions: Vec::new(),
@@ -164,8 +166,9 @@
             Ending::Archived(state) => {
                 self.move_record(job, Operation::put(RecordKey::FinalState(&job.id), &state));
             }
-            // A page that is left behind, or deleted late, would be taken for a page of the job when it
-            // returns to this cell: so the last pages are deleted with the record, under its revision.
+            // If the job returns to this cell, a page that was left behind would be read as one of its
+            // pages, and one that is deleted late would be missing. The last pages are therefore deleted in
+            // the same transaction as the record, with the record's revision as the precondition.
             Ending::Relinquished(version) if job.has_all_pages => {
                 let relinquished = Relinquished::from(version);
                 self.move_record(
@@ -187,8 +190,8 @@
     }
 }
 
-/// How a job has ended, with the pending changes: done once every task is, cancelled once none of its
-/// tasks can be on a machine. Nothing for a job that goes on.
+/// How a job has ended, counting pending changes as written: it is done once every task is done, and cancelled or
+/// relinquished once none of its tasks can be on a machine. `None` for a job that has not ended.
 fn ending_of(core: &Core, id: &str, job: &Job) -> Option<Ending> {
     if job.record.cancelled {
         if placed_tasks(core, id, job) != 0 {
@@ -198,14 +201,14 @@
         let cancelled = Ending::Archived(TerminalState::Cancelled);
         return Some(successor.map_or(cancelled, Ending::Relinquished));
     }
-    // A gang's tasks complete together: one that is done implies that all are.
+    // The tasks of a gang complete together: if one is done, all are.
     let spec = &job.record.spec;
     let needed = if spec.is_gang() { 1 } else { spec.tasks };
     let is_done = done_tasks(core, id, job) >= needed;
     is_done.then_some(Ending::Archived(TerminalState::Done))
 }
 
-/// Tasks that may be on a machine, with the pending changes.
+/// Number of tasks that may be on a machine, counting pending changes as written.
 fn placed_tasks(core: &Core, id: &str, job: &Job) -> i64 {
     let is_placed = |record: &TaskRecord| matches!(record, TaskRecord::Placed { .. });
     let mut placed = i64::from(job.placed);
@@ -217,7 +220,7 @@
     placed
 }
 
-/// Tasks that are done, with the pending changes.
+/// Number of tasks that are done, counting pending changes as written.
 fn done_tasks(core: &Core, id: &str, job: &Job) -> u32 {
     let is_recorded = |task| *core.replica.task_record(id, task) == TaskRecord::Done;
     let changes = core.pending_changes.of_job(id);
--- a/src/jobs/garbage_collection.rs
+++ b/src/jobs/garbage_collection.rs
@@ -1,5 +1,5 @@
-//! Moves the ends of jobs that were only marked to their terminal keys, and deletes the pages that ended
-//! jobs left behind. The leader does so, with the writes that it has to spare.
+//! Garbage collection of ended jobs: moves jobs that are only marked as finished to their terminal keys, and deletes
+//! the remaining pages of ended jobs. The leader does this with a part of its unused write quota.
 
 use super::archive::{MOVE_OPERATIONS, writes_are_scarce};
 use crate::node::Node;
@@ -7,21 +7,21 @@
 use rowanmill_state::WritePriority;
 use std::sync::Arc;
 
-/// So many keys of ended jobs are left while writes are scarce. Beyond that they are collected in any
-/// case, or else each read of all records would grow with them.
+/// While writes are scarce, garbage collection is postponed until there are this many leftover keys. Without this
+/// limit, the time to list all records would keep growing.
 const MAX_LEFTOVER_KEYS: usize = 4000;
 
-/// Share of the writes now available that garbage collection may take: one in so many.
+/// Garbage collection may use the currently available writes divided by this.
 const SPARE_WRITES_DIVISOR: usize = 2;
 
-/// One transaction that collects garbage.
+/// One transaction of garbage collection.
 #[derive(Debug, Default)]
 pub(super) struct GarbageBatch {
     pub preconditions: Vec<Precondition>,
     pub operations: Vec<Operation>,
 }
 
-/// Collects what one transaction can take. A failure is left to the next cycle, which tries it again.
+/// Collects as much garbage as fits one transaction. If it fails, the next cycle tries again.
 pub async fn collect_garbage(node: &Arc<Node>) {
     let available = node.state.available_writes(WritePriority::Background);
     let spare = (available / SPARE_WRITES_DIVISOR).min(node.settings.max_transaction_operations());
@@ -51,7 +51,7 @@
 }
 
 impl GarbageBatch {
-    /// What to collect in at most so many operations.
+    /// A batch of at most `max_operations` operations.
     pub fn build(replica: &Replica, max_operations: usize) -> Self {
         let mut batch = Self::default();
         for (id, revision) in &replica.ended_pending_archive {
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,5 +1,5 @@
-//! Jobs: their description, their durable records, the pending changes to their tasks, and how these are
-//! written. Where a task runs is placement's decision.
+//! Jobs: their specification, their durable records, and the pending changes to their tasks, which the writer
+//! sends to the state service. The `placement` module decides where a task runs.
 
 mod archive;
 pub mod failures;
--- a/src/jobs/pending_changes.rs
+++ b/src/jobs/pending_changes.rs
@@ -1,32 +1,33 @@
-//! Changes to tasks that this controller has decided on and that are in no record yet: starts, exits
-//! and withdrawn starts. Holds them, and how long and in which order they wait; writes nothing itself.
+//! Changes to task records that this controller has not written yet: starts, exits, and recorded starts that were
+//! withdrawn. Also keeps how long the changes have waited and the order in which starts are written. The `writer`
+//! module writes them.
 
 use super::{TaskId, TaskRecord};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-/// Pending changes of one job: by task index, the task's state after the change.
+/// Pending changes of one job: the new state of each changed task, by task index.
 pub type JobChanges = BTreeMap<u32, TaskRecord>;
 
-/// Weight of the latest write in the smoothed write backlog.
+/// Weight of the latest cycle in the smoothed write backlog.
 const BACKLOG_SMOOTHING: f64 = 0.2;
 
 /// All pending changes of this controller.
 #[derive(Debug, Default)]
 pub struct PendingChanges {
     by_job: BTreeMap<String, JobChanges>,
-    /// Pending starts, by machine.
+    /// Tasks with a pending start, by machine.
     starts_by_machine: HashMap<String, BTreeSet<TaskId>>,
     changed_jobs: HashSet<String>,
     changed_machines: HashSet<String>,
-    /// Since when each job has had changes to write.
+    /// Since when each job has had pending changes.
     waiting_since: HashMap<String, Instant>,
-    /// Rank of each job's starts in the order of placement: where not all can be written, the first
-    /// ones are.
+    /// Rank of each job's starts in the order of placement. If not all starts can be written, those with the
+    /// lowest rank are written first.
     start_ranks: HashMap<String, usize>,
-    /// Pages that one write left for the next because the write quota was used up, smoothed.
+    /// Smoothed number of pages that a cycle leaves for the next one because the write quota is used up.
     write_backlog: f64,
-    /// Jobs whose page the state service refused as malformed, and until when it is not sent again.
+    /// Jobs with a page that the state service refused as malformed, and until when their pages are not sent.
     refused_until: HashMap<String, Instant>,
 }
 
@@ -36,23 +37,22 @@
         self.by_job.get(job)?.get(&task)
     }
 
-    /// The pending changes of a job; nothing rather than an empty map.
+    /// The pending changes of a job; `None` if there are none, never an empty map.
     pub fn of_job(&self, job: &str) -> Option<&JobChanges> {
         self.by_job.get(job)
     }
 
-    /// All jobs with pending changes, by id.
+    /// The pending changes of all jobs, ordered by job id.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &JobChanges)> {
         self.by_job.iter()
     }
 
-    /// Pending starts on a machine.
+    /// The tasks with a pending start on a machine.
     pub fn starts_on(&self, machine: &str) -> impl Iterator<Item = &TaskId> {
         self.starts_by_machine.get(machine).into_iter().flatten()
     }
 
-    /// Adds a change, in place of an earlier one of the same task. `recorded` is the task's state in the
-    /// records.
+    /// Adds a change, replacing an earlier one of the same task. `recorded` is the task's state in the records.
     pub fn record(&mut self, id: &TaskId, recorded: &TaskRecord, change: TaskRecord) {
         self.mark_changed(id, recorded);
         if let TaskRecord::Placed { machine, .. } = &change {
@@ -67,8 +67,8 @@
         self.remove_replaced_start(id, replaced, Some(&change));
     }
 
-    /// Drops a task's pending change: it was written, or no longer applies. `recorded` is the task's state
-    /// in the records.
+    /// Drops a task's pending change, which was written or no longer applies. `recorded` is the task's state in
+    /// the records.
     pub fn discard(&mut self, id: &TaskId, recorded: &TaskRecord) {
         self.mark_changed(id, recorded);
         let Some(changes) = self.by_job.get_mut(&id.job) else {
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Takes a start off its machine once no change of the task starts it there any more.
+    /// Removes a replaced start from the index by machine, unless the new change starts the task on the same
+    /// machine.
     fn remove_replaced_start(
         &mut self,
         id: &TaskId,
@@ -129,43 +130,43 @@
         })
     }
 
-    /// Counts a job's waiting time from now, because some of its changes were written.
+    /// Restarts a job's waiting time, because some of its changes were written.
     pub fn restart_wait(&mut self, job: &str) {
         if let Some(since) = self.waiting_since.get_mut(job) {
             *since = Instant::now();
         }
     }
 
-    /// Ranks the jobs' starts in the order given; a job that has a rank keeps it, so that one whose
-    /// starts are still waiting is not overtaken for ever.
+    /// Ranks the jobs' starts in the given order. A job that has a rank keeps it: otherwise later jobs could
+    /// overtake it in every cycle, and its starts would never be written.
     pub fn rank_starts<'a>(&mut self, jobs: impl Iterator<Item = &'a str>) {
         for (rank, job) in jobs.enumerate() {
             self.start_ranks.entry(job.to_owned()).or_insert(rank);
         }
     }
 
-    /// Drops the rank of a job whose starts were written: the next ones are ranked with the others.
+    /// Removes the rank of a job whose starts were written. Its next starts are ranked anew.
     pub fn clear_start_rank(&mut self, job: &str) {
         self.start_ranks.remove(job);
     }
 
-    /// The rank of a job's starts; lower ones are written first, jobs without a rank last.
+    /// The rank of a job's starts. Lower ranks are written first, and jobs without a rank last.
     pub fn start_rank(&self, job: &str) -> usize {
         self.start_ranks.get(job).copied().unwrap_or(usize::MAX)
     }
 
-    /// Takes one write's number of deferred pages into the smoothed backlog.
+    /// Updates the smoothed backlog with the number of pages that a cycle deferred.
     pub fn record_deferred_pages(&mut self, pages: usize) {
         let earlier = self.write_backlog * (1.0 - BACKLOG_SMOOTHING);
         self.write_backlog = earlier + pages as f64 * BACKLOG_SMOOTHING;
     }
 
-    /// Pages that a write leaves for the next one, smoothed, to a tenth of a page.
+    /// Smoothed number of pages that a cycle leaves for the next one, rounded to a tenth of a page.
     pub fn write_backlog(&self) -> f64 {
         (self.write_backlog * 10.0).round() / 10.0
     }
 
-    /// Writes nothing of a job before `until`.
+    /// Prevents a job's changes from being written before `until`.
     pub fn hold_back_until(&mut self, job: &str, until: Instant) {
         self.refused_until.insert(job.to_owned(), until);
     }
@@ -177,17 +178,17 @@
             .is_none_or(|until| *until <= now)
     }
 
-    /// Adds a machine to those whose tasks have changed.
+    /// Marks a machine as changed.
     pub fn mark_machine_changed(&mut self, machine: &str) {
         self.changed_machines.insert(machine.to_owned());
     }
 
-    /// Jobs that have changed since the last call.
+    /// Takes the jobs whose pending changes were modified since the last call.
     pub fn take_changed_jobs(&mut self) -> HashSet<String> {
         std::mem::take(&mut self.changed_jobs)
     }
 
-    /// Machines whose tasks have changed since the last call.
+    /// Takes the machines that were marked as changed since the last call.
     pub fn take_changed_machines(&mut self) -> HashSet<String> {
         std::mem::take(&mut self.changed_machines)
     }
--- a/src/jobs/records.rs
+++ b/src/jobs/records.rs
@@ -1,4 +1,5 @@
-//! The durable records of jobs, beside their progress pages. Their JSON is shared with the version before.
+//! The durable records of jobs, except for their progress pages. The previous version reads and writes the same
+//! JSON.
 
 use super::JobSpec;
 use rowanmill_cells::OwnershipVersion;
@@ -9,67 +10,69 @@
 pub struct JobRecord {
     /// What the user asked for.
     pub spec: JobSpec,
-    /// Milliseconds since the epoch at acceptance.
+    /// Time of acceptance, in milliseconds since the Unix epoch.
     pub accepted_ms: u64,
-    /// Nothing of it starts any more.
+    /// The job was cancelled: none of its tasks is started any more.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub cancelled: bool,
-    /// The controller that had most free capacity for it at acceptance, or when it was released. It
-    /// places the job as long as it is present.
+    /// The controller that had the most free capacity for the job when it was accepted or, if it has
+    /// dependencies, released. This controller places the job as long as it is present.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub placer: Option<String>,
-    /// Milliseconds since the epoch at which the last job that it depends on was done.
+    /// When the last of the jobs that it depends on was done, in milliseconds since the Unix epoch.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub released_ms: Option<u64>,
-    /// Its version in the ledger of the cells; nothing for a job that only this cell knows.
+    /// The job's version in the ledger; absent if the job is not in the ledger.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ledger: Option<OwnershipVersion>,
-    /// Milliseconds since the epoch at which this cell took it from the ledger; nothing for a job that the
-    /// cell accepted itself, or that a version took which did not say.
+    /// When this cell adopted the job from the ledger, in milliseconds since the Unix epoch. Absent if the cell
+    /// accepted the job itself, or adopted it with a version that did not store this time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adopted_ms: Option<u64>,
-    /// Another cell accepted it.
+    /// The job was accepted by another cell.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub foreign: bool,
-    /// It becomes another cell's. Such a record is also `cancelled`, so that nothing of it starts.
+    /// This cell is giving the job up to another cell. Such a record is also `cancelled`, so that none of the
+    /// job's tasks is started here.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub withdrawn: bool,
 }
 
-/// A controller's clock may be ahead of another's of its cell by this at most, far more than the platform's
+/// Upper bound of the difference between the clocks of two controllers of a cell; far more than the platform's
 /// settings allow.
-const MAX_CLOCK_DIFFERENCE_MS: u64 = 60_000;
+const MAX_CLOCK_SKEW_MS: u64 = 60_000;
 
-/// Attempts of one epoch: far more than a task is ever started in one cell.
+/// Number of attempts reserved for each ownership epoch; far more than a task is ever started in one cell.
 const ATTEMPTS_PER_EPOCH: u64 = 1 << 20;
 
 impl JobRecord {
-    /// Milliseconds since the epoch at which its tasks could first start: at its release or, without
-    /// dependencies, at acceptance. All its times but the deadline count from here.
+    /// When the job's tasks could first start, in milliseconds since the Unix epoch: at its release or, without
+    /// dependencies, at its acceptance. All of the job's times are measured from here, except for the
+    /// deadline in its specification.
     pub fn eligible_since_ms(&self) -> u64 {
         self.released_ms.unwrap_or(self.accepted_ms)
     }
 
-    /// How long this cell could have run it, in milliseconds: since it was adopted or, without that, since its
-    /// tasks could first start. Its deadline and urgency count from its acceptance all the same. A time of
-    /// adoption that no clock of the cell can have shown yet counts as missing.
+    /// How long this cell could have run the job, in milliseconds: since its adoption or, if it was not
+    /// adopted, since its tasks could first start. Its deadline and urgency are still measured from its
+    /// acceptance. An adoption time that is further in the future than clock skew can explain is ignored.
     pub fn waited_in_cell_ms(&self, now_ms: u64) -> u64 {
-        let latest = now_ms.saturating_add(MAX_CLOCK_DIFFERENCE_MS);
+        let latest = now_ms.saturating_add(MAX_CLOCK_SKEW_MS);
         let adopted_ms = self.adopted_ms.filter(|adopted| *adopted <= latest);
         let since_ms = self.eligible_since_ms().max(adopted_ms.unwrap_or(0));
         now_ms.saturating_sub(since_ms)
     }
 
-    /// Its deadline in seconds after [`eligible_since_ms`](Self::eligible_since_ms); the user's counts
-    /// from the submission. Negative if it passed before the job was released.
+    /// The deadline in seconds after [`eligible_since_ms`](Self::eligible_since_ms), whereas the specification's
+    /// is measured from the submission. Negative if the deadline passed before the job was released.
     pub fn deadline_s(&self) -> Option<f64> {
         let blocked_ms = self.eligible_since_ms().saturating_sub(self.accepted_ms);
         let deadline_s = self.spec.deadline_s?;
         Some(deadline_s - blocked_ms as f64 / 1000.0)
     }
 
-    /// Its attempts are above this. A job that was in this cell before, was another cell's and has
-    /// returned must not use an attempt again: machines may still report the earlier one.
+    /// All new attempts of the job's tasks are above this. A job that leaves this cell and returns must not
+    /// reuse an attempt number, since machines may still report the earlier attempt.
     pub fn attempt_floor(&self) -> u64 {
         let earlier_epochs = self
             .ledger
@@ -77,8 +80,8 @@
         earlier_epochs * ATTEMPTS_PER_EPOCH
     }
 
-    /// The record of a job that becomes another cell's: nothing of it starts, and once nothing of it
-    /// runs the record is deleted.
+    /// The record of a job that this cell gives up to another cell: none of its tasks is started, and the record
+    /// is deleted once none of them runs.
     pub fn into_withdrawn(self, version: OwnershipVersion) -> Self {
         Self {
             ledger: Some(version),
@@ -87,8 +90,8 @@
         }
     }
 
-    /// The record of a cancelled job: nothing is placed by it any more, and what may be long in it is
-    /// left out, so that it fits a limit on values that was lowered since it was accepted.
+    /// The record of a cancelled job. The fields that may be long are cleared, because the maximum size of values
+    /// may have been lowered since the job was accepted; they matter only for placement, which is over.
     pub fn into_cancelled(mut self) -> Self {
         self.cancelled = true;
         self.spec.machine_types = None;
@@ -97,24 +100,25 @@
     }
 }
 
-/// A job's record as written. One that waits for others has another form than one that may start, so that
-/// a process that does not know dependencies cannot take it for one of these, nor one whose list cannot be
-/// read.
+/// A job's record as stored. A job that waits for others has a different form than one that may start. A process
+/// that does not support dependencies therefore cannot read it as a job that may start, nor can any process if
+/// the list of dependencies is malformed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum StoredJob {
-    /// It waits for other jobs.
+    /// The job waits for other jobs.
     Blocked {
-        /// Its record once it is released.
+        /// The job's record once it is released.
         #[serde(rename = "held")]
         record: JobRecord,
         /// The jobs that have to be done before any of its tasks starts.
         #[serde(rename = "awaits")]
         depends_on: Vec<String>,
     },
-    /// It may start.
+    /// The job may start.
     Open(JobRecord),
-    /// It has ended, and is yet to be moved to its terminal key: where writes are scarce that waits.
+    /// The job has ended, but is not moved to its terminal key yet. The move is postponed while writes are
+    /// scarce.
     Finished {
         /// How it ended.
         #[serde(rename = "over")]
@@ -122,10 +126,11 @@
     },
 }
 
-/// What is kept of a job that this cell relinquished to another.
+/// The record that remains of a job that this cell relinquished to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Relinquished {
-    /// The epoch of the ledger's record at that time: a handover under it may have been sent.
+    /// The ownership epoch of the ledger's record at that time. The job is not adopted again under this epoch,
+    /// because a handover to another cell may already have been sent under it.
     pub epoch: u64,
 }
 
@@ -137,27 +142,27 @@
     }
 }
 
-/// How a job ended; kept for ever.
+/// How a job ended. This record is never deleted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TerminalState {
-    /// All its tasks completed.
+    /// All of its tasks completed.
     Done,
-    /// It was cancelled first.
+    /// It was cancelled before that.
     Cancelled,
 }
 
-/// The stage of a job in the answers to users.
+/// The stage of a job as reported to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Stage {
     /// No task is on a machine.
     Queued,
-    /// Some task may be on a machine.
+    /// At least one task may be on a machine.
     Running,
-    /// All its tasks completed.
+    /// All of its tasks completed.
     Done,
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
