--- a/src/jobs/runtime_estimate.rs
+++ b/src/jobs/runtime_estimate.rs
@@ -1,9 +1,9 @@
-//! How long a class of jobs takes, learned from its tasks that have run.
+//! Estimates how long the tasks of a class of jobs run, from the run times measured so far.
 
-/// Below this many samples, the owners' estimates are taken as they are.
+/// With fewer samples, the owners' estimates are used unchanged.
 const MIN_SAMPLES: f64 = 4.0;
 
-/// Actual run times of a class as ratios to the owners' estimates: mean and variance by Welford's method.
+/// Mean and variance of a class's run times, each divided by its owner's estimate, by Welford's algorithm.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RuntimeEstimate {
     /// Number of samples.
@@ -22,7 +22,8 @@
         self.squared_deviations += delta * (ratio - self.mean);
     }
 
-    /// The paper's estimate, past mean plus one standard deviation, as a factor on the owner's estimate.
+    /// The factor by which to multiply the owner's estimate: the mean plus one standard deviation. This is the
+    /// paper's run-time estimate.
     pub fn factor(&self) -> f64 {
         if self.count < MIN_SAMPLES {
             return 1.0;
@@ -30,7 +31,7 @@
         self.mean + (self.squared_deviations / (self.count - 1.0)).sqrt()
     }
 
-    /// The mean as a factor on the owner's estimate.
+    /// The mean ratio, without the standard deviation.
     pub fn mean(&self) -> f64 {
         if self.count < MIN_SAMPLES {
             return 1.0;
--- a/src/jobs/spec.rs
+++ b/src/jobs/spec.rs
@@ -1,14 +1,14 @@
-//! What a user asks for with a job. Its JSON is that of submissions and of the durable records.
+//! The specification of a job. Submissions and durable records share its JSON.
 
 use serde::{Deserialize, Serialize};
 
-/// How the tasks of a job belong together.
+/// How the tasks of a job relate to one another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Shape {
     /// Independent tasks.
     #[serde(rename = "array")]
     Array,
-    /// Tasks that start together, need one another, and complete together.
+    /// Tasks that depend on one another: they start together and complete together.
     #[serde(rename = "group")]
     Gang,
     /// Tasks that run until the job is cancelled: one that ends is started again.
@@ -16,7 +16,7 @@
     Service,
 }
 
-/// The urgency class of a job. Later is more urgent, so that urgencies compare.
+/// The urgency class of a job. Variants are in ascending order, so that a more urgent one compares as greater.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Urgency {
@@ -27,7 +27,7 @@
 }
 
 impl Urgency {
-    /// All urgencies, the least urgent first.
+    /// All urgencies in ascending order.
     pub(super) const ALL: [Urgency; 4] = [
         Urgency::BestEffort,
         Urgency::Standard,
@@ -35,7 +35,7 @@
         Urgency::Critical,
     ];
 
-    /// Its name on the wire and in policies.
+    /// The name on the wire and in policies.
     pub fn name(self) -> &'static str {
         match self {
             Urgency::BestEffort => "best_effort",
@@ -46,12 +46,12 @@
     }
 }
 
-/// A job as its user describes it. Amounts are of each task.
+/// A job as specified by its user. Amounts of resources are per task.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     #[serde(rename = "nameId")]
     pub id: String,
-    /// Jobs of a class take about as long in relation to their estimates.
+    /// Jobs of the same class have a similar ratio of actual to estimated run time.
     #[serde(rename = "grist")]
     pub class: String,
     #[serde(rename = "crew")]
@@ -71,10 +71,10 @@
     pub image: String,
     #[serde(rename = "pullGb")]
     pub image_gb: f64,
-    /// Machine types that are allowed; nothing for any.
+    /// The allowed machine types; all are allowed if absent.
     #[serde(rename = "stones", default, skip_serializing_if = "Option::is_none")]
     pub machine_types: Option<Vec<String>>,
-    /// The only zone that is allowed.
+    /// The only allowed zone; all are allowed if absent.
     #[serde(rename = "yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// All tasks must be in the same zone.
@@ -82,25 +82,25 @@
     pub one_zone: bool,
     /// At most half of the tasks, rounded up, may be in one zone.
     pub spread: bool,
-    /// It may use spot machines.
+    /// The job may use spot machines.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// The owner's estimate of a task's run time without the image's fetch, in seconds.
+    /// The owner's estimate of a task's run time in seconds, without the time to fetch the image.
     #[serde(rename = "grindS")]
     pub estimate_s: f64,
-    /// Seconds of progress after which a task saves a checkpoint; 0 if it never does.
+    /// Seconds of progress between two checkpoints of a task; 0 if it never saves one.
     #[serde(rename = "bankS")]
     pub checkpoint_interval_s: f64,
-    /// Seconds that a task takes to save a checkpoint when it is stopped.
+    /// Seconds that a task needs to save a checkpoint when it is stopped.
     #[serde(rename = "bankWriteS")]
     pub checkpoint_write_s: f64,
-    /// Seconds after its submission by which it should be done.
+    /// Deadline of the job, in seconds after its submission.
     #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
 
 impl JobSpec {
-    /// Most tasks that may be in one zone.
+    /// The maximum number of tasks in one zone.
     pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -109,26 +109,26 @@
         }
     }
 
-    /// Whether its tasks do not all fit into one zone.
+    /// Whether the tasks must be in more than one zone.
     pub fn needs_two_zones(&self) -> bool {
         self.max_tasks_per_zone() < self.tasks
     }
 
-    /// Whether its tasks run until it is cancelled.
+    /// Whether the tasks run until the job is cancelled.
     pub fn is_service(&self) -> bool {
         self.shape == Shape::Service
     }
 
-    /// Whether its tasks start and complete together.
+    /// Whether the tasks start and complete together.
     pub fn is_gang(&self) -> bool {
         self.shape == Shape::Gang
     }
 }
 
-/// Most digits of a job's id.
+/// Maximum number of digits in a job's id.
 const MAX_ID_DIGITS: usize = 20;
 
-/// Whether a name has the only form that an accepted job's id can have: `job-` and then digits.
+/// Whether a text is a valid job id: `job-` and then digits. No other id is ever accepted.
 pub fn is_job_id(id: &str) -> bool {
     id.strip_prefix("job-").is_some_and(|digits| {
         (1..=MAX_ID_DIGITS).contains(&digits.len())
--- a/src/jobs/submission.rs
+++ b/src/jobs/submission.rs
@@ -1,20 +1,20 @@
-//! Parses submissions, strictly and with a reason for each refusal. Whether the cluster can take a job is
-//! not decided here.
+//! Parses and validates submissions, and gives a reason for each refusal. Whether the cluster can run a job is
+//! checked at admission, in `api`.
 
 use super::spec::{JobSpec, Shape, Urgency, is_job_id};
 use serde_json::{Map, Number, Value};
 use std::collections::HashSet;
 
-/// Most tasks of a job.
+/// Maximum number of tasks in a job.
 const MAX_TASKS: u64 = 100_000;
 
-/// Most bytes of a text field.
+/// Maximum length of a text field, in bytes.
 const MAX_TEXT_BYTES: usize = 200;
 
-/// Amounts are below this.
+/// Exclusive upper bound of amounts.
 const AMOUNT_BOUND: f64 = 1e9;
 
-/// Whole numbers in floating-point notation are below this, where each is exact.
+/// Exclusive upper bound of integers in floating-point notation. Below it, each integer is represented exactly.
 const INTEGER_BOUND: f64 = 1e15;
 
 /// Why a submission is refused.
@@ -30,24 +30,24 @@
     Invalid(&'static str),
 }
 
-/// A job as it is submitted.
+/// A job as submitted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Submission {
     /// The job.
     pub spec: JobSpec,
-    /// The jobs that have to be done before any of its tasks starts, each once.
+    /// The jobs that must be done before any of its tasks starts, without duplicates.
     pub depends_on: Vec<String>,
 }
 
 impl Submission {
-    /// The id of the job that a body is about, which may otherwise be no valid submission.
+    /// The job's id in a submission's body, even if the rest of the body is invalid.
     pub fn parse_job_id(body: &[u8]) -> Option<String> {
         let value: Value = serde_json::from_slice(body).ok()?;
         let id = value.get("nameId")?.as_str()?;
         is_job_id(id).then(|| id.to_owned())
     }
 
-    /// Parses a submission's body. The error names the first field that is missing or invalid.
+    /// Parses a submission's body. The error names the first missing or invalid field.
     pub fn parse(body: &[u8]) -> Result<Self, SpecError> {
         let value: Value = serde_json::from_slice(body).map_err(|_| SpecError::NotJson)?;
         let Value::Object(object) = value else {
@@ -93,7 +93,7 @@
         self.0.get(field).ok_or(SpecError::Missing(field))
     }
 
-    /// The field's value, if it is present and not null.
+    /// The field's value; `None` if it is missing or null.
     fn optional(&self, field: &'static str) -> Option<&'a Value> {
         self.0.get(field).filter(|value| !value.is_null())
     }
@@ -198,7 +198,7 @@
     }
 }
 
-/// A whole number, also one in floating-point notation.
+/// The value of a non-negative integer, which may be in floating-point notation.
 fn integer(number: &Number) -> Option<u64> {
     number.as_u64().or_else(|| {
         let float = number.as_f64()?;
--- a/src/jobs/submission/tests.rs
+++ b/src/jobs/submission/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::json;
 
-pub fn good() -> Value {
+pub fn valid_submission() -> Value {
     json!({"nameId":"job-000412","grist":"train","crew":"vision","shape":"group",
         "urgency":"urgent","sacks":16,"cpus":8.0,"cards":1.0,"memGb":64.0,"mould":"img-07",
         "pullGb":6.2,"stones":["g8"],"yard":null,"together":true,"spread":false,
@@ -24,7 +24,7 @@
         };
         trace.push_str(&format!("{what} -> {verdict}\n"));
     };
-    show("as documented", good().to_string().as_bytes());
+    show("as documented", valid_submission().to_string().as_bytes());
     show("half a body", b"{\"nameId\":");
     show("a list", b"[]");
     show("NaN", br#"{"nameId":"job-1","cpus":NaN}"#);
@@ -49,11 +49,11 @@
         ("awaits", json!(["job-000398", "task-1"])),
         ("awaits", json!(["job-000398", 405])),
     ] {
-        let mut body = good();
+        let mut body = valid_submission();
         body[field] = value.clone();
         show(&format!("{field}={value}"), body.to_string().as_bytes());
     }
-    let mut body = good();
+    let mut body = valid_submission();
     body.as_object_mut().unwrap().remove("mould");
     show("no mould", body.to_string().as_bytes());
     insta::assert_snapshot!(trace);
--- a/src/jobs/task_id.rs
+++ b/src/jobs/task_id.rs
@@ -1,4 +1,4 @@
-//! Names of tasks. Reads and writes the wire's form `job-000412/3`; knows nothing of a task's state.
+//! Identifiers of tasks, and their text form on the wire, `job-000412/3`.
 
 use super::is_job_id;
 use std::fmt::{self, Display, Formatter};
@@ -9,32 +9,32 @@
 pub struct TaskId {
     /// The job's id, `job-000412`.
     pub job: String,
-    /// The task's place in its job, from 0.
+    /// The task's zero-based index in its job.
     pub index: u32,
 }
 
-/// A [`TaskId`] whose job's id is borrowed, so that heartbeats are read without a copy of each name.
+/// A [`TaskId`] that borrows the job's id, so that reading a heartbeat copies no ids.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskRef<'a> {
     /// The job's id.
     pub job: &'a str,
-    /// The task's place in its job, from 0.
+    /// The task's zero-based index in its job.
     pub index: u32,
 }
 
-/// A name that is not a job's id, a slash and a task's index.
+/// A text that is not a job's id, a slash and a task's index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("a task's name is not of the form `job-000412/3`")]
+#[error("the task id does not have the form `job-000412/3`")]
 pub struct TaskIdError;
 
 impl TaskId {
-    /// The task `index` of a job.
+    /// The task with this index in a job.
     pub fn new(job: impl Into<String>, index: u32) -> Self {
         let job = job.into();
         Self { job, index }
     }
 
-    /// The same task without a copy of the job's id.
+    /// The same task with a borrowed job id.
     pub fn borrowed(&self) -> TaskRef<'_> {
         let job = self.job.as_str();
         TaskRef {
--- a/src/jobs/task_id/tests.rs
+++ b/src/jobs/task_id/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_task_name_reads_back_as_written() {
+fn a_task_id_round_trips_through_its_text_form() {
     let task = TaskId::new("job-000412", 3);
     assert_eq!(task.to_string(), "job-000412/3");
     assert_eq!("job-000412/3".parse(), Ok(task));
