--- a/src/jobs/writer.rs
+++ b/src/jobs/writer.rs
@@ -1,13 +1,13 @@
-//! Writes pending changes to the state service: ends of jobs, releases of jobs that waited, progress
-//! pages. Decides what a transaction holds, sends it and applies its outcome; never decides where a
-//! task runs. A start counts once its record is written, and nothing is started before.
+//! Writes pending changes to the state service: the ends of jobs, the release of jobs whose dependencies are done,
+//! and progress pages. Composes the transactions, sends them and applies their outcomes. A task is started on its
+//! machine only after its start has been written.
 
 mod batch;
+mod discard;
 mod flush_delay;
 mod outcome;
 mod page_write;
 mod selection;
-mod withdrawal;
 
 use super::archive::archive_ended_jobs;
 use super::garbage_collection::collect_garbage;
@@ -17,24 +17,24 @@
 use crate::pipelines;
 use crate::state::max_preconditions;
 use batch::{BatchLimits, BatchSize, WriteBatch};
+use discard::{discard_inapplicable, discard_incomplete_gangs, discard_unstartable_starts};
 use outcome::{BatchOutcome, apply_outcome};
 use page_write::PendingPageWrite;
 use rowanmill_state::WritePriority;
 use selection::{Selection, select_page_writes};
 use std::sync::Arc;
 use std::time::Instant;
-use withdrawal::{discard_inapplicable, withdraw_broken_gangs, withdraw_unstartable};
 
-/// A transaction failed or its outcome is unknown, so that the replica may be behind the records.
+/// A transaction failed or its outcome is unknown. The replica may therefore be outdated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("a transaction failed or its outcome is unknown")]
 pub struct Unconfirmed;
 
-/// From this share of the write quota on that is unused, changes are written without waiting for more.
-const AMPLE_HEADROOM: f64 = 0.98;
+/// While at least this share of the write quota is unused, exits are written after the shorter of their two delays.
+const AMPLE_WRITE_HEADROOM: f64 = 0.98;
 
-/// Writes what is pending. The leader also collects garbage. After a failure the replica is brought up
-/// to date by a read, so that the next cycle never builds on an assumption.
+/// Writes the pending changes. The leader also collects garbage. After a failure, a read brings the replica up to
+/// date, so that the next cycle need not assume an outcome.
 pub async fn write(node: &Arc<Node>, is_leader: bool) {
     if write_pending(node).await.is_err() {
         node.read_barrier().await;
@@ -55,10 +55,10 @@
     write_pages(node).await
 }
 
-/// Writes all pages with pending changes, as far as the write quota goes.
+/// Writes the pages with pending changes, until the write quota is used up.
 async fn write_pages(node: &Arc<Node>) -> Result<(), Unconfirmed> {
     let max_operations = node.settings.max_transaction_operations();
-    let mut queue = withdraw_and_select(&mut node.core(), node, Instant::now());
+    let mut queue = discard_and_select(&mut node.core(), node, Instant::now());
     let mut size = BatchSize::Largest;
     let mut result = Ok(());
     while !queue.is_empty() {
@@ -74,8 +74,8 @@
         match apply_outcome(&mut node.core(), &node.identity, batch, answer) {
             BatchOutcome::Written | BatchOutcome::HeldBack => {}
             BatchOutcome::Conflict => result = Err(Unconfirmed),
-            // One page that can never be written must not block those behind it: each group is
-            // tried by itself, and the one at fault is held back for a while.
+            // A malformed page must not block the pages behind it. From here on, each group is sent in a
+            // transaction of its own, and the job of the malformed page is held back for a while.
             BatchOutcome::RetryEachGroup(writes) => {
                 size = BatchSize::OneGroup;
                 queue.splice(0..0, writes);
@@ -92,20 +92,21 @@
     core.pending_changes.record_deferred_pages(pages);
 }
 
-/// Withdraws the starts that cannot be written, and selects the pages to write of what is left.
-fn withdraw_and_select(core: &mut Core, node: &Node, now: Instant) -> Vec<PendingPageWrite> {
+/// Discards the starts that cannot be written, and selects the pages to write from the remaining changes.
+fn discard_and_select(core: &mut Core, node: &Node, now: Instant) -> Vec<PendingPageWrite> {
     let _charge = node.processor_time.charge(CpuAccount::RecordWrites);
-    // Machines may have got another owner since the cycle began: what was observed under an ownership
-    // that has ended must be discarded before it is written under the next owner's revision.
+    // The watch may have delivered a new owner of a machine since the cycle began. Observations made under the
+    // previous ownership are discarded here; otherwise they would be written with the revision of the new owner's
+    // record as their precondition.
     core.update_ownership(&node.identity, now);
-    withdraw_unstartable(core, &node.identity);
+    discard_unstartable_starts(core, &node.identity);
     limits::withdraw_uncovered_starts(core);
-    withdraw_broken_gangs(core);
+    discard_incomplete_gangs(core);
     let selection = Selection {
         core,
         me: &node.identity,
         max_preconditions: max_preconditions(node.settings.max_transaction_operations()),
-        has_ample_quota: node.state.write_headroom() >= AMPLE_HEADROOM,
+        has_ample_quota: node.state.write_headroom() >= AMPLE_WRITE_HEADROOM,
         now,
     };
     select_page_writes(&selection)
--- a/src/jobs/writer/batch.rs
+++ b/src/jobs/writer/batch.rs
@@ -1,4 +1,4 @@
-//! Decides which page writes share a transaction, and sends it.
+//! Groups page writes into transactions and sends them.
 
 use super::page_write::PendingPageWrite;
 use crate::state::{
@@ -7,16 +7,16 @@
 };
 use std::collections::BTreeMap;
 
-/// How many atomic groups are put into one batch.
+/// How many atomic groups one batch may hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum BatchSize {
     /// As many as the limits allow.
     Largest,
-    /// One, to find the page that the state service refuses.
+    /// One, to find the page that the state service refuses as malformed.
     OneGroup,
 }
 
-/// What one transaction may hold. A first group that exceeds it alone is sent all the same.
+/// Limits of one transaction. A group that exceeds them by itself is sent in a transaction of its own.
 pub(super) struct BatchLimits {
     operations: usize,
     preconditions: usize,
@@ -25,7 +25,8 @@
 }
 
 impl BatchLimits {
-    /// Limits with `operations` left of the write quota, where a transaction may have `max_operations`.
+    /// Limits of a transaction when the write quota allows `operations` now, and a transaction may hold at most
+    /// `max_operations`.
     pub fn new(operations: usize, max_operations: usize, size: BatchSize) -> Self {
         Self {
             operations,
@@ -43,7 +44,7 @@
 }
 
 impl WriteBatch {
-    /// Takes from the front of the queue as many groups as the limits allow, and at least one.
+    /// Takes as many groups from the front of the queue as the limits allow, but at least one.
     pub fn take_from(queue: &mut Vec<PendingPageWrite>, limits: &BatchLimits) -> Self {
         let mut preconditions = BTreeMap::new();
         let (mut count, mut bytes) = (0, 0);
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Sends the transaction. Returns its revision.
+    /// Sends the transaction, and returns its revision.
     pub async fn send(&self, state: &StateClient) -> Result<u64, TransactionError> {
         let writes = self.writes.iter();
         let operations: Vec<Operation> = writes.map(|write| write.operation.clone()).collect();
@@ -87,13 +88,14 @@
     }
 }
 
-/// How many writes at the front are written together or not at all: of a gang that starts, all. With one
-/// of its pages refused, the tasks on the others would wait in vain for their peers.
+/// Length of the atomic group at the front of `writes`: the writes that must share a transaction. These are all
+/// writes that start tasks of the same gang; any other write is a group of its own. If only some of a gang's pages
+/// were written, the tasks on them would wait in vain for their peers.
 pub(super) fn atomic_group_len(writes: &[PendingPageWrite]) -> usize {
     let starts_gang = |write: &&PendingPageWrite| write.is_gang && write.has_starts();
     let Some(first) = writes.first().filter(starts_gang) else {
         return writes.len().min(1);
     };
-    let is_of_group = |write: &&PendingPageWrite| write.job == first.job && write.has_starts();
-    writes.iter().take_while(is_of_group).count()
+    let is_in_group = |write: &&PendingPageWrite| write.job == first.job && write.has_starts();
+    writes.iter().take_while(is_in_group).count()
 }
--- a/src/jobs/writer/withdrawal.rs
+++ b/src/jobs/writer/discard.rs
@@ -1,5 +1,5 @@
-//! Discards pending changes that no longer follow from the records. Discarding a start makes its task
-//! wait again, so that it is placed anew in the next cycle; nothing is written here.
+//! Discards pending changes that are no longer valid. A task whose pending start is discarded waits again, and is
+//! placed anew in the next cycle. Nothing is written here.
 
 use super::page_write::PendingPageWrite;
 use crate::fleet::MachineState;
@@ -11,12 +11,12 @@
     matches!(record, TaskRecord::Placed { .. })
 }
 
-/// Discards starts on machines that take none any more, because they are drained or another
-/// controller's. These starts could never be written, and the machine, which is not empty with them,
-/// would never be released.
-pub(super) fn withdraw_unstartable(core: &mut Core, me: &Member) {
+/// Discards pending starts on machines that accept no starts any more: the machine is being drained, or another
+/// controller owns it. Such a start could never be written, and while it is pending its machine does not count as
+/// empty and would never be released.
+pub(super) fn discard_unstartable_starts(core: &mut Core, me: &Member) {
     let machines = &core.replica.fleet.machines;
-    let takes_starts = |name: &str| {
+    let accepts_starts = |name: &str| {
         let machine = machines.get(name);
         machine.is_some_and(|m| m.owner == *me && m.state == MachineState::Active)
     };
@@ -24,19 +24,19 @@
     for (job, changes) in core.pending_changes.iter() {
         for (task, change) in changes {
             if let TaskRecord::Placed { machine, .. } = change
-                && !takes_starts(machine)
+                && !accepts_starts(machine)
             {
                 unstartable.push(TaskId::new(job, *task));
             }
         }
     }
-    discard_all(core, unstartable);
+    discard_changes(core, unstartable);
 }
 
-/// Discards all starts of a gang of which one was discarded before it was written: the others would
-/// gather, wait for the missing task and fail.
-pub(super) fn withdraw_broken_gangs(core: &mut Core) {
-    let mut broken = Vec::new();
+/// Discards all pending starts of a gang if one of them was discarded before it was written. The other tasks would
+/// otherwise start, wait for the missing one and fail.
+pub(super) fn discard_incomplete_gangs(core: &mut Core) {
+    let mut incomplete = Vec::new();
     for (id, changes) in core.pending_changes.iter() {
         let spec = core.replica.jobs.get(id).map(|job| &job.record.spec);
         let Some(spec) = spec.filter(|spec| spec.is_gang()) else {
@@ -44,24 +44,24 @@
         };
         let starts = changes.iter().filter(|(_, change)| is_placed(change));
         let starts: Vec<u32> = starts.map(|(task, _)| *task).collect();
-        let is_whole = || (0..spec.tasks).all(|task| is_placed(core.task_record(id, task)));
-        if !starts.is_empty() && !is_whole() {
-            broken.extend(starts.into_iter().map(|task| TaskId::new(id, task)));
+        let is_fully_placed = || (0..spec.tasks).all(|task| is_placed(core.task_record(id, task)));
+        if !starts.is_empty() && !is_fully_placed() {
+            incomplete.extend(starts.into_iter().map(|task| TaskId::new(id, task)));
         }
     }
-    discard_all(core, broken);
+    discard_changes(core, incomplete);
 }
 
-/// Discards the starts on all of the pages.
-pub(super) fn withdraw_all_starts(core: &mut Core, writes: &[PendingPageWrite]) {
+/// Discards the starts on all of these pages.
+pub(super) fn discard_all_starts(core: &mut Core, writes: &[PendingPageWrite]) {
     for write in writes {
-        withdraw_starts_on_page(core, write);
+        discard_starts_on_page(core, write);
     }
 }
 
-/// Discards the starts on the pages that depend on one of the failed keys; on all of them, if the state
-/// service named none.
-pub(super) fn withdraw_conflicting_starts(
+/// Discards the starts on the pages that have a precondition on one of the failed keys. If the state service named
+/// no keys, discards the starts on all of the pages.
+pub(super) fn discard_conflicting_starts(
     core: &mut Core,
     writes: &[PendingPageWrite],
     failed_keys: &[String],
@@ -69,12 +69,12 @@
     for write in writes {
         let mut preconditions = write.preconditions.iter();
         if failed_keys.is_empty() || preconditions.any(|p| failed_keys.contains(&p.key)) {
-            withdraw_starts_on_page(core, write);
+            discard_starts_on_page(core, write);
         }
     }
 }
 
-fn withdraw_starts_on_page(core: &mut Core, write: &PendingPageWrite) {
+fn discard_starts_on_page(core: &mut Core, write: &PendingPageWrite) {
     let changes = core.pending_changes.of_job(&write.job);
     let changes = changes.into_iter().flatten();
     let starts: Vec<u32> = changes
@@ -88,7 +88,7 @@
     }
 }
 
-/// Whether a pending change still follows from what the records hold.
+/// Whether a pending change is still valid, given the task's state in the records.
 pub(super) fn is_applicable(recorded: &TaskRecord, change: &TaskRecord) -> bool {
     match (recorded, change) {
         (recorded, change) if recorded == change => false,
@@ -100,8 +100,8 @@
     }
 }
 
-/// Discards the changes that the records now hold, or that no longer apply to them, and forgets the
-/// stops of attempts that the records no longer place.
+/// Discards the changes that have been written or are no longer valid, and removes pending stops of attempts that
+/// the records do not place on a machine any more.
 pub(super) fn discard_inapplicable(core: &mut Core) {
     let replica = &core.replica;
     core.workers.pending_stops.retain(|stopped, _| {
@@ -119,10 +119,10 @@
             }
         }
     }
-    discard_all(core, inapplicable);
+    discard_changes(core, inapplicable);
 }
 
-fn discard_all(core: &mut Core, tasks: Vec<TaskId>) {
+fn discard_changes(core: &mut Core, tasks: Vec<TaskId>) {
     for task in tasks {
         core.discard_change(&task);
     }
--- a/src/jobs/writer/flush_delay.rs
+++ b/src/jobs/writer/flush_delay.rs
@@ -1,4 +1,5 @@
-//! How long exits wait to be written together. Starts never wait: a task is waiting for each.
+//! How long exits of tasks wait, so that several are written together. Starts are never delayed, since a task
+//! waits for each of them.
 
 use crate::jobs::TaskRecord;
 use crate::jobs::pending_changes::JobChanges;
@@ -7,45 +8,45 @@
 use crate::state::replica::Job;
 use std::time::Duration;
 
-/// How long exits may wait to be written together.
+/// How long exits wait before they are written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct FlushDelay {
-    /// While nearly all of the write quota is unused.
+    /// The delay while nearly all of the write quota is unused.
     pub relaxed: Duration,
-    /// While the write quota is scarce.
+    /// The delay otherwise.
     pub constrained: Duration,
 }
 
-/// Of this controller's own jobs. Nobody waits for these records: the capacity of their machine is used
-/// again meanwhile, the end of a whole job is written at once, and a next owner learns of the exits again
-/// from the workers, which forget nothing before it is written.
+/// The delay for this controller's own jobs. Nothing waits for these records: the machine's capacity is reused
+/// before they are written, the end of a whole job is written at once, and a new owner learns of the exits from the
+/// workers, which report an exit until it is written.
 pub(super) const OWN_JOB_DELAY: FlushDelay = FlushDelay {
     relaxed: Duration::from_millis(500),
     constrained: Duration::from_secs(25),
 };
 
-/// Of another controller's job, which must learn of its exits.
+/// The delay for jobs of other controllers, which learn of the exits from these records.
 const OTHER_OWNER_DELAY: FlushDelay = FlushDelay {
     relaxed: Duration::from_millis(300),
     constrained: Duration::from_secs(2),
 };
 
-/// Of another controller's job that is far from its end: its owner acts on none of these completions.
-/// Machines are reassigned with what runs on them, and with a thousand machines half of what a
-/// controller could write were such records.
+/// The delay for another controller's job that is far from its end: its owner does not act on these completions.
+/// Since machines are reassigned together with their running tasks, such records are frequent: with a thousand
+/// machines, they took half of a controller's write quota.
 const FAR_FROM_END_DELAY: FlushDelay = FlushDelay {
     relaxed: Duration::from_millis(300),
     constrained: Duration::from_secs(10),
 };
 
-/// Up to this share of its tasks done, a job is far from its end.
+/// A job is far from its end while less than this share of its tasks is done.
 const FAR_FROM_END_SHARE: f64 = 0.8;
 
-/// After this many times the constrained delay, exits are written before starts.
+/// Exits that have waited for this multiple of the constrained delay are written before starts.
 const OVERDUE_FACTOR: u32 = 2;
 
 impl FlushDelay {
-    /// The delay of a job's exits by who owns the job and how much of it is to come.
+    /// The delay of a job's exits, which depends on the job's owner and on the share of its tasks that are done.
     pub fn of_job(replica: &Replica, me: &Member, job: &Job, changes: &JobChanges) -> Self {
         if replica.owner_of(&job.record) == Some(me) {
             OWN_JOB_DELAY
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Whether exits that have waited this long are written now.
+    /// Whether exits that have waited for this time are to be written.
     pub fn has_elapsed(self, waited: Duration, has_ample_quota: bool) -> bool {
         let delay = if has_ample_quota {
             self.relaxed
@@ -66,13 +67,13 @@
         waited >= delay
     }
 
-    /// Whether exits that have waited this long are written before starts.
+    /// Whether exits that have waited for this time are to be written before starts.
     pub fn is_overdue(self, waited: Duration) -> bool {
         waited >= self.constrained * OVERDUE_FACTOR
     }
 }
 
-/// Whether all pending changes of a job are completions, and more than a few are to come.
+/// Whether all pending changes of a job are completions, and the job is far from its end with them.
 fn is_far_from_end(job: &Job, changes: &JobChanges) -> bool {
     let spec = &job.record.spec;
     let done = f64::from(job.done) + changes.len() as f64;
--- a/src/jobs/writer/outcome.rs
+++ b/src/jobs/writer/outcome.rs
@@ -1,31 +1,31 @@
-//! Applies the outcome of a transaction to what this controller holds in memory.
+//! Applies the outcome of a transaction to this controller's state in memory.
 
 use super::batch::WriteBatch;
+use super::discard::{discard_all_starts, discard_conflicting_starts};
 use super::page_write::PendingPageWrite;
-use super::withdrawal::{withdraw_all_starts, withdraw_conflicting_starts};
 use crate::membership::assignment::Member;
 use crate::node::Core;
 use crate::state::TransactionError;
 use std::time::{Duration, Instant};
 
-/// How long a page is held back that the state service refused as malformed.
-const REFUSED_HOLD: Duration = Duration::from_secs(30);
+/// How long a job's pages are not written after the state service has refused one of them as malformed.
+const MALFORMED_PAGE_RETRY_DELAY: Duration = Duration::from_secs(30);
 
-/// What follows from a transaction for the rest of the queue.
+/// The outcome of a transaction, which decides how the rest of the queue is written.
 pub(super) enum BatchOutcome {
-    /// All of it is written.
+    /// All of the batch is written.
     Written,
-    /// A record changed meanwhile; the starts concerned are withdrawn.
+    /// A record has changed in the meantime. The starts that depend on it are discarded.
     Conflict,
-    /// The only page of the transaction is malformed; its job is held back.
+    /// The only page of the batch is malformed, and its job is held back.
     HeldBack,
-    /// One of these writes is malformed.
+    /// At least one of these writes is malformed.
     RetryEachGroup(Vec<PendingPageWrite>),
-    /// Not executed, or the outcome is unknown: nothing more is written in this cycle.
+    /// The transaction was not executed, or its outcome is unknown. Nothing more is written in this cycle.
     Unavailable,
 }
 
-/// Takes in what became of a batch.
+/// Applies the outcome of a batch's transaction.
 pub(super) fn apply_outcome(
     core: &mut Core,
     me: &Member,
@@ -42,7 +42,7 @@
         Err(TransactionError::Conflict(failed)) => {
             core.metrics.write_conflicts += 1;
             tracing::debug!(?failed, "page write conflicted");
-            withdraw_conflicting_starts(core, &batch.writes, &failed);
+            discard_conflicting_starts(core, &batch.writes, &failed);
             BatchOutcome::Conflict
         }
         Err(TransactionError::Malformed) => apply_malformed(core, batch.writes),
@@ -62,7 +62,7 @@
     } else {
         core.metrics.exit_pages += 1;
     }
-    // The watch may have been faster, and may have told of a later record since.
+    // The watch may already have delivered this write, and even a later one of the same page.
     if revision > core.replica.revision {
         let PendingPageWrite { page_id, page, .. } = write;
         core.replica.apply_page(&write.job, page_id, page, revision);
@@ -78,21 +78,22 @@
     if writes.len() > 1 {
         return BatchOutcome::RetryEachGroup(writes);
     }
-    withdraw_all_starts(core, &writes);
-    let until = Instant::now() + REFUSED_HOLD;
+    discard_all_starts(core, &writes);
+    let until = Instant::now() + MALFORMED_PAGE_RETRY_DELAY;
     for write in &writes {
         core.pending_changes.hold_back_until(&write.job, until);
     }
     BatchOutcome::HeldBack
 }
 
-/// Not executed, or unknown: starts are decided again from the records as they then are. A write that is
-/// still in flight carries the page's old revision, and loses to the next one.
+/// Discards the starts of a transaction that was not executed or whose outcome is unknown. They are planned again
+/// from the records. If the transaction is still in flight, it conflicts with the page's next write, since both
+/// have the page's old revision as a precondition.
 fn apply_unavailable(core: &mut Core, writes: &[PendingPageWrite], error: &TransactionError) {
     if matches!(error, TransactionError::Unknown(_)) {
         for charge in writes.iter().filter_map(|write| write.charge.as_ref()) {
             core.limits.record_in_doubt(charge);
         }
     }
-    withdraw_all_starts(core, writes);
+    discard_all_starts(core, writes);
 }
--- a/src/jobs/writer/page_write.rs
+++ b/src/jobs/writer/page_write.rs
@@ -1,7 +1,7 @@
-//! Builds the write of one progress page: its new value and the preconditions under which that holds.
+//! Builds the write of one progress page: the new value and its preconditions.
 
+use super::discard::is_applicable;
 use super::selection::Selection;
-use super::withdrawal::is_applicable;
 use crate::fleet::MachineState;
 use crate::jobs::pages::placed_record_bytes;
 use crate::jobs::{PageId, ProgressPage, TaskRecord};
@@ -11,28 +11,28 @@
 use crate::state::{Operation, Precondition, RecordKey};
 use std::collections::BTreeSet;
 
-/// Preconditions of each start: its job, page and assignment.
+/// Preconditions of each page with starts: the revisions of the job, the page and the assignment.
 const FIXED_PRECONDITIONS: usize = 3;
 
-/// What a precondition adds to a transaction's body, in bytes: a key and its revision as JSON.
+/// Size of a precondition in a transaction's body, in bytes: a key and its revision as JSON.
 const PRECONDITION_BYTES: usize = 70;
 
-/// One progress page as it is to be written.
+/// The write of one progress page.
 pub(super) struct PendingPageWrite {
     pub job: String,
     pub page_id: PageId,
     pub operation: Operation,
-    /// The page once it is written.
+    /// The page's new content.
     pub page: ProgressPage,
     pub preconditions: Vec<Precondition>,
-    /// Exits on it have waited so long that it is written before starts.
+    /// Whether the page's exits have waited so long that it is written before pages with starts.
     pub is_overdue: bool,
-    /// Machines on which it starts tasks; empty if it holds exits alone.
+    /// The machines on which the page starts tasks; empty if it has only exits.
     pub machines: BTreeSet<String>,
-    /// What the starts are charged to, if their team's quota is divided among controllers.
+    /// The charge for the starts, if their team's quota is divided among controllers.
     pub charge: Option<QuotaCharge>,
     pub is_gang: bool,
-    /// No start was left out because it exceeds a value's size or a transaction's preconditions.
+    /// Whether all changes fit the maximum size of a value and the maximum number of preconditions.
     pub is_complete: bool,
 }
 
@@ -42,13 +42,13 @@
         !self.machines.is_empty()
     }
 
-    /// What it takes of a transaction's body, in bytes.
+    /// Size in a transaction's body, in bytes.
     pub fn bytes(&self) -> usize {
         self.operation.bytes() + self.preconditions.len() * PRECONDITION_BYTES
     }
 }
 
-/// The page that a write is for.
+/// The page to be written.
 pub(super) struct PageTarget<'a> {
     pub id: &'a str,
     pub job: &'a Job,
@@ -63,8 +63,8 @@
         }
     }
 
-    /// The page as the records have it. A compact page that does not exist yet starts with what the
-    /// plain ones say of its tasks.
+    /// The page's recorded content. A compact page that does not exist yet takes its tasks' records from the plain
+    /// pages.
     fn recorded_page(&self, core: &Core) -> ProgressPage {
         match (self.job.pages.get(&self.page), self.page) {
             (Some(recorded), _) => recorded.record.clone(),
@@ -86,10 +86,12 @@
         ProgressPage(records)
     }
 
-    /// Preconditions that follow from the page's encoding. A compact page that replaces plain ones: the
-    /// plain pages, which a transaction in flight of a process that has ended may still change. A plain
-    /// page, as long as there may be processes that know no other: that no process writes compact
-    /// pages yet.
+    /// Preconditions that follow from the page's encoding:
+    ///
+    /// - A new compact page requires that the plain pages that it replaces are unchanged: a transaction of a
+    ///   process that has ended may still be in flight and change them.
+    /// - A plain page requires, if compact pages are to be used, that the record of the schema versions is
+    ///   unchanged, and so that no process writes compact pages yet.
     fn encoding_preconditions(&self, core: &Core) -> Vec<Precondition> {
         let replica = &core.replica;
         match self.page {
@@ -103,7 +105,7 @@
                 let revision = replica
                     .schema_versions
                     .as_ref()
-                    .map_or(0, |forms| forms.revision);
+                    .map_or(0, |stored| stored.revision);
                 let key = RecordKey::SchemaVersions.to_string();
                 vec![Precondition { key, revision }]
             }
@@ -112,7 +114,7 @@
     }
 }
 
-/// The write of a page with those of the changes that still apply and fit. Nothing if none does.
+/// The write of a page with those changes that are still valid and fit; `None` if there are none.
 pub(super) fn build_page_write(
     selection: &Selection,
     target: &PageTarget,
@@ -128,15 +130,16 @@
         .then(|| builder.finish(selection, target, encoding))
 }
 
-/// A page to which changes are applied one by one.
+/// Applies changes to a page one by one.
 struct PageWriteBuilder<'a> {
     selection: &'a Selection<'a>,
     page_id: PageId,
     page: ProgressPage,
     /// Upper bound of the page's encoded size, in bytes.
     value_bytes: usize,
-    /// Preconditions beside those of the machines' rentals.
+    /// Number of preconditions other than those on the machines' rentals.
     fixed_preconditions: usize,
+    /// Preconditions on the machines' rentals.
     rentals: BTreeSet<Precondition>,
     /// Machines on which tasks are started.
     machines: BTreeSet<String>,
@@ -171,12 +174,13 @@
         }
     }
 
-    /// Applies a change, unless the records or the machine's owner have changed since it was decided.
-    /// What exceeds the transaction's preconditions or the value's size is left for a later write.
+    /// Applies a change. A change that is no longer valid, because the records or the machine's owner have changed
+    /// since, is skipped. One that exceeds the number of preconditions or the size of the value is left for a
+    /// later write.
     fn add_change(&mut self, task: u32, change: &TaskRecord) {
         let slot = self.selection.core.replica.layout.slot(self.page_id, task);
         let recorded = self.page.get(slot);
-        // Another controller may have written the same exit, and the task's next start, meanwhile.
+        // Another controller may already have written the same exit, and even the task's next start.
         if !is_applicable(recorded, change) {
             return;
         }
@@ -205,7 +209,8 @@
         self.is_changed = true;
     }
 
-    /// The rentals on which a change depends; nothing if one of its machines is not this controller's.
+    /// The preconditions on rentals that a change needs; `None` if the change can no longer be written, because a
+    /// machine is not owned by this controller any more or no longer accepts starts.
     fn rental_preconditions(
         &self,
         recorded: &TaskRecord,
@@ -215,15 +220,16 @@
         let machines = &core.replica.fleet.machines;
         let mut needed = Vec::new();
         if let TaskRecord::Placed { machine, .. } = change {
-            // The machine may have been reassigned or drained since the start was decided.
+            // The machine may have been reassigned or drained since the start was planned.
             let target = machines.get(machine)?;
             if target.owner != **me || target.state != MachineState::Active {
                 return None;
             }
             needed.extend(core.machine_precondition(machine));
         }
-        // What was observed of a task holds as long as its machine is ours: a next owner may have sent
-        // `run` for what was observed absent. A machine in no record is gone for good.
+        // An observation of a task is valid only while this controller owns the machine: a later owner may have sent
+        // `run` for a task that was observed to be absent. A machine without a record is gone for good, so what was
+        // observed of its tasks stays valid.
         if let TaskRecord::Placed { machine, .. } = recorded {
             if machines.get(machine).is_some_and(|m| m.owner != **me) {
                 return None;
@@ -276,7 +282,7 @@
     }
 }
 
-/// Guards a start against the job's assignment to another controller, which places it from then on.
+/// Prevents starts of a job that has been assigned to another controller, which places the job from then on.
 fn assignment_precondition(core: &Core) -> Precondition {
     let assignment = core.replica.assignment.as_ref();
     Precondition {
--- a/src/jobs/writer/selection.rs
+++ b/src/jobs/writer/selection.rs
@@ -1,4 +1,4 @@
-//! Selects the pages to write now from the pending changes, and their order. Changes nothing.
+//! Selects the pages to write from the pending changes, and their order. Changes no state.
 
 use super::flush_delay::FlushDelay;
 use super::page_write::{PageTarget, PendingPageWrite, build_page_write};
@@ -9,19 +9,19 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// What a selection of pages is made from.
+/// The input for the selection of pages.
 pub(super) struct Selection<'a> {
     pub core: &'a Core,
     /// This controller.
     pub me: &'a Member,
-    /// Most preconditions of one transaction.
+    /// Maximum number of preconditions in a transaction.
     pub max_preconditions: usize,
-    /// Nearly all of the write quota is unused.
+    /// Whether nearly all of the write quota is unused.
     pub has_ample_quota: bool,
     pub now: Instant,
 }
 
-/// The pages to write now, in the order in which they are written.
+/// The pages to write now, in the order of writing.
 pub(super) fn select_page_writes(selection: &Selection) -> Vec<PendingPageWrite> {
     let core = selection.core;
     let mut writes = Vec::new();
@@ -30,10 +30,10 @@
             select_of_job(selection, id, changes, &mut writes);
         }
     }
-    // Starts first: a task waits for each of them, and nobody waits for an exit's record. But where
-    // starts took the whole write quota, exits of other controllers' jobs were never written, and what
-    // their owners had to place again, or to release after them, waited for minutes: so overdue exits
-    // precede the starts. Starts are in the order of their placement.
+    // Starts come before exits, since a task waits for each start and usually nothing waits for the record of an
+    // exit. Overdue exits come before starts: when starts used the whole write quota, exits of other controllers'
+    // jobs were never written, and their owners waited for minutes before they could place these tasks again or
+    // release dependent jobs. Starts are ordered by the rank of their job.
     let rank = |write: &PendingPageWrite| {
         if write.has_starts() {
             core.pending_changes.start_rank(&write.job)
@@ -71,7 +71,7 @@
             writes.push(write);
         }
     }
-    // Of a gang all starts are written or none.
+    // Either all starts of a gang are written or none.
     if !is_complete && job.record.spec.is_gang() {
         writes.truncate(first_of_job);
     }
--- a/src/jobs/writer/tests.rs
+++ b/src/jobs/writer/tests.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
-/// A rental of one machine.
+/// The record of a rental of one machine.
 fn rental(machine: &str, owner: &str, token: u64) -> Value {
     json!({"kind":"m","zone":"a","spot":false,"count":1,"hired_ms":0,
         "owners":[[owner, 1]],"machines":[[machine, 0, token, 0]]})
@@ -50,14 +50,11 @@
     let now = Instant::now() + OWN_JOB_DELAY.constrained;
     let lines = page_writes(core, &me, 96, Quota::Ample, now)
         .into_iter()
-        .map(|d| {
-            let guards: Vec<String> = d
-                .preconditions
-                .iter()
-                .map(|g| format!("{}@{}", g.key, g.revision))
-                .collect();
-            let page = serde_json::to_string(&d.page).unwrap();
-            format!("put {page} if {}\n", guards.join(" "))
+        .map(|write| {
+            let preconditions: Vec<String> =
+                write.preconditions.iter().map(precondition_text).collect();
+            let page = serde_json::to_string(&write.page).unwrap();
+            format!("put {page} if {}\n", preconditions.join(" "))
         });
     let text: String = lines.collect();
     if text.is_empty() {
@@ -67,30 +64,30 @@
     }
 }
 
-/// Rule `ran_twice`, found by fault injection: a controller observed that a withdrawn start was absent, was
-/// partitioned before it could write that, and the machine's next owner started the task. When the
-/// partition ended, the old owner's write of the absence was accepted, and the task was placed again.
+/// Rule `ran_twice`, found by fault injection: a controller observed that the task of a withdrawn start was absent,
+/// and was partitioned before it wrote this. The machine's next owner started the task. After the partition, the
+/// previous owner's write was accepted, and the task was placed a second time.
 #[test]
 fn an_observation_under_an_earlier_ownership_is_not_written() {
     let (me, mut core) = core_with_a_job();
     core.update_ownership(&me, Instant::now());
     core.record_change(&TaskId::new("job-1", 0), TaskRecord::Waiting { last: 1 });
-    let ours = trace_of_writes(&core);
+    let unchanged = trace_of_writes(&core);
     put(&mut core, "r/m/r-1", rental("vm-1", "me", 2), 12);
     core.update_ownership(&me, Instant::now());
-    let after = trace_of_writes(&core);
-    insta::assert_snapshot!(format!("seen as owner\n{ours}another's in between\n{after}"), @r#"
-    seen as owner
+    let returned = trace_of_writes(&core);
+    insta::assert_snapshot!(format!("owned throughout\n{unchanged}reassigned and returned\n{returned}"), @r#"
+    owned throughout
     put [1] if r/j/job-1@5 r/p/job-1/0@7 r/m/r-1@6
-    another's in between
+    reassigned and returned
     nothing
     "#);
 }
 
-/// Rule `ran_twice`, without faults at 1,050 machines: a withdrawn start was observed to be absent, and
-/// while the ends of jobs were being written the watch delivered the machine's next owner. The absence
-/// was then written under the new revision, after that owner had sent `run`. And a start that was pending
-/// on such a machine stayed pending for ever.
+/// Rule `ran_twice`, at 1,050 machines without injected faults: a controller observed that the task of a withdrawn
+/// start was absent. While it wrote the ends of jobs, the watch delivered the machine's next owner. The absence was
+/// then written with the new revision as its precondition, although the next owner had already sent `run`. In
+/// addition, a pending start on such a machine stayed pending forever.
 #[test]
 fn reassignment_during_a_cycle_discards_the_machines_pending_changes() {
     let (me, mut core) = core_with_a_job();
@@ -98,31 +95,31 @@
     put(&mut core, "r/m/r-2", rental("vm-2", "me", 1), 9);
     core.update_ownership(&me, Instant::now());
     core.record_change(&TaskId::new("job-1", 0), TaskRecord::Waiting { last: 1 });
-    let on_second = TaskRecord::Placed {
+    let start_on_second = TaskRecord::Placed {
         attempt: 1,
         machine: "vm-2".into(),
         incarnation: 1,
     };
-    core.record_change(&TaskId::new("job-1", 1), on_second);
+    core.record_change(&TaskId::new("job-1", 1), start_on_second);
     let before = trace_of_writes(&core);
     put(&mut core, "r/m/r-1", rental("vm-1", "other", 2), 12);
     put(&mut core, "r/m/r-2", rental("vm-2", "other", 2), 13);
     let during = trace_of_writes(&core);
     core.update_ownership(&me, Instant::now());
-    let entry = core.task_record("job-1", 1);
+    let task_record = core.task_record("job-1", 1);
     insta::assert_snapshot!(
-        format!("ours\n{before}lost within the turn\n{during}then the second is {entry:?}"),
+        format!("owned\n{before}reassigned during the cycle\n{during}the task on vm-2 is then {task_record:?}"),
         @r#"
-        ours
+        owned
         put [1,[1,"vm-2",1]] if r/j/job-1@5 r/p/job-1/0@7 r/shares@0 r/m/r-1@6 r/m/r-2@9
-        lost within the turn
+        reassigned during the cycle
         nothing
-        then the second is Waiting { last: 0 }
+        the task on vm-2 is then Waiting { last: 0 }
         "#
     );
 }
 
-/// A gang of more tasks than a page holds starts with all its pages or not at all.
+/// A gang with more tasks than a page holds is started by one transaction with all of its pages.
 #[test]
 fn the_pages_of_a_starting_gang_share_a_transaction() {
     let (me, mut core) = core_with_a_job();
@@ -142,18 +139,18 @@
     }
     core.record_change(&TaskId::new("job-1", 1), start);
     let writes = page_writes(&core, &me, 96, Quota::Ample, Instant::now());
-    let mut units = Vec::new();
+    let mut groups = Vec::new();
     let mut rest = &writes[..];
     while !rest.is_empty() {
-        let (unit, others) = rest.split_at(atomic_group_len(rest));
-        units.push(format!("{} of {}", unit.len(), unit[0].job));
+        let (group, others) = rest.split_at(atomic_group_len(rest));
+        groups.push(format!("{} of {}", group.len(), group[0].job));
         rest = others;
     }
-    assert_eq!(units, ["1 of job-1", "3 of job-2"]);
+    assert_eq!(groups, ["1 of job-1", "3 of job-2"]);
 }
 
-/// Where writes are scarce, completions of another controller's large job are delayed while many are to
-/// come; near its end, or when a task must be placed again, its owner learns of them soon.
+/// While writes are scarce, completions of another controller's job are delayed as long as the job is far from its
+/// end. Near its end, or if a task must be placed again, the owner is informed sooner.
 #[test]
 fn completions_of_a_job_of_another_owner_are_delayed_far_from_its_end() {
     let (me, mut core) = core_with_a_job();
@@ -202,9 +199,9 @@
     "#);
 }
 
-/// What is written once the limits are 2 KiB and 8 operations: a gang of 16 on as many rentals is one
-/// page; of an array of 300, on a machine of its own each, with long names, as many starts are written as
-/// its pages and the preconditions allow, and the rest stays pending.
+/// With limits of 2 KiB per value and 8 operations per transaction, a gang of 16 tasks on 16 rentals is written as
+/// one page. Of an array of 300 tasks, each on a machine of its own with a long name, as many starts are written as
+/// the pages and preconditions allow, and the others stay pending.
 #[test]
 fn pages_fit_the_lower_limits_by_construction() {
     let layout = PageLayout {
@@ -217,8 +214,8 @@
         name: "me".into(),
         incarnation: 1,
     };
-    let forms = json!({"seen": ["me"], "layout": {"wide": 170, "dense": 128}});
-    put(&mut core, "r/forms", forms, 1);
+    let schema_versions = json!({"seen": ["me"], "layout": {"wide": 170, "dense": 128}});
+    put(&mut core, "r/forms", schema_versions, 1);
     for (id, shape, tasks) in [("job-1", "group", 16_u32), ("job-2", "array", 300)] {
         let mut spec = crate::pipelines::tests::spec(id, "urgent", None);
         spec["shape"] = json!(shape);
@@ -236,100 +233,103 @@
             );
         }
     }
-    // Some of the array's tasks were written on a plain page before.
+    // Some of the array's tasks are already recorded on a plain page.
     put(&mut core, "r/p/job-2/0", json!([true, 3, true]), 400);
     core.update_ownership(&me, Instant::now());
     for (id, tasks) in [("job-1", 16), ("job-2", 300)] {
         for task in 0..tasks {
             let machine = format!("vm-with-a-longer-name-{id}-{task:06}");
-            let entry = TaskRecord::Placed {
+            let start = TaskRecord::Placed {
                 attempt: 4,
                 machine,
                 incarnation: 1,
             };
-            core.record_change(&TaskId::new(id, task), entry);
+            core.record_change(&TaskId::new(id, task), start);
         }
     }
     let writes = page_writes(&core, &me, 32, Quota::Ample, Instant::now());
     let mut trace = String::new();
     for page in &writes {
         let bytes = json_of(&page.operation).len();
-        let (starts, guards) = (page.machines.len(), page.preconditions.len());
-        assert!(bytes <= 2048 && guards <= 32);
+        let (starts, preconditions) = (page.machines.len(), page.preconditions.len());
+        assert!(bytes <= 2048 && preconditions <= 32);
         let key = RecordKey::page(&page.job, page.page_id).to_string();
         trace.push_str(&format!(
-            "{key}: {starts} starts, {guards} guards, {bytes} bytes\n"
+            "{key}: {starts} starts, {preconditions} preconditions, {bytes} bytes\n"
         ));
     }
-    let under = writes
+    let preconditions = writes
         .iter()
-        .filter(|d| d.job == "job-2")
-        .flat_map(|d| &d.preconditions);
-    let under: Vec<_> = under.filter(|g| g.key.starts_with("r/p/")).collect();
+        .filter(|write| write.job == "job-2")
+        .flat_map(|write| &write.preconditions);
+    let on_plain_pages: Vec<_> = preconditions
+        .filter(|precondition| precondition.key.starts_with("r/p/"))
+        .collect();
     trace.push_str(&format!(
-        "brought over under {} marks of wide pages\n",
-        under.len()
+        "the migration has {} preconditions on plain pages\n",
+        on_plain_pages.len()
     ));
     insta::assert_snapshot!(trace, @r#"
-    r/q/job-1/0: 16 starts, 20 guards, 685 bytes
-    r/q/job-2/0: 28 starts, 32 guards, 1195 bytes
-    r/q/job-2/1: 27 starts, 32 guards, 1147 bytes
-    r/q/job-2/2: 27 starts, 32 guards, 1147 bytes
-    brought over under 5 marks of wide pages
+    r/q/job-1/0: 16 starts, 20 preconditions, 685 bytes
+    r/q/job-2/0: 28 starts, 32 preconditions, 1195 bytes
+    r/q/job-2/1: 27 starts, 32 preconditions, 1147 bytes
+    r/q/job-2/2: 27 starts, 32 preconditions, 1147 bytes
+    the migration has 5 preconditions on plain pages
     "#);
 }
 
-fn json_of(op: &Operation) -> &str {
-    match op {
+fn json_of(operation: &Operation) -> &str {
+    match operation {
         Operation::Put { value, .. } => value.get(),
         Operation::Delete { .. } => "",
     }
 }
 
-/// Where writes are scarce a job's end is one operation. It takes effect at once: its tasks hold no
-/// capacity, the jobs that depend on it are ready, a repeat of its submission finds it; and it is archived
-/// under its revision later.
+/// While writes are scarce, a job's end is written with one operation. It takes effect at once: the job's tasks use
+/// no capacity, its dependents are ready, and a repeated submission is recognised. The job is archived later, with
+/// the revision of that write as the precondition.
 #[test]
 fn a_finished_job_is_archived_later() {
     let (_, mut core) = core_with_a_job();
-    let waits = json!({"held": {"spec": crate::pipelines::tests::spec("job-2", "urgent", None),
+    let blocked = json!({"held": {"spec": crate::pipelines::tests::spec("job-2", "urgent", None),
         "accepted_ms": 0}, "awaits": ["job-1"]});
-    put(&mut core, "r/j/job-2", waits, 9);
+    put(&mut core, "r/j/job-2", blocked, 9);
     put(&mut core, "r/j/job-1", json!({"over": "done"}), 12);
     let replica = &core.replica;
     assert_eq!(replica.final_state("job-1"), Some(TerminalState::Done));
     assert!(replica.tasks_by_machine.is_empty() && replica.is_known("job-1"));
     assert_eq!(replica.pipelines.ready().count(), 1);
     let mut trace = String::new();
-    for most in [1, 2, 8] {
-        let batch = GarbageBatch::build(replica, most);
-        let (guards, ops) = (batch.preconditions, batch.operations);
-        let ops: Vec<String> = ops
+    for max_operations in [1, 2, 8] {
+        let batch = GarbageBatch::build(replica, max_operations);
+        let (preconditions, operations) = (batch.preconditions, batch.operations);
+        let operations: Vec<String> = operations
             .iter()
-            .map(|op| match op {
+            .map(|operation| match operation {
                 Operation::Put { key, value, .. } => format!("{key}={value}"),
                 Operation::Delete { key } => format!("-{key}"),
             })
             .collect();
-        let guards: Vec<String> = guards.iter().map(precondition_text).collect();
-        let (ops, guards) = (ops.join(" "), guards.join(", "));
-        trace.push_str(&format!("{most}: {ops} if [{guards}]\n"));
+        let preconditions: Vec<String> = preconditions.iter().map(precondition_text).collect();
+        let (operations, preconditions) = (operations.join(" "), preconditions.join(", "));
+        trace.push_str(&format!(
+            "{max_operations}: {operations} if [{preconditions}]\n"
+        ));
     }
     insta::assert_snapshot!(trace, @r#"
     1: -r/p/job-1/0 if []
-    2: e/job-1="done" -r/j/job-1 if [Guard { k: "r/j/job-1", mark: 12 }]
-    8: e/job-1="done" -r/j/job-1 -r/p/job-1/0 if [Guard { k: "r/j/job-1", mark: 12 }]
+    2: e/job-1="done" -r/j/job-1 if [r/j/job-1@12]
+    8: e/job-1="done" -r/j/job-1 -r/p/job-1/0 if [r/j/job-1@12]
     "#);
 }
 
-/// A precondition in the words of the kept traces.
 fn precondition_text(precondition: &Precondition) -> String {
     let Precondition { key, revision } = precondition;
-    format!("Guard {{ k: {key:?}, mark: {revision} }}")
+    format!("{key}@{revision}")
 }
 
-/// Jobs that never ended, with machines that were never released, on scenario `troubles` after the limits
-/// were lowered: a machine was drained while a pending start on it waited to be written.
+/// A machine was drained while a pending start on it waited to be written. The job then never ended, and the machine
+/// was never released (scenario `troubles`, after the limits were lowered).
 #[test]
 fn a_pending_start_on_a_draining_machine_is_discarded() {
     let (me, mut core) = core_with_a_job();
@@ -340,13 +340,13 @@
         incarnation: 1,
     };
     core.record_change(&TaskId::new("job-1", 1), start);
-    withdraw_unstartable(&mut core, &me);
+    discard_unstartable_starts(&mut core, &me);
     assert_eq!(core.pending_changes.starts_on("vm-1").count(), 1);
-    let mut returning = rental("vm-1", "me", 1);
-    returning["machines"][0][3] = json!(1);
-    put(&mut core, "r/m/r-1", returning, 12);
+    let mut draining = rental("vm-1", "me", 1);
+    draining["machines"][0][3] = json!(1);
+    put(&mut core, "r/m/r-1", draining, 12);
     core.update_ownership(&me, Instant::now());
-    withdraw_unstartable(&mut core, &me);
+    discard_unstartable_starts(&mut core, &me);
     assert_eq!(core.pending_changes.starts_on("vm-1").count(), 0);
     assert_eq!(
         *core.task_record("job-1", 1),
@@ -354,8 +354,8 @@
     );
 }
 
-/// Objective `deadline dawn-dispatch-push`, .33 on scenario `troubles` after the limits were lowered: one
-/// controller's starts took its whole write quota, and it wrote no exit of another's job for 100 s.
+/// One controller's starts used its whole write quota, and it wrote no exit of another controller's job for 100 s
+/// (objective `deadline dawn-dispatch-push`, .33 on scenario `troubles` after the limits were lowered).
 #[test]
 fn overdue_exits_are_written_before_starts() {
     let (me, mut core) = core_with_a_job();
@@ -379,7 +379,7 @@
             Quota::Scarce,
             Instant::now() + Duration::from_secs(s),
         );
-        let jobs: Vec<String> = writes.into_iter().map(|d| d.job).collect();
+        let jobs: Vec<String> = writes.into_iter().map(|write| write.job).collect();
         format!("after {s} s: {}", jobs.join(", "))
     };
     insta::assert_snapshot!([1, 3, 5].map(order).join("\n"), @r#"
@@ -389,8 +389,8 @@
     "#);
 }
 
-/// A gang that lost the machine of a pending start was written without that task: the others waited in
-/// vain for their peer, and the gang never counted as waiting again.
+/// A gang lost the machine of one pending start, and the other starts were written. Those tasks waited in vain for
+/// their peer, and the gang was never placed again because it did not count as waiting.
 #[test]
 fn a_gang_is_written_whole_or_discarded() {
     let (me, mut core) = core_with_a_job();
@@ -401,47 +401,47 @@
     put(&mut core, "r/m/r-2", rental("vm-2", "me", 1), 10);
     core.update_ownership(&me, Instant::now());
     for (task, machine) in [(0, "vm-1"), (1, "vm-2")] {
-        let entry = TaskRecord::Placed {
+        let start = TaskRecord::Placed {
             attempt: 1,
             machine: machine.into(),
             incarnation: 1,
         };
-        core.record_change(&TaskId::new("job-2", task), entry);
+        core.record_change(&TaskId::new("job-2", task), start);
     }
-    withdraw_broken_gangs(&mut core);
-    let whole = trace_of_writes(&core);
+    discard_incomplete_gangs(&mut core);
+    let complete = trace_of_writes(&core);
     put(&mut core, "r/m/r-2", rental("vm-2", "other", 2), 12);
     core.update_ownership(&me, Instant::now());
-    withdraw_broken_gangs(&mut core);
-    let broken = trace_of_writes(&core);
-    insta::assert_snapshot!(format!("whole\n{whole}one machine lost\n{broken}"), @r#"
-    whole
+    discard_incomplete_gangs(&mut core);
+    let incomplete = trace_of_writes(&core);
+    insta::assert_snapshot!(format!("all machines owned\n{complete}one machine reassigned\n{incomplete}"), @r#"
+    all machines owned
     put [[1,"vm-1",1],[1,"vm-2",1]] if r/j/job-2@9 r/p/job-2/0@0 r/shares@0 r/m/r-1@6 r/m/r-2@10
-    one machine lost
+    one machine reassigned
     nothing
     "#);
 }
 
-/// An answer that came after the watch had delivered later changes restored a deleted record, which
-/// nothing would ever delete again.
+/// The response to a write arrived after the watch had delivered the deletion of the same record. Applying it
+/// restored the record, and nothing would have deleted it again.
 #[test]
-fn a_late_answer_to_an_own_write_restores_nothing() {
+fn a_late_response_to_a_write_does_not_restore_a_deleted_record() {
     let (_, mut core) = core_with_a_job();
     let record = core.replica.fleet.rentals["r-1"].record.clone();
-    let drop = rowanmill_state::WatchEvent {
+    let deletion = rowanmill_state::WatchEvent {
         put: None,
         deleted: Some("r/m/r-1".into()),
         value: None,
         revision: 20,
     };
-    core.replica.apply(vec![drop], 20);
+    core.replica.apply(vec![deletion], 20);
     core.apply(vec![Operation::put("r/m/r-1", &record)], 12);
     assert!(core.replica.fleet.rentals.is_empty());
     core.apply(vec![Operation::put("r/m/r-3", &record)], 21);
     assert!(core.replica.fleet.rentals.contains_key("r-3"));
 }
 
-/// This controller, and its state with a job that has a task on this controller's machine vm-1.
+/// This controller and its state: a job with a task on machine vm-1, which this controller owns.
 fn core_with_a_job() -> (Member, Core) {
     let mut core = Core::new(crate::jobs::pages::tests::plain_layout(8), Instant::now());
     let me = Member {
@@ -468,9 +468,9 @@
     (me, core)
 }
 
-/// Rule `ran_twice`, found by fault injection: an exit waited to be written while its machine was
-/// reassigned. The next owner wrote it, the task was started again elsewhere, and then the first write
-/// arrived and took the new start for the old one.
+/// Rule `ran_twice`, found by fault injection: a machine was reassigned while the exit of one of its tasks waited to
+/// be written. The next owner wrote the exit, and the task was started on another machine. The previous owner's
+/// write of the exit then undid the new start.
 #[test]
 fn an_exit_does_not_undo_a_later_start() {
     let (me, mut core) = core_with_a_job();
@@ -483,22 +483,22 @@
     put(&mut core, "r/p/job-1/0", json!([[1, "vm-1", 1]]), 14);
     put(&mut core, "r/m/r-1", rental("vm-1", "other", 2), 15);
     core.update_ownership(&me, Instant::now());
-    let lost = trace_of_writes(&core);
-    insta::assert_snapshot!(format!("started again\n{later}machine lost\n{lost}"), @r"
-    started again
+    let reassigned = trace_of_writes(&core);
+    insta::assert_snapshot!(format!("started elsewhere\n{later}machine reassigned\n{reassigned}"), @r"
+    started elsewhere
     nothing
-    machine lost
+    machine reassigned
     nothing
     ");
 }
 
-/// A record that is too large is refused for ever. The largest possible array, started on a thousand
-/// machines of as many rentals: each page fits a value, each transaction's preconditions fit, and what is
-/// not written with this transaction stays pending for the next.
+/// The state service always refuses a record that is too large. When the largest possible array is started on a
+/// thousand machines, each in a rental of its own, each page fits a value and its preconditions fit a transaction.
+/// Starts that do not fit stay pending.
 #[test]
 fn the_largest_array_fits_its_records() {
-    let settings_value = 8 * 1024;
-    let page_len = settings_value / 48;
+    let max_value_bytes = 8 * 1024;
+    let page_len = max_value_bytes / 48;
     let mut core = Core::new(
         crate::jobs::pages::tests::plain_layout(page_len),
         Instant::now(),
@@ -519,25 +519,29 @@
     core.update_ownership(&me, Instant::now());
     for task in 0..100_000 {
         let machine = format!("vm-with-a-longer-name-{:06}", task % 1000);
-        let entry = TaskRecord::Placed {
+        let start = TaskRecord::Placed {
             attempt: 3,
             machine,
             incarnation: 2,
         };
-        core.record_change(&TaskId::new("job-1", task), entry);
+        core.record_change(&TaskId::new("job-1", task), start);
     }
     let writes = page_writes(&core, &me, 96, Quota::Ample, Instant::now());
-    let largest = writes.iter().map(|d| match &d.operation {
+    let largest = writes.iter().map(|write| match &write.operation {
         Operation::Put { value, .. } => value.get().len(),
         Operation::Delete { .. } => 0,
     });
     let largest = largest.max().unwrap();
-    let guards = writes.iter().map(|d| d.preconditions.len()).max().unwrap();
+    let preconditions = writes
+        .iter()
+        .map(|write| write.preconditions.len())
+        .max()
+        .unwrap();
     let bytes = writes.iter().map(PendingPageWrite::bytes).max().unwrap();
-    assert!(largest <= settings_value && guards <= 96 && bytes <= MAX_TRANSACTION_BYTES);
+    assert!(largest <= max_value_bytes && preconditions <= 96 && bytes <= MAX_TRANSACTION_BYTES);
     let pages = writes.len();
     insta::assert_snapshot!(
-        format!("{pages} pages, the largest of {largest} bytes, with at most {guards} guards"),
-        @"589 pages, the largest of 3442 bytes, with at most 96 guards"
+        format!("{pages} pages, the largest of {largest} bytes, with at most {preconditions} preconditions"),
+        @"589 pages, the largest of 3442 bytes, with at most 96 preconditions"
     );
 }
