--- a/src/jobs/archive.rs
+++ b/src/jobs/archive.rs
@@ -166,9 +166,9 @@
             Ending::Archived(state) => {
                 self.move_record(job, Operation::put(RecordKey::FinalState(&job.id), &state));
             }
-            // If the job returns to this cell, a page that was left behind would be read as one of its
-            // pages, and one that is deleted late would be missing. The last pages are therefore deleted in
-            // the same transaction as the record, with the record's revision as the precondition.
+            // If the job returned to this cell while one of its old pages still existed, that page would be
+            // read as a page of the returned job. The last pages are therefore deleted in the same
+            // transaction as the record, with the record's revision as the precondition.
             Ending::Relinquished(version) if job.has_all_pages => {
                 let relinquished = Relinquished::from(version);
                 self.move_record(
--- a/src/jobs/pages/layout.rs
+++ b/src/jobs/pages/layout.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The zero-based slot of a task on the page that covers it.
+    /// A task's slot on the page that covers it, counted from 0.
     pub fn slot(&self, page: PageId, task: u32) -> usize {
         task as usize % self.tasks_on(page).count
     }
--- a/src/jobs/records.rs
+++ b/src/jobs/records.rs
@@ -1,5 +1,4 @@
-//! The durable records of jobs, except for their progress pages. The previous version reads and writes the same
-//! JSON.
+//! The durable records of jobs, except for their progress pages. Their JSON is shared with the previous version.
 
 use super::JobSpec;
 use rowanmill_cells::OwnershipVersion;
@@ -54,8 +53,9 @@
     }
 
     /// How long this cell could have run the job, in milliseconds: since its adoption or, if it was not
-    /// adopted, since its tasks could first start. Its deadline and urgency are still measured from its
-    /// acceptance. An adoption time that is further in the future than clock skew can explain is ignored.
+    /// adopted, since its tasks could first start. The adoption does not change the times from which its
+    /// deadline and its urgency are measured. An adoption time that is further in the future than clock skew
+    /// can explain is ignored.
     pub fn waited_in_cell_ms(&self, now_ms: u64) -> u64 {
         let latest = now_ms.saturating_add(MAX_CLOCK_SKEW_MS);
         let adopted_ms = self.adopted_ms.filter(|adopted| *adopted <= latest);
--- a/src/jobs/task_id.rs
+++ b/src/jobs/task_id.rs
@@ -9,7 +9,7 @@
 pub struct TaskId {
     /// The job's id, `job-000412`.
     pub job: String,
-    /// The task's zero-based index in its job.
+    /// The task's index in its job, counted from 0.
     pub index: u32,
 }
 
@@ -18,7 +18,7 @@
 pub struct TaskRef<'a> {
     /// The job's id.
     pub job: &'a str,
-    /// The task's zero-based index in its job.
+    /// The task's index in its job, counted from 0.
     pub index: u32,
 }
 
--- a/src/jobs/writer/batch.rs
+++ b/src/jobs/writer/batch.rs
@@ -90,7 +90,7 @@
 
 /// Length of the atomic group at the front of `writes`: the writes that must share a transaction. These are all
 /// writes that start tasks of the same gang; any other write is a group of its own. If only some of a gang's pages
-/// were written, the tasks on them would wait in vain for their peers.
+/// were written, the tasks on them would wait for peers that never start.
 pub(super) fn atomic_group_len(writes: &[PendingPageWrite]) -> usize {
     let starts_gang = |write: &&PendingPageWrite| write.is_gang && write.has_starts();
     let Some(first) = writes.first().filter(starts_gang) else {
--- a/src/jobs/writer/tests.rs
+++ b/src/jobs/writer/tests.rs
@@ -389,8 +389,8 @@
     "#);
 }
 
-/// A gang lost the machine of one pending start, and the other starts were written. Those tasks waited in vain for
-/// their peer, and the gang was never placed again because it did not count as waiting.
+/// A gang lost the machine of one pending start, and the other starts were written. Those tasks waited for a
+/// peer that never started, and the gang was never placed again because it did not count as waiting.
 #[test]
 fn a_gang_is_written_whole_or_discarded() {
     let (me, mut core) = core_with_a_job();
@@ -498,9 +498,9 @@
 #[test]
 fn the_largest_array_fits_its_records() {
     let max_value_bytes = 8 * 1024;
-    let page_len = max_value_bytes / 48;
+    let tasks_per_page = max_value_bytes / 48;
     let mut core = Core::new(
-        crate::jobs::pages::tests::plain_layout(page_len),
+        crate::jobs::pages::tests::plain_layout(tasks_per_page),
         Instant::now(),
     );
     let me = Member {
