--- a/src/api/admission.rs
+++ b/src/api/admission.rs
@@ -24,7 +24,7 @@
     RecordTooLarge,
     /// The cloud's catalogue of machine types is not known yet.
     CatalogueUnknown,
-    MemoryShort,
+    InsufficientMemory,
     /// It depends on others, which not all controllers support yet.
     DependenciesUnsupported,
 }
@@ -42,7 +42,7 @@
                 error_response(StatusCode::BAD_REQUEST, reason)
             }
             Admission::CatalogueUnknown => retry_later(unavailable, 1, "no catalogue yet"),
-            Admission::MemoryShort => {
+            Admission::InsufficientMemory => {
                 retry_later(unavailable, 2, "too little memory for more work")
             }
             Admission::DependenciesUnsupported => {
@@ -62,7 +62,7 @@
     }
     // A process that ends for lack of memory answers none of its machines any more.
     if admission == Admission::Admitted && node.memory.update(memory::allocated()) {
-        return Admission::MemoryShort;
+        return Admission::InsufficientMemory;
     }
     admission
 }
--- a/src/cells/scheduler.rs
+++ b/src/cells/scheduler.rs
@@ -94,7 +94,7 @@
                 Err(Refusal::Ineligible("more than a record takes".to_owned()))
             }
             Admission::CatalogueUnknown
-            | Admission::MemoryShort
+            | Admission::InsufficientMemory
             | Admission::DependenciesUnsupported => Err(Refusal::Undetermined),
         }
     }
--- a/src/testing/compatibility/interfaces.rs
+++ b/src/testing/compatibility/interfaces.rs
@@ -348,7 +348,7 @@
         ("it can never run", Admission::Ineligible("unknown team")),
         ("more than a record takes", Admission::RecordTooLarge),
         ("not decided yet", Admission::CatalogueUnknown),
-        ("memory is short", Admission::MemoryShort),
+        ("memory is short", Admission::InsufficientMemory),
         (
             "it waits, and not all controllers can",
             Admission::DependenciesUnsupported,
