--- a/src/workers/agent.rs
+++ b/src/workers/agent.rs
@@ -1,5 +1,5 @@
-//! What the owner of a machine knows of its agent beyond the records. It is kept in memory; the next owner
-//! learns it again from heartbeats.
+//! The status of a worker agent that is not in the records. The machine's owner keeps it in memory, and a new owner
+//! rebuilds it from heartbeats.
 
 use super::wire::Heartbeat;
 use crate::jobs::TaskId;
@@ -7,13 +7,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A heartbeat counts as answered if the one before came within this part of the lease: an agent that had been
-/// silent for longer may have lost its lease by that alone.
-const ANSWERED_LEASE_PART: f64 = 0.6;
-/// After this many leases without a further sign an agent counts as responsive again.
+/// An agent's lease should not have expired if the agent's previous heartbeat arrived within this fraction of the lease.
+/// After a longer silence, the lease may have expired because heartbeats were missing.
+const MAX_ANSWERED_SILENCE_LEASES: f64 = 0.6;
+/// Multiple of the lease after which an unresponsive agent that shows no further symptom counts as responsive again.
 const RECOVERY_LEASES: f64 = 1.5;
 
-/// One attempt at running a task. Attempt numbers of a task are never used twice.
+/// One attempt to run a task. Attempt numbers of a task are never reused.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskAttempt {
     pub task: TaskId,
@@ -27,54 +27,54 @@
     at: Instant,
 }
 
-/// The attempts at tasks that were observed on a machine or started on it under the present ownership.
+/// The task attempts that were observed on a machine or sent to it since this controller became its owner.
 #[derive(Debug, Default)]
 pub struct AttemptLog {
-    /// Attempts for which `run` was sent.
+    /// Attempts for which a `run` command was sent.
     pub(super) sent_runs: HashSet<TaskAttempt>,
-    /// Of these, the ones that no heartbeat has shown yet, with the time of the first `run`.
+    /// The attempts in `sent_runs` that no heartbeat has reported yet, with the send time of the first `run`.
     pub(super) unacknowledged_runs: HashMap<TaskAttempt, Instant>,
-    /// When each running attempt was first observed running.
+    /// When each running attempt was first reported as running.
     running: HashMap<TaskId, FirstObserved>,
-    /// When each attempt was first observed on the machine or last sent to it.
+    /// When each attempt was first reported by the machine or last sent to it.
     present: HashMap<TaskId, FirstObserved>,
 }
 
 impl AttemptLog {
-    /// How long a task has run, as far as heartbeats showed it.
+    /// Time since a heartbeat first reported the task as running.
     pub fn running_for(&self, task: &TaskId, now: Instant) -> Option<Duration> {
         let first = self.running.get(task)?;
         Some(now.saturating_duration_since(first.at))
     }
 
-    /// How long a task has been on the machine or on its way to it.
+    /// Time since the task was first reported by the machine or last sent to it.
     pub fn present_for(&self, task: &TaskId, now: Instant) -> Option<Duration> {
         let first = self.present.get(task)?;
         Some(now.saturating_duration_since(first.at))
     }
 
-    /// Whether `run` was sent for an attempt that no heartbeat has shown yet.
+    /// Whether a `run` was sent for an attempt that no heartbeat has reported yet.
     pub fn has_unacknowledged_runs(&self) -> bool {
         !self.unacknowledged_runs.is_empty()
     }
 
-    /// How many entries are kept of attempts that were sent or observed.
+    /// Number of entries for attempts that were sent or observed.
     #[cfg(test)]
     pub(super) fn len(&self) -> usize {
         self.sent_runs.len() + self.present.len()
     }
 
-    /// A heartbeat shows the attempt on the machine.
+    /// Records that a heartbeat reports the attempt on the machine.
     pub(super) fn observe_present(&mut self, task: &TaskId, attempt: u64, now: Instant) {
         record_first(&mut self.present, task, attempt, now);
     }
 
-    /// A heartbeat shows the attempt running.
+    /// Records that a heartbeat reports the attempt as running.
     pub(super) fn observe_running(&mut self, task: &TaskId, attempt: u64, now: Instant) {
         record_first(&mut self.running, task, attempt, now);
     }
 
-    /// The attempt has ended: returns how long it ran, where that was observed.
+    /// Removes an attempt that has ended. Returns its run time, if it was observed running.
     pub(super) fn observe_exit(
         &mut self,
         task: &TaskId,
@@ -86,7 +86,7 @@
         (first.attempt == attempt).then(|| now.saturating_duration_since(first.at))
     }
 
-    /// `run` goes out for an attempt; `first_sent` is the time of the first one that is not acknowledged yet.
+    /// Records that a `run` is sent for an attempt. `first_sent` is the send time of its first unacknowledged `run`.
     pub(super) fn record_run(&mut self, run: TaskAttempt, first_sent: Instant, now: Instant) {
         let first = FirstObserved {
             attempt: run.attempt,
@@ -97,29 +97,29 @@
         self.sent_runs.insert(run);
     }
 
-    /// Keeps the run times of attempts that `is_present` alone.
+    /// Keeps the start times of the running attempts for which `is_present` holds, and drops all others.
     pub(super) fn retain_running(&mut self, is_present: impl Fn(&TaskId, u64) -> bool) {
         self.running
             .retain(|task, first| is_present(task, first.attempt));
     }
 
-    /// Forgets attempts that are no longer recorded here: on a machine that is kept for days they would fill
-    /// the memory.
+    /// Drops the attempts of tasks that the records no longer place on this machine. On a machine that is rented for
+    /// days, they would exhaust the memory.
     pub(super) fn forget_unrecorded(&mut self, recorded: Option<&BTreeSet<TaskId>>) {
         let is_recorded = |task: &TaskId| recorded.is_some_and(|tasks| tasks.contains(task));
         self.sent_runs.retain(|run| is_recorded(&run.task));
         self.present.retain(|task, _| is_recorded(task));
     }
 
-    /// A new incarnation knows nothing of what was sent to the one before.
+    /// Drops all sent runs. A new incarnation of the agent has no knowledge of commands to the previous one.
     fn forget_runs(&mut self) {
         self.sent_runs.clear();
         self.unacknowledged_runs.clear();
     }
 }
 
-/// Records when an attempt was first observed. Most heartbeats repeat what is recorded, so that a key is made
-/// only for what is new.
+/// Records when an attempt was first observed. The key is cloned only for a new task, because most heartbeats repeat
+/// known attempts.
 fn record_first(
     observed: &mut HashMap<TaskId, FirstObserved>,
     task: &TaskId,
@@ -136,12 +136,12 @@
     }
 }
 
-/// The times by which an agent is judged to follow its commands.
+/// The time limits by which an agent is classified as responsive or unresponsive to commands.
 #[derive(Debug, Clone, Copy)]
 pub struct ResponsivenessLimits {
     pub lease: Duration,
-    /// How long the task of a `run` may stay absent from heartbeats.
-    pub run_patience: Duration,
+    /// How long after a `run` its task may be missing from heartbeats.
+    pub run_acknowledgement_timeout: Duration,
 }
 
 /// An image in a machine's cache.
@@ -151,34 +151,34 @@
     pub size_gb: f64,
 }
 
-/// What the owner knows of an agent, from its heartbeats under the present ownership.
+/// The status of an agent, from its heartbeats to the machine's present owner.
 #[derive(Debug)]
 pub struct AgentStatus {
     pub latest_heartbeat: Arc<Heartbeat>,
-    /// When it last sent a heartbeat with our fencing token: a copy of one from before our ownership is no
-    /// sign of life, and neither are heartbeats of an agent that never received a response of ours.
+    /// When it last sent a heartbeat with our fencing token. Delayed copies of heartbeats from before our ownership
+    /// don't count, nor do heartbeats of an agent that has never received a response from us.
     pub last_heartbeat_at: Instant,
-    /// It has received our fencing token. Until then nothing is placed on its machine.
+    /// Whether the agent has received our fencing token. Until then, no task is placed on its machine.
     pub ownership_acknowledged: bool,
-    /// Since when it has appeared not to receive our responses.
+    /// Since when the agent has appeared not to receive our responses.
     pub unresponsive_since: Option<Instant>,
-    /// Incarnations that ended although their heartbeats were answered.
+    /// Number of incarnations whose lease expired although their heartbeats were answered.
     pub expired_leases: u32,
-    /// When the cloud preempts the machine, once it has given notice.
+    /// When the cloud will preempt the machine, if it has given notice.
     pub preemption_at: Option<Instant>,
     pub attempts: AttemptLog,
-    /// Jobs with a task that failed here since a task last completed here.
+    /// Jobs with a task that has failed on this machine since the last completion of a task on it.
     pub failed_jobs: HashSet<String>,
-    /// Measured over expected run time, smoothed.
+    /// Ratio of measured to expected run time, exponentially smoothed.
     pub slowness: f64,
-    /// When it last had a task: from then on the machine is held idle.
+    /// When the machine last ran the kind of work that it was rented for. Its idle time counts from then.
     pub last_used_at: Instant,
-    /// Images that its machine should have, most recently used last.
+    /// The images that the machine's cache is expected to hold, most recently used last.
     pub cached_images: Vec<CachedImage>,
 }
 
 impl AgentStatus {
-    /// The status of an agent by its first heartbeat, which has proven nothing yet.
+    /// The status of an agent at its first heartbeat, before the agent has acknowledged our ownership.
     pub fn new(heartbeat: Arc<Heartbeat>, now: Instant) -> Self {
         Self {
             latest_heartbeat: heartbeat,
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Records that the machine uses an image; the least recently used ones are evicted.
+    /// Records that the machine uses an image, and evicts the least recently used images beyond `cache_gb`.
     pub fn record_image_use(&mut self, image: &str, size_gb: f64, cache_gb: f64) {
         let images = &mut self.cached_images;
         if images.last().is_some_and(|last| last.name == image) {
@@ -211,9 +211,9 @@
         }
     }
 
-    /// Judges whether the agent follows its commands, by a heartbeat newer than the latest. One that receives
-    /// nothing shows it in two ways: a task that was sent stays absent, heartbeat after heartbeat, and its
-    /// incarnations end although its heartbeats are answered.
+    /// Updates from a new heartbeat whether the agent responds to commands. An agent that does not receive our
+    /// responses shows one of two symptoms: its heartbeats keep omitting a task for which a `run` was sent, or its
+    /// leases expire although its heartbeats are answered.
     pub fn update_responsiveness(
         &mut self,
         heartbeat: &Heartbeat,
@@ -224,13 +224,13 @@
             self.record_new_incarnation(limits.lease, now);
             return;
         }
-        if let Some(since) = self.oldest_ignored_run(heartbeat) {
-            if now.saturating_duration_since(since) > limits.run_patience {
+        if let Some(since) = self.oldest_ignored_run_sent_at(heartbeat) {
+            if now.saturating_duration_since(since) > limits.run_acknowledgement_timeout {
                 self.unresponsive_since.get_or_insert(since);
             }
             return;
         }
-        // It follows, or has nothing to follow: only time tells.
+        // No command is being ignored, but there may have been none to follow. Only the elapsed time clears the state.
         let recovery = limits.lease.mul_f64(RECOVERY_LEASES);
         let has_recovered = self
             .unresponsive_since
@@ -244,15 +244,15 @@
     fn record_new_incarnation(&mut self, lease: Duration, now: Instant) {
         self.attempts.forget_runs();
         let silence = now.saturating_duration_since(self.last_heartbeat_at);
-        let was_answered = silence < lease.mul_f64(ANSWERED_LEASE_PART);
-        if was_answered && self.ownership_acknowledged {
+        let is_unexpected = silence < lease.mul_f64(MAX_ANSWERED_SILENCE_LEASES);
+        if is_unexpected && self.ownership_acknowledged {
             self.expired_leases += 1;
             self.unresponsive_since.get_or_insert(now);
         }
     }
 
-    /// When the first `run` was sent of those that the heartbeat still does not show.
-    fn oldest_ignored_run(&self, heartbeat: &Heartbeat) -> Option<Instant> {
+    /// The earliest send time among the runs whose attempts are missing from the heartbeat.
+    fn oldest_ignored_run_sent_at(&self, heartbeat: &Heartbeat) -> Option<Instant> {
         let is_ignored = |run: &TaskAttempt| {
             let name = run.task.to_string();
             let mut tasks = heartbeat.tasks.iter();
@@ -263,7 +263,7 @@
         ignored.map(|(_, first_sent)| *first_sent).min()
     }
 
-    /// Whether a heartbeat is newer than the latest: late copies must not undo it.
+    /// Whether a heartbeat is newer than the latest one. Older copies that arrive late must not overwrite it.
     pub fn is_superseded_by(&self, heartbeat: &Heartbeat) -> bool {
         let latest = &self.latest_heartbeat;
         (heartbeat.incarnation, heartbeat.sequence) > (latest.incarnation, latest.sequence)
--- a/src/workers/exits.rs
+++ b/src/workers/exits.rs
@@ -1,4 +1,4 @@
-//! Records what the exits of tasks teach: run times, deadline misses, and which machines or jobs fail.
+//! Updates statistics from the exits of tasks: run times, missed deadlines, and failures by machine and by job.
 
 use super::agent::AgentStatus;
 use super::reconcile::Completion;
@@ -8,15 +8,17 @@
 use crate::placement::snapshot::eligible_machine_types;
 use std::time::Instant;
 
-/// From so many jobs with a failed task on, without a completion in between, the machine is at fault.
-const FAILED_JOBS_OF_FAULTY_MACHINE: usize = 2;
-/// Part of the newest ratio in the smoothed slowness of a machine.
+/// Number of different jobs whose tasks fail on a machine, without a completion in between, from which the machine is
+/// considered faulty.
+const FAULTY_MACHINE_MIN_FAILED_JOBS: usize = 2;
+/// Weight of the newest ratio in a machine's exponentially smoothed slowness.
 const SLOWNESS_GAIN: f64 = 0.2;
+/// Lower and upper bound of a machine's slowness.
 const SLOWNESS_RANGE: (f64, f64) = (0.7, 6.0);
-/// Least expected ratio of run time to estimate that a measured one is compared with.
+/// Lower bound on the expected ratio of run time to estimate, by which a measured ratio is divided.
 const MIN_EXPECTED_RATIO: f64 = 0.05;
 
-/// Records a completion that the records do not hold yet.
+/// Updates the statistics with a completion that is not recorded yet.
 pub fn record_completion(core: &mut Core, status: &mut AgentStatus, completion: &Completion) {
     status.failed_jobs.clear();
     let TaskId { job, index } = &completion.task;
@@ -26,7 +28,7 @@
     let spec = &job_record.spec;
     let age_s = age_s(job_record.accepted_ms, wall_ms());
     let is_late = spec.deadline_s.is_some_and(|deadline_s| age_s > deadline_s);
-    // A later attempt may have resumed from a checkpoint.
+    // The run time of a later attempt is not comparable: the task may have resumed from a checkpoint.
     let is_first_attempt = core.replica.task_record(job, *index).last_attempt() == 1;
     let run_time_ratio = completion
         .run_time
@@ -37,18 +39,19 @@
         count_completion(core, share, is_late);
     }
     if let Some(ratio) = run_time_ratio {
-        learn_run_time(core, status, class, ratio);
+        update_run_time_estimate(core, status, class, ratio);
     }
 }
 
-/// The part of a machine that one task takes.
+/// The share of a machine's resources that one task uses.
 struct MachineShare {
     machine_type: String,
     /// From 0 to 1.
     share: f64,
 }
 
-/// The share of a machine of the type that a job's tasks are counted for.
+/// The share of a machine of the first eligible type that one task of the job uses. Completions of the job count for
+/// that type.
 fn machine_share(core: &Core, spec: &JobSpec) -> Option<MachineShare> {
     let pool = eligible_machine_types(core, spec);
     let machine_type = core.machine_type(pool.first()?)?;
@@ -74,8 +77,9 @@
     counts.late += if is_late { share } else { 0.0 };
 }
 
-/// Learns the ratio of a measured run time to the job's estimate.
-fn learn_run_time(core: &mut Core, status: &mut AgentStatus, class: String, ratio: f64) {
+/// Updates the run time estimate of a job's class and the machine's slowness with `ratio`, a measured run time divided by
+/// the job's own estimate.
+fn update_run_time_estimate(core: &mut Core, status: &mut AgentStatus, class: String, ratio: f64) {
     let estimate = core.runtime_estimates.entry(class).or_default();
     let relative = ratio / estimate.mean().max(MIN_EXPECTED_RATIO);
     let smoothed = status.slowness * (1.0 - SLOWNESS_GAIN) + relative * SLOWNESS_GAIN;
@@ -84,8 +88,7 @@
     estimate.add(ratio);
 }
 
-/// Records a failure that the records do not hold yet. A machine on which tasks of several jobs fail is
-/// released.
+/// Counts a failure that is not recorded yet. A machine on which tasks of several jobs have failed is drained.
 pub fn record_failure(
     core: &mut Core,
     status: &mut AgentStatus,
@@ -98,10 +101,10 @@
     failures.count += 1;
     failures.last = Some(now);
     if failures.is_everywhere() {
-        return; // the job is at fault rather than the machine
+        return; // the job is faulty rather than the machine
     }
     status.failed_jobs.insert(task.job.clone());
-    if status.failed_jobs.len() >= FAILED_JOBS_OF_FAULTY_MACHINE {
+    if status.failed_jobs.len() >= FAULTY_MACHINE_MIN_FAILED_JOBS {
         let reason = "tasks of several jobs failed";
         tracing::info!(machine, reason, "machine quarantined");
         core.scaling.to_drain.push(machine.to_owned());
--- a/src/workers/ingest.rs
+++ b/src/workers/ingest.rs
@@ -1,5 +1,5 @@
-//! Takes a heartbeat of an owned machine into what is known and planned. The records are written by
-//! [`crate::jobs::writer`]; nothing is sent from here.
+//! Processes a heartbeat of an owned machine: updates the agent's status and queues the resulting record changes.
+//! [`crate::jobs::writer`] writes these, and [`super::service`] sends the response.
 
 use super::Ownership;
 use super::agent::{AgentStatus, ResponsivenessLimits};
@@ -14,31 +14,32 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// `run` goes out by records read within this time. A node that the state service refuses alone would else
-/// start for `disconnected_lease_limit` what another has confirmed as cancelled. One that follows the log
-/// undisturbed has read it within half of this.
-const START_RECORDS_AGE_LIMIT: Duration = Duration::from_secs(3);
-/// The task of a `run` may stay absent for this many heartbeats, and for [`RUN_PATIENCE_MARGIN`].
-const RUN_PATIENCE_HEARTBEATS: f64 = 2.5;
-/// After this time an agent drops a late response.
-const RUN_PATIENCE_MARGIN: Duration = Duration::from_secs(4);
-/// Longest preemption notice that is believed, in seconds.
+/// Greatest age of the last read of the records at which `run` may be sent. Without this limit, a controller that alone
+/// is disconnected from the state service could go on starting tasks for `disconnected_lease_limit` after another one
+/// has confirmed their cancellation. In undisturbed operation, the last read is at most half this old.
+const MAX_RECORDS_AGE_FOR_STARTS: Duration = Duration::from_secs(3);
+/// Heartbeat intervals after a `run` for which its task may be missing from heartbeats, in addition to
+/// [`RUN_ACKNOWLEDGEMENT_MARGIN`].
+const RUN_ACKNOWLEDGEMENT_HEARTBEATS: f64 = 2.5;
+/// Response delay after which an agent drops a response.
+const RUN_ACKNOWLEDGEMENT_MARGIN: Duration = Duration::from_secs(4);
+/// Upper bound on an agent's preemption notice, in seconds. Longer notices are treated as this long.
 const MAX_PREEMPTION_NOTICE_S: f64 = 3600.0;
 
-/// What became of a heartbeat.
+/// The result of ingesting a heartbeat.
 pub enum Ingestion {
-    /// The machine is not this node's, or no longer.
+    /// This controller does not own the machine, or does not own it any longer.
     NotOwner,
-    /// A newer heartbeat was ingested before.
+    /// The heartbeat is not newer than the latest one that was ingested.
     Stale,
     Reconciled {
-        /// Tasks have ended since the last heartbeat.
+        /// Whether the heartbeat reports an exit that was neither recorded nor queued before.
         capacity_freed: bool,
         response: HeartbeatResponse,
     },
 }
 
-/// Takes in a heartbeat of an owned machine: its agent's status, and the exits to be recorded.
+/// Ingests a heartbeat of an owned machine: updates the agent's status and queues the reported exits for recording.
 pub fn ingest_heartbeat(
     node: &Node,
     core: &mut Core,
@@ -53,7 +54,7 @@
         return Ingestion::NotOwner;
     };
     if heartbeat.fencing_token > fencing_token {
-        return Ingestion::NotOwner; // it was reassigned since; the record of that has yet to reach us
+        return Ingestion::NotOwner; // the machine was reassigned, but this replica has not read the change yet
     }
     let Some(mut status) = take_status(node, core, heartbeat, now) else {
         return Ingestion::Stale;
@@ -63,12 +64,12 @@
         fencing_token,
         at: now,
     };
-    observe(core, &mut status, &received);
+    update_status(core, &mut status, &received);
     let reconciliation = reconcile_with_records(node, core, &received, &mut status);
-    record_images(core, &mut status, heartbeat);
+    record_image_uses(core, &mut status, heartbeat);
     status.latest_heartbeat = heartbeat.clone();
-    record_exits(core, &mut status, &heartbeat.machine, &reconciliation, now);
-    let capacity_freed = plan_exits(core, reconciliation.exits);
+    record_new_exits(core, &mut status, &heartbeat.machine, &reconciliation, now);
+    let capacity_freed = queue_exits(core, reconciliation.exits);
     core.workers
         .agents
         .insert(heartbeat.machine.clone(), status);
@@ -81,8 +82,8 @@
     }
 }
 
-/// Takes the agent's status out of the registry, with its responsiveness judged by the heartbeat. None if the
-/// heartbeat is not newer than the latest.
+/// Removes the agent's status from the registry and updates its responsiveness from the heartbeat. Returns `None` and
+/// leaves the status in place if the heartbeat is not newer than the latest.
 fn take_status(
     node: &Node,
     core: &mut Core,
@@ -101,14 +102,16 @@
     let interval = node.settings.heartbeat_interval();
     let limits = ResponsivenessLimits {
         lease: node.settings.worker_lease(),
-        run_patience: interval.mul_f64(RUN_PATIENCE_HEARTBEATS) + RUN_PATIENCE_MARGIN,
+        run_acknowledgement_timeout: interval.mul_f64(RUN_ACKNOWLEDGEMENT_HEARTBEATS)
+            + RUN_ACKNOWLEDGEMENT_MARGIN,
     };
     status.update_responsiveness(heartbeat, limits, now);
     Some(status)
 }
 
-/// Records what a heartbeat shows of its agent, whatever runs on the machine.
-fn observe(core: &Core, status: &mut AgentStatus, received: &ReceivedHeartbeat) {
+/// Updates the fields of the status that don't depend on the reported tasks: when the agent was last heard from and
+/// last used, its acknowledgement of our ownership, and the preemption notice.
+fn update_status(core: &Core, status: &mut AgentStatus, received: &ReceivedHeartbeat) {
     let ReceivedHeartbeat {
         heartbeat,
         fencing_token,
@@ -126,15 +129,15 @@
     });
 }
 
-/// A heartbeat as its machine's owner received it.
+/// A heartbeat, with the fencing token and the time at which the machine's owner processes it.
 pub struct ReceivedHeartbeat<'a> {
     pub heartbeat: &'a Heartbeat,
-    /// The machine's fencing token, by its record.
+    /// The machine's fencing token in its record.
     pub fencing_token: u64,
     pub at: Instant,
 }
 
-/// Reconciles a heartbeat with the records as they now are.
+/// Reconciles a heartbeat with the current records.
 pub fn reconcile_with_records(
     node: &Node,
     core: &Core,
@@ -158,14 +161,14 @@
     reconcile(heartbeat, &mut status.attempts, &desired, now)
 }
 
-/// Whether the records are recent enough to start tasks by them.
+/// Whether the records, and the ledger where there are cells, were read recently enough to start tasks.
 fn permits_starts(node: &Node, core: &Core, now: Instant) -> bool {
-    let is_recent = |read| now.saturating_duration_since(read) <= START_RECORDS_AGE_LIMIT;
+    let is_recent = |read| now.saturating_duration_since(read) <= MAX_RECORDS_AGE_FOR_STARTS;
     core.last_read_barrier.is_some_and(is_recent) && cells::permits_starts(node, now)
 }
 
-/// Jobs of which nothing may run on the machine, beyond what the records say: other controllers know them to
-/// be cancelled, or the cells' ledger does.
+/// Jobs whose tasks must not run on the machine even if the records still place them there: another controller has
+/// reported their cancellation, or the cells' ledger or attestations forbid this cell to run them.
 fn cancelled_jobs(node: &Node, core: &Core, heartbeat: &Heartbeat) -> Arc<BTreeSet<String>> {
     let mut cancelled = node.peer_status().cancelled.clone();
     let halted = cells::halted_jobs_on(node, core, heartbeat);
@@ -175,7 +178,7 @@
     cancelled
 }
 
-fn record_images(core: &Core, status: &mut AgentStatus, heartbeat: &Heartbeat) {
+fn record_image_uses(core: &Core, status: &mut AgentStatus, heartbeat: &Heartbeat) {
     let machine_type = core.machine_type(&heartbeat.machine_type);
     let cache_gb = machine_type.map_or(0.0, |machine_type| machine_type.cache_gb);
     for task in &heartbeat.tasks {
@@ -188,9 +191,9 @@
     }
 }
 
-/// Learns from the exits that are not planned yet: until an exit is recorded it is reported again, and it
-/// counts once.
-fn record_exits(
+/// Updates estimates and failure counts from new exits. An agent reports an exit until it is recorded, so exits that
+/// are already queued are skipped to count each one once.
+fn record_new_exits(
     core: &mut Core,
     status: &mut AgentStatus,
     machine: &str,
@@ -212,13 +215,13 @@
     }
 }
 
-/// Plans the records of exits. True if one of them is new.
-fn plan_exits(core: &mut Core, exits: impl IntoIterator<Item = (TaskId, TaskRecord)>) -> bool {
+/// Queues the exits for recording. Returns whether any of them is new.
+fn queue_exits(core: &mut Core, exits: impl IntoIterator<Item = (TaskId, TaskRecord)>) -> bool {
     let mut is_any_new = false;
     for (task, exit) in exits {
         let known = core.task_record(&task.job, task.index);
         is_any_new |= *known != exit;
-        // A start planned on top of this exit already says the same.
+        // A later attempt that is already queued or recorded supersedes this exit.
         let is_outdated =
             matches!(exit, TaskRecord::Waiting { last } if known.last_attempt() > last);
         if !is_outdated {
@@ -228,10 +231,10 @@
     is_any_new
 }
 
-/// A machine whose heartbeat this node may not answer is alive all the same. Taken for silent, it and all
-/// others were released right after an outage, and controllers that had refused most heartbeats stepped
-/// down, as if they could not receive them.
-pub fn record_sign_of_life(core: &mut Core, heartbeat: &Heartbeat, now: Instant) {
+/// Records the time of a heartbeat that this controller receives but may not answer. Without this, machines would
+/// appear silent during an outage of the state service: all were released right after it, and controllers that had
+/// refused most heartbeats stepped down as if they could not receive them.
+pub fn record_unanswered_heartbeat(core: &mut Core, heartbeat: &Heartbeat, now: Instant) {
     let Some(Ownership { fencing_token, .. }) = core.workers.owned.get(&heartbeat.machine) else {
         return;
     };
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,5 +1,6 @@
-//! The agents on the machines that this node owns: what their heartbeats show and which commands they get.
-//! Records are changed by way of [`crate::jobs::pending_changes`] alone.
+//! Manages the worker agents on the machines that this controller owns: processes their heartbeats and decides which
+//! commands they receive. Changes to task records are queued in [`crate::jobs::pending_changes`] and never written from
+//! here.
 
 pub mod agent;
 mod exits;
@@ -16,30 +17,30 @@
 use std::time::Instant;
 use tokio::sync::oneshot;
 
-/// Since when, and under which fencing token, this node owns a machine.
+/// This controller's ownership of a machine: when it began, and the fencing token under which it holds.
 #[derive(Debug, Clone, Copy)]
 pub struct Ownership {
     pub since: Instant,
     pub fencing_token: u64,
 }
 
-/// What this node knows of its machines and their tasks beyond the records.
+/// The in-memory state of this controller's machines and their tasks. None of it is in the state service.
 #[derive(Debug, Default)]
 pub struct Workers {
-    /// The agents that have sent a heartbeat under the present ownership, by machine.
+    /// The agents that have sent a heartbeat since this controller became the owner, by machine name.
     pub agents: HashMap<String, AgentStatus>,
-    /// The machines that this node owns.
+    /// The machines that this controller owns, by name.
     pub owned: HashMap<String, Ownership>,
     pub pending_stops: PendingStops,
-    /// Idle machines whose heartbeat's response is held back; sending releases it.
+    /// Idle machines whose heartbeat response is held, by name. Sending on the channel releases the response.
     pub held_responses: HashMap<String, oneshot::Sender<()>>,
 }
 
 impl Workers {
-    /// Sends the response that is held back until there is work for this machine, if there is one.
+    /// Releases this machine's heartbeat response, if one is held.
     pub fn release_held_response(&mut self, machine: &str) {
         if let Some(release) = self.held_responses.remove(machine) {
-            // Without a receiver the wait has run out, and the response is on its way.
+            // If the receiver is gone, the hold timed out and the response is already being sent.
             let _ = release.send(());
         }
     }
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -1,5 +1,5 @@
-//! Compares a heartbeat with the records and decides what is to be recorded and commanded. Decides only:
-//! [`super::ingest`] plans the records' changes and [`super::service`] sends the commands.
+//! Compares a heartbeat with the records and computes the exits to record and the commands to send. It has no side
+//! effects beyond the attempt log: [`super::ingest`] queues the record changes and [`super::service`] sends the commands.
 
 use super::agent::{AttemptLog, TaskAttempt};
 use super::wire::{Command, ExitReason, Heartbeat, ReportedTask, TaskState};
@@ -10,10 +10,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-/// Stops that drains and preemption asked for, with the seconds of grace for saving.
+/// The attempts that drains and preemption are stopping, with the seconds that each has to save its progress.
 pub type PendingStops = HashMap<TaskAttempt, f64>;
 
-/// What the tasks on a machine are to be: the records, and what is planned and not in them yet.
+/// The desired state of a machine's tasks: the records, and the changes that are queued but not recorded yet.
 #[derive(Clone, Copy)]
 pub struct DesiredState<'a> {
     pub replica: &'a Replica,
@@ -21,15 +21,15 @@
     pub fencing_token: u64,
     pub pending_stops: &'a PendingStops,
     pub pending_changes: &'a PendingChanges,
-    /// Jobs that are known to be cancelled although their records may not say so yet.
+    /// Jobs that must not run even if their records don't say so yet.
     pub cancelled_jobs: &'a BTreeSet<String>,
-    /// The records were read recently enough to start tasks by them.
+    /// Whether the records were read recently enough to start tasks.
     pub starts_permitted: bool,
 }
 
 impl DesiredState<'_> {
-    /// Whether nothing of a job may run any more.
-    fn is_over(&self, id: &str, job: Option<&Job>) -> bool {
+    /// Whether no task of the job may run: the job has ended or is cancelled.
+    fn must_not_run(&self, id: &str, job: Option<&Job>) -> bool {
         job.is_none_or(|job| job.record.cancelled) || self.cancelled_jobs.contains(id)
     }
 }
@@ -38,34 +38,34 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Completion {
     pub task: TaskId,
-    /// How long it ran, where that was observed.
+    /// How long it ran, if that was observed.
     pub run_time: Option<Duration>,
 }
 
-/// What follows from a heartbeat.
+/// The exits and commands that result from a heartbeat.
 #[derive(Debug, Default, PartialEq)]
 pub struct Reconciliation {
-    /// Exits to be recorded.
+    /// The exits to record, with the record of each task after its exit.
     pub exits: BTreeMap<TaskId, TaskRecord>,
     pub commands: Vec<Command>,
-    /// The exits that complete a task.
+    /// The exits in which a task completed.
     pub completed: Vec<Completion>,
-    /// The exits by a failure of the task.
+    /// The exits in which a task failed.
     pub failed: Vec<TaskId>,
 }
 
-/// What it means that the records place a task on a machine whose heartbeat does not name it.
+/// The conclusion about a task that the records place on a machine whose heartbeat doesn't report it.
 enum Absence {
-    /// It is gone and cannot start any more.
+    /// The attempt is not on the machine and can no longer start there.
     Gone,
-    /// It has not started and is to be.
+    /// The attempt has not started and should be.
     NotStarted,
-    /// Neither is proven.
+    /// The heartbeat proves neither.
     Inconclusive,
 }
 
-/// Reconciles a heartbeat with the records, by the machine's owner. `attempts` records what the heartbeat
-/// shows and for which attempts `run` is among the commands.
+/// Reconciles a heartbeat with the records; called by the machine's owner. Updates `attempts` with the attempts that the
+/// heartbeat reports and those for which the result contains a `run`.
 pub fn reconcile(
     heartbeat: &Heartbeat,
     attempts: &mut AttemptLog,
@@ -93,7 +93,7 @@
     attempts: &'a mut AttemptLog,
     desired: DesiredState<'a>,
     now: Instant,
-    /// The attempts in the heartbeat that the records place on this machine.
+    /// The reported attempts that the records place on this machine.
     reported: HashMap<TaskRef<'a>, u64>,
     result: Reconciliation,
 }
@@ -117,20 +117,20 @@
                 let is_service = record.record.spec.is_service();
                 self.reconcile_exit(id, task, is_service);
             }
-            // The exit is in the records, or its job is over: the agent may forget it.
+            // The exit is recorded, or its job has ended, so the agent may forget it.
             (TaskState::Ended, _) => {
                 let reap = Command::reap(&task.task, task.attempt);
                 self.result.commands.push(reap);
             }
-            // Cancelled, or started by a record that was withdrawn since.
-            _ if !is_recorded || self.desired.is_over(job, record) => self.stop(task, 0.0),
+            // The job is cancelled, or the records no longer place this attempt here.
+            _ if !is_recorded || self.desired.must_not_run(job, record) => self.stop(task, 0.0),
             _ => self.reconcile_present(id, task),
         }
     }
 
     fn reconcile_exit(&mut self, id: TaskId, task: &ReportedTask, is_service: bool) {
         let run_time = self.attempts.observe_exit(&id, task.attempt, self.now);
-        // A service runs until it is cancelled: whatever ends of it is started again.
+        // A service runs until it is cancelled, so each of its tasks that ends is started again.
         if task.exit_reason == Some(ExitReason::Completed) && !is_service {
             self.result.exits.insert(id.clone(), TaskRecord::Done);
             self.result
@@ -150,7 +150,7 @@
             self.attempts.observe_running(&id, task.attempt, self.now);
         }
         if task.state == TaskState::SavingCheckpoint {
-            return; // it is being stopped already
+            return; // already being stopped
         }
         let attempt = TaskAttempt {
             task: id,
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Tasks that the records place here and the heartbeat does not name: not started, or gone.
+    /// Reconciles the tasks that the records place on this machine and the heartbeat doesn't report.
     fn reconcile_absent(&mut self) {
         let unacknowledged = std::mem::take(&mut self.attempts.unacknowledged_runs);
         let replica = self.desired.replica;
@@ -184,7 +184,7 @@
                 task: id.clone(),
                 attempt,
             };
-            match self.judge_absence(&expected, incarnation) {
+            match self.classify_absence(&expected, incarnation) {
                 Absence::Gone => self.record_waiting(expected.task, attempt),
                 Absence::NotStarted => {
                     let run = Command::run(&id.to_string(), attempt);
@@ -198,30 +198,30 @@
         }
     }
 
-    /// Judges the absence of an attempt that was placed in the agent's `incarnation`.
-    fn judge_absence(&self, expected: &TaskAttempt, incarnation: u64) -> Absence {
+    /// Determines why the heartbeat doesn't report an attempt that was placed in the agent's `incarnation`.
+    fn classify_absence(&self, expected: &TaskAttempt, incarnation: u64) -> Absence {
         let TaskId { job, index } = &expected.task;
         if incarnation < self.heartbeat.incarnation {
-            // The agent killed and forgot all tasks of its earlier incarnations, and drops responses
-            // to heartbeats from them.
+            // The agent has killed all tasks of its earlier incarnations, and drops late responses to the heartbeats
+            // of these incarnations.
             return Absence::Gone;
         }
         if incarnation > self.heartbeat.incarnation {
-            return Absence::Inconclusive; // a late heartbeat from before the start
+            return Absence::Inconclusive; // the heartbeat predates the start
         }
         if self.desired.pending_changes.get(job, *index).is_some() {
-            // Withdrawn already, and the record of that is under way: a `run` now would start
-            // what is about to be placed elsewhere.
+            // A change of this task, such as the withdrawal of its start, is queued but not recorded. A `run` now
+            // could start a task that is about to be placed elsewhere.
             return Absence::Inconclusive;
         }
-        let is_over = self
+        let must_not_run = self
             .desired
-            .is_over(job, self.desired.replica.jobs.get(job));
+            .must_not_run(job, self.desired.replica.jobs.get(job));
         let is_withdrawn = self.desired.pending_stops.contains_key(expected)
             && !self.attempts.sent_runs.contains(expected);
-        if is_over || is_withdrawn {
-            // An earlier owner's `run` may still be under way until the agent has received our fencing
-            // token; from then on only we could start it, and we will not.
+        if must_not_run || is_withdrawn {
+            // Until the agent has received our fencing token, it may still accept a `run` from an earlier owner. Once it
+            // has, only this controller could start the attempt, and it will not.
             return if self.heartbeat.fencing_token == self.desired.fencing_token {
                 Absence::Gone
             } else {
@@ -252,7 +252,7 @@
         self.result.commands.push(stop);
     }
 
-    /// The attempt has ended without completing the task, which waits for its next one.
+    /// Adds the exit of an attempt that did not complete its task. The task then waits for its next attempt.
     fn record_waiting(&mut self, id: TaskId, attempt: u64) {
         let waiting = TaskRecord::Waiting { last: attempt };
         self.result.exits.insert(id, waiting);
--- a/src/workers/service.rs
+++ b/src/workers/service.rs
@@ -1,9 +1,10 @@
-//! Answers workers' heartbeats: the machine's owner reconciles them with the records, every other node redirects
-//! the worker to the owner. What a heartbeat means is decided in [`super::reconcile`].
+//! Answers workers' heartbeats. The machine's owner reconciles a heartbeat with the records, by [`super::reconcile`];
+//! every other controller redirects the worker to the owner.
 
 use super::Heartbeat;
 use super::ingest::{
-    Ingestion, ReceivedHeartbeat, ingest_heartbeat, reconcile_with_records, record_sign_of_life,
+    Ingestion, ReceivedHeartbeat, ingest_heartbeat, reconcile_with_records,
+    record_unanswered_heartbeat,
 };
 use super::wire::HeartbeatResponse;
 use crate::cells;
@@ -18,19 +19,19 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Longest that the response to an idle machine is held back for work, and the part of the heartbeat interval
-/// that it may take: it must stay far from the 4 s after which the agent drops it.
+/// Longest time for which the response to an idle machine is held, as a duration and as a fraction of the heartbeat
+/// interval; the shorter one applies. It must stay far below the 4 s after which the agent drops a response.
 const MAX_IDLE_WAIT: Duration = Duration::from_millis(2000);
-const IDLE_WAIT_INTERVAL_PART: f64 = 0.5;
+const MAX_IDLE_WAIT_INTERVALS: f64 = 0.5;
 
-/// Longest that a response waits for the record of what it is to start: far less than the 4 s after which the
-/// agent would drop it.
+/// Longest time that a response waits until the starts that it is to carry are recorded. It must stay far below the 4 s
+/// after which the agent drops a response.
 const MAX_START_RECORD_WAIT: Duration = Duration::from_millis(1200);
 
-/// Seconds after which an agent retries whose heartbeat could not be answered.
+/// Seconds after which an agent whose heartbeat could not be answered should retry.
 const RETRY_AFTER_S: u64 = 1;
 
-/// Sends the agent to the machine's owner, or, if none is named, to any other node.
+/// Redirects the agent to `member`, or to any other controller if `member` is `None`.
 fn redirect_to(member: Option<&str>) -> HttpResponse {
     let body = match member {
         Some(member) => json!({ "miller": member }),
@@ -43,14 +44,14 @@
     retry_later(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_S, reason)
 }
 
-fn parse(node: &Node, body: &[u8]) -> Result<Heartbeat, serde_json::Error> {
+fn parse_heartbeat(node: &Node, body: &[u8]) -> Result<Heartbeat, serde_json::Error> {
     let _charge = node.processor_time.charge(CpuAccount::Heartbeats);
     serde_json::from_slice(body)
 }
 
 /// Answers a heartbeat. A response with status 200 renews the agent's lease.
 pub async fn handle_heartbeat(node: &Arc<Node>, body: &[u8]) -> HttpResponse {
-    let heartbeat = match parse(node, body) {
+    let heartbeat = match parse_heartbeat(node, body) {
         Ok(heartbeat) => Arc::new(heartbeat),
         Err(problem) => return error_response(StatusCode::BAD_REQUEST, &problem.to_string()),
     };
@@ -60,25 +61,25 @@
         Route::Other(member) => return redirect_to(member.as_deref()),
         Route::UnknownMachine => return respond_to_unknown_machine(node),
     }
-    // A cancellation may not have reached us: keeping the agent's lease alive would keep cancelled
-    // tasks running. The lease ends by itself if we stay silent.
+    // While disconnected, this controller may not know of a cancellation. Renewing the agent's lease could keep a
+    // cancelled task running; without an answer, the lease expires and ends the task.
     let now = Instant::now();
     if !node.may_renew_leases() || !cells::permits_renewal(node, &heartbeat, now) {
-        record_sign_of_life(&mut node.core(), &heartbeat, Instant::now());
+        record_unanswered_heartbeat(&mut node.core(), &heartbeat, Instant::now());
         return unavailable("no state service");
     }
     let ingestion = ingest_heartbeat(node, &mut node.core(), &heartbeat, Instant::now());
     match ingestion {
         Ingestion::NotOwner => redirect_to(None),
-        // Its task list is old, and nobody reads the response.
+        // The reported tasks are outdated, and the agent no longer waits for this response.
         Ingestion::Stale => error_response(StatusCode::CONFLICT, "an older report"),
         Ingestion::Reconciled {
             capacity_freed: true,
             ..
         } => {
             node.wake_up.notify_one();
-            // What is placed on the capacity just freed goes out with this response, once it is
-            // recorded; with the next heartbeat's it would go out an interval later.
+            // Wait for the scheduling cycle that places tasks on the freed capacity, so that this response can
+            // carry their `run` commands. Otherwise they would wait for the next heartbeat.
             node.scheduling_cycles
                 .await_next(MAX_START_RECORD_WAIT)
                 .await;
@@ -92,19 +93,19 @@
             let Some((released, limit)) = held else {
                 return json_response(StatusCode::OK, &response);
             };
-            // Whether it was released or the time ran out, the records decide.
+            // Whether work arrived or the hold timed out, the response follows the current records.
             let _ = tokio::time::timeout(limit, released).await;
             respond_by_current_records(node, &heartbeat)
         }
     }
 }
 
-/// Who answers a heartbeat.
+/// The controller that is responsible for a heartbeat.
 enum Route {
     ThisNode,
-    /// Another member, by its name where one is known.
+    /// Another controller, by name if a present owner is known.
     Other(Option<String>),
-    /// The machine is in no record.
+    /// No record names the machine.
     UnknownMachine,
 }
 
@@ -115,14 +116,14 @@
         return Route::UnknownMachine;
     };
     if owner.name == node.identity.name && *owner != node.identity {
-        // Ours before a restart: the leader has yet to assign it to a present member.
+        // An earlier process of this controller owned the machine, and the leader has not reassigned it yet.
         return Route::Other(None);
     }
     let presence = core.replica.presence.get(&owner.name);
     let is_present = presence.is_some_and(|p| p.record.incarnation == owner.incarnation);
     if *owner != node.identity {
-        // An absent owner takes seconds to be found out; the agent's lease is better spent on asking
-        // the others until the machine has a new owner.
+        // An absent owner is not named: the agent would need seconds to notice that it doesn't respond. Its lease
+        // lasts longer if it tries the other controllers until the machine has a new owner.
         return Route::Other(is_present.then(|| owner.name.clone()));
     }
     drop(core);
@@ -132,9 +133,9 @@
     Route::ThisNode
 }
 
-/// A machine in no record. Its heartbeat may be a late copy of one from before its release, so it proves
-/// nothing: the leader adopts machines by the cloud's list alone, and until then, or until the rental is
-/// recorded that it belongs to, its agent asks again.
+/// Answers a heartbeat of a machine that no record names. The heartbeat may be a delayed copy from before the machine's
+/// release, so it doesn't prove that the machine exists. The leader adopts machines only from the cloud's list; until
+/// it does, or until the machine's rental is recorded, the agent retries.
 fn respond_to_unknown_machine(node: &Node) -> HttpResponse {
     if membership::leader_revision(node).is_some() {
         return unavailable("not known yet");
@@ -145,10 +146,11 @@
     redirect_to(leader.filter(|leader| *leader != node.identity.name))
 }
 
-/// Holds back the response to an idle machine until work for it is recorded, for the returned time at most.
+/// Holds the response to an idle machine until work for it is recorded, for at most the returned duration. Returns
+/// `None` if the machine is not idle.
 ///
-/// `run` goes out with responses to heartbeats only. A machine on which nothing runs has nothing to report
-/// meanwhile: with heartbeats seconds apart, a gang would else wait for the last of its machines' heartbeats.
+/// Only responses to heartbeats can carry `run`, and heartbeats are seconds apart. Without the hold, a gang would start
+/// only after the next heartbeat of each of its machines. An idle machine has nothing to report in the meantime.
 fn hold_while_idle(
     node: &Node,
     core: &mut Core,
@@ -173,23 +175,23 @@
         .held_responses
         .insert(heartbeat.machine.clone(), release);
     let limit = node.settings.heartbeat_interval();
-    let limit = limit.mul_f64(IDLE_WAIT_INTERVAL_PART).min(MAX_IDLE_WAIT);
+    let limit = limit.mul_f64(MAX_IDLE_WAIT_INTERVALS).min(MAX_IDLE_WAIT);
     Some((released, limit))
 }
 
-/// The response to a heartbeat that has waited, by the records as they now are.
+/// Answers a heartbeat whose response was held, according to the current records.
 fn respond_by_current_records(node: &Node, heartbeat: &Heartbeat) -> HttpResponse {
     let mut core = node.core();
     if let Some(response) = reconcile_again(node, &mut core, heartbeat, Instant::now()) {
         return json_response(StatusCode::OK, &response);
     }
-    // It was reassigned while the response waited.
+    // The machine was reassigned while the response was held.
     let machine = core.replica.fleet.machines.get(&heartbeat.machine);
     let owner = machine.map(|machine| machine.owner.name.as_str());
     redirect_to(owner.filter(|owner| *owner != node.identity.name))
 }
 
-/// Reconciles an ingested heartbeat once more. None if the machine was reassigned meanwhile.
+/// Reconciles an already ingested heartbeat again. Returns `None` if the machine was reassigned in the meantime.
 fn reconcile_again(
     node: &Node,
     core: &mut Core,
--- a/src/workers/service/tests.rs
+++ b/src/workers/service/tests.rs
@@ -1,4 +1,4 @@
-//! Traces of heartbeats as they arrive: early, late, or from an agent that receives no response.
+//! Tests of heartbeat handling, with heartbeats that arrive in order, late, or from an agent that receives no response.
 
 use super::*;
 use crate::fleet::{MachinePool, MachineState, Rental, RentedMachine};
@@ -7,17 +7,17 @@
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::state::{Operation, RecordKey};
-use crate::workers::ingest::record_sign_of_life;
+use crate::workers::ingest::record_unanswered_heartbeat;
 use crate::workers::wire::HeartbeatResponse;
 use rowanmill_config::ConfigFile;
 use serde_json::{Value, json};
 
-struct Scene {
+struct Fixture {
     node: Node,
     start: Instant,
     revision: u64,
-    /// Whether the records were read right before each report, or seconds ago.
-    contact: bool,
+    /// Whether the records were read at the time of each heartbeat, or too long before it for starts.
+    records_recent: bool,
     trace: String,
 }
 
@@ -34,21 +34,21 @@
     Settings::parse(&settings.to_string(), "test").unwrap()
 }
 
-impl Scene {
+impl Fixture {
     fn new() -> Self {
-        let scene = Self {
+        let fixture = Self {
             node: Node::new(FeatureLevel::COMPACT_PAGES, settings(), Policy::default()),
             start: Instant::now(),
             revision: 10,
-            contact: true,
+            records_recent: true,
             trace: String::new(),
         };
         let job = json!({"spec": {"nameId":"job-1","grist":"c","crew":"t","shape":"array",
             "urgency":"standard","sacks":4,"cpus":1.0,"cards":0.0,"memGb":1.0,"mould":"i",
             "pullGb":1.0,"together":false,"spread":false,"borrowed":true,"grindS":10.0,
             "bankS":0.0,"bankWriteS":0.0}, "accepted_ms": 0});
-        scene.put("r/j/job-1", job, 5);
-        scene
+        fixture.put("r/j/job-1", job, 5);
+        fixture
     }
 
     fn put(&self, key: &str, data: Value, revision: u64) {
@@ -56,8 +56,8 @@
         core.replica.apply_put(key, &data.to_string(), revision);
     }
 
-    /// vm-1 belongs to this node, or to another, under that token.
-    fn owner(&mut self, ours: bool, token: u64) {
+    /// Records vm-1 as owned by this controller or by another, with the fencing token `token`.
+    fn set_owner(&mut self, ours: bool, token: u64) {
         let other = Member {
             name: "millstone-1".into(),
             incarnation: 1,
@@ -96,8 +96,8 @@
         ));
     }
 
-    /// The records place job-1/0 on vm-1.
-    fn placed(&mut self, attempt: u64, session: u64) {
+    /// Records that job-1/0 is placed on vm-1, in the agent's incarnation `session`.
+    fn record_placement(&mut self, attempt: u64, session: u64) {
         self.revision += 1;
         self.put(
             "r/p/job-1/0",
@@ -109,7 +109,8 @@
         ));
     }
 
-    fn heartbeat(&mut self, at_s: u64, session: u64, seq: u64, token: u64, tasks: Value) {
+    /// Ingests a heartbeat of vm-1 and appends the result to the trace.
+    fn ingest(&mut self, at_s: u64, session: u64, seq: u64, token: u64, tasks: Value) {
         let heartbeat: Heartbeat =
             serde_json::from_value(json!({"millstone": "vm-1", "endpoint": "",
             "stone": "m", "yard": "a", "shift": session, "tally": seq, "warrant": token,
@@ -117,11 +118,11 @@
             .unwrap();
         let now = self.start + Duration::from_secs(at_s);
         let mut core = self.node.core();
-        // Without contact they were read longer ago than starts may go by.
-        let age = if self.contact { 0 } else { 4 };
+        // 4 s exceeds `MAX_RECORDS_AGE_FOR_STARTS`.
+        let age = if self.records_recent { 0 } else { 4 };
         core.last_read_barrier = now.checked_sub(Duration::from_secs(age));
         let ingestion = ingest_heartbeat(&self.node, &mut core, &Arc::new(heartbeat), now);
-        let what = match ingestion {
+        let result = match ingestion {
             Ingestion::NotOwner => "not ours".to_owned(),
             Ingestion::Stale => "late, changes nothing".to_owned(),
             Ingestion::Reconciled { response, .. } => {
@@ -130,27 +131,28 @@
             }
         };
         let status = core.workers.agents.get("vm-1");
-        let seen = status.map_or("unknown".to_owned(), |status| {
+        let agent_state = status.map_or("unknown".to_owned(), |status| {
             let heard = status
                 .last_heartbeat_at
                 .saturating_duration_since(self.start);
             let heard = heard.as_secs();
-            let deaf = if status.unresponsive_since.is_some() {
+            let unresponsive = if status.unresponsive_since.is_some() {
                 ", deaf"
             } else {
                 ""
             };
-            let ready = if status.ownership_acknowledged {
+            let unacknowledged = if status.ownership_acknowledged {
                 ""
             } else {
                 ", not to be placed on"
             };
-            format!("heard at {heard} s{ready}{deaf}")
+            format!("heard at {heard} s{unacknowledged}{unresponsive}")
         });
-        let planned = core.pending_changes.get("job-1", 0);
-        let planned = planned.map_or(String::new(), |p| format!("; to record: {p:?}"));
-        let line =
-            format!("{at_s} s session {session} #{seq} token {token}: {what}; {seen}{planned}\n");
+        let pending = core.pending_changes.get("job-1", 0);
+        let pending = pending.map_or(String::new(), |p| format!("; to record: {p:?}"));
+        let line = format!(
+            "{at_s} s session {session} #{seq} token {token}: {result}; {agent_state}{pending}\n"
+        );
         drop(core);
         self.trace.push_str(&line);
     }
@@ -160,63 +162,66 @@
     json!([{"sack": "job-1/0", "turn": attempt, "stage": "running"}])
 }
 
-/// Rule `ran_twice`: a copy of a heartbeat from before a start would prove the task absent; one from
-/// before a change of owner would bring a dead machine back.
+/// Rule `ran_twice`: a delayed heartbeat from before a start must not count as proof that the task is absent, and one
+/// from before a change of owner must not make a dead machine appear alive.
 #[test]
 fn stale_heartbeats_prove_nothing() {
-    let mut scene = Scene::new();
-    scene.owner(true, 7);
-    scene.heartbeat(1, 1, 1, 0, json!([]));
-    scene.heartbeat(2, 1, 2, 7, json!([]));
-    scene.placed(1, 1);
-    scene.heartbeat(4, 1, 3, 7, json!([]));
-    scene.heartbeat(6, 1, 4, 7, running(1));
-    // A copy of #3, and one of #4 itself: no news, and no sign of life.
-    scene.heartbeat(9, 1, 3, 7, json!([]));
-    scene.heartbeat(10, 1, 4, 7, running(1));
-    // A copy that comes long after the session ended.
-    scene.heartbeat(20, 2, 9, 7, json!([]));
-    scene.heartbeat(45, 1, 4, 7, running(1));
-    // Another's for a while, then ours again: what was seen before is void, and the copy from
-    // then shows a machine that does not know our token.
-    scene.owner(false, 8);
-    scene.heartbeat(46, 2, 12, 7, json!([]));
-    scene.owner(true, 9);
-    scene.placed(2, 2);
-    scene.heartbeat(50, 2, 12, 7, json!([]));
-    scene.heartbeat(51, 2, 13, 9, running(2));
-    insta::assert_snapshot!(scene.trace);
+    let mut fixture = Fixture::new();
+    fixture.set_owner(true, 7);
+    fixture.ingest(1, 1, 1, 0, json!([]));
+    fixture.ingest(2, 1, 2, 7, json!([]));
+    fixture.record_placement(1, 1);
+    fixture.ingest(4, 1, 3, 7, json!([]));
+    fixture.ingest(6, 1, 4, 7, running(1));
+    // Copies of #3 and of #4 change neither the state nor the time at which the agent was last heard from.
+    fixture.ingest(9, 1, 3, 7, json!([]));
+    fixture.ingest(10, 1, 4, 7, running(1));
+    // A copy that arrives long after its incarnation ended.
+    fixture.ingest(20, 2, 9, 7, json!([]));
+    fixture.ingest(45, 1, 4, 7, running(1));
+    // The machine is reassigned to another controller and back. The status from before is discarded, and the copy from
+    // that time shows an agent that has not received the new token.
+    fixture.set_owner(false, 8);
+    fixture.ingest(46, 2, 12, 7, json!([]));
+    fixture.set_owner(true, 9);
+    fixture.record_placement(2, 2);
+    fixture.ingest(50, 2, 12, 7, json!([]));
+    fixture.ingest(51, 2, 13, 9, running(2));
+    insta::assert_snapshot!(fixture.trace);
 }
 
-/// An agent whose heartbeats arrive and which receives no response: its machine must not be counted on, and what was
-/// recorded there starts elsewhere only once its lease has provably ended.
+/// An agent whose heartbeats arrive but which receives no response must be marked unresponsive. The tasks recorded on
+/// its machine may start elsewhere only once a higher incarnation proves that its lease has ended.
 #[test]
 fn an_unresponsive_agent_is_known_by_ignored_commands() {
-    let mut scene = Scene::new();
-    scene.owner(true, 7);
-    scene.heartbeat(1, 1, 1, 0, json!([]));
-    scene.heartbeat(2, 1, 2, 7, json!([]));
-    scene.placed(1, 1);
+    let mut fixture = Fixture::new();
+    fixture.set_owner(true, 7);
+    fixture.ingest(1, 1, 1, 0, json!([]));
+    fixture.ingest(2, 1, 2, 7, json!([]));
+    fixture.record_placement(1, 1);
     for n in 0..8 {
-        scene.heartbeat(3 + n * 2, 1, 3 + n, 7, json!([]));
+        fixture.ingest(3 + n * 2, 1, 3 + n, 7, json!([]));
     }
-    scene.heartbeat(19, 2, 12, 7, json!([]));
-    // One that never heard us at all.
-    let mut other = Scene::new();
-    other.owner(true, 7);
+    fixture.ingest(19, 2, 12, 7, json!([]));
+    // An agent that has never received a response.
+    let mut never_answered = Fixture::new();
+    never_answered.set_owner(true, 7);
     for n in 0..3 {
-        other.heartbeat(1 + n * 5, 1, 1 + n, 0, json!([]));
+        never_answered.ingest(1 + n * 5, 1, 1 + n, 0, json!([]));
     }
-    insta::assert_snapshot!(format!("{}never heard us\n{}", scene.trace, other.trace));
+    insta::assert_snapshot!(format!(
+        "{}never heard us\n{}",
+        fixture.trace, never_answered.trace
+    ));
 }
 
-/// With heartbeats seconds apart a gang waited for the last of its machines' heartbeats. Only the response to a
-/// machine that has nothing to report meanwhile is held, and it goes out at once when there is work or a new
-/// owner.
+/// Guards against slow starts of gangs: with heartbeats seconds apart, a gang waited for the next heartbeat of each of
+/// its machines. Only the response to an idle machine is held, and it is sent at once when there is work or the machine
+/// gets a new owner.
 #[test]
 fn the_response_to_an_idle_machine_is_held_until_there_is_work() {
-    let mut scene = Scene::new();
-    let say = |scene: &mut Scene, what: &str, tasks: Value| {
+    let mut fixture = Fixture::new();
+    let hold_response = |fixture: &mut Fixture, case: &str, tasks: Value| {
         let heartbeat: Heartbeat =
             serde_json::from_value(json!({"millstone": "vm-1", "endpoint": "",
             "stone": "m", "yard": "a", "shift": 1, "tally": 1, "warrant": 7, "sacks": tasks}))
@@ -225,29 +230,32 @@
             fencing_token: 7,
             commands: Vec::new(),
         };
-        let mut core = scene.node.core();
-        let wait = hold_while_idle(&scene.node, &mut core, &heartbeat, &response);
+        let mut core = fixture.node.core();
+        let hold = hold_while_idle(&fixture.node, &mut core, &heartbeat, &response);
         drop(core);
-        let shown = match &wait {
-            Some((_, within)) => format!("waits for {} ms", within.as_millis()),
+        let outcome = match &hold {
+            Some((_, limit)) => format!("waits for {} ms", limit.as_millis()),
             None => "is answered at once".into(),
         };
-        scene.trace.push_str(&format!("{what}: {shown}\n"));
-        wait.map(|(released, _)| released)
+        fixture.trace.push_str(&format!("{case}: {outcome}\n"));
+        hold.map(|(released, _)| released)
     };
-    scene.owner(true, 7);
-    scene.heartbeat(1, 1, 1, 7, json!([]));
-    assert!(say(&mut scene, "with a task", running(1)).is_none());
-    let mut released = say(&mut scene, "idle", json!([])).unwrap();
+    fixture.set_owner(true, 7);
+    fixture.ingest(1, 1, 1, 7, json!([]));
+    assert!(hold_response(&mut fixture, "with a task", running(1)).is_none());
+    let mut released = hold_response(&mut fixture, "idle", json!([])).unwrap();
     assert!(released.try_recv().is_err());
-    scene.node.core().workers.release_held_response("vm-1");
+    fixture.node.core().workers.release_held_response("vm-1");
     assert!(released.try_recv().is_ok());
-    let mut released = say(&mut scene, "idle", json!([])).unwrap();
-    scene.owner(false, 8);
-    assert!(released.try_recv().is_ok(), "it was reassigned");
-    scene.owner(true, 9);
-    assert!(say(&mut scene, "yet to see our token", json!([])).is_none());
-    insta::assert_snapshot!(scene.trace, @r#"
+    let mut released = hold_response(&mut fixture, "idle", json!([])).unwrap();
+    fixture.set_owner(false, 8);
+    assert!(
+        released.try_recv().is_ok(),
+        "the reassignment did not release the response"
+    );
+    fixture.set_owner(true, 9);
+    assert!(hold_response(&mut fixture, "yet to see our token", json!([])).is_none());
+    insta::assert_snapshot!(fixture.trace, @r#"
     -- token 7, ours
     1 s session 1 #1 token 7: token 7 orders []; heard at 1 s
     with a task: is answered at once
@@ -259,26 +267,27 @@
     "#);
 }
 
-/// Rule `ran_cancelled`: a node that the state service refuses alone does not know what another has
-/// confirmed since. It starts nothing by what its records still say, and stops what it is told of.
+/// Rule `ran_cancelled`: a controller that alone is disconnected from the state service doesn't know which cancellations
+/// others have confirmed since. It must not start tasks by its old records, and must stop the tasks of jobs that its
+/// peers report as cancelled.
 #[test]
-fn a_node_without_recent_records_starts_nothing_and_stops_what_peers_cancelled() {
-    let mut scene = Scene::new();
-    scene.owner(true, 7);
-    scene.heartbeat(1, 1, 1, 7, json!([]));
-    scene.contact = false;
-    scene.placed(1, 1);
-    scene.heartbeat(2, 1, 2, 7, json!([]));
-    scene.contact = true;
-    scene.heartbeat(3, 1, 3, 7, json!([]));
-    scene.contact = false;
+fn a_controller_without_recent_records_starts_nothing_and_stops_what_peers_cancelled() {
+    let mut fixture = Fixture::new();
+    fixture.set_owner(true, 7);
+    fixture.ingest(1, 1, 1, 7, json!([]));
+    fixture.records_recent = false;
+    fixture.record_placement(1, 1);
+    fixture.ingest(2, 1, 2, 7, json!([]));
+    fixture.records_recent = true;
+    fixture.ingest(3, 1, 3, 7, json!([]));
+    fixture.records_recent = false;
     let runs = json!([{"sack": "job-1/0", "turn": 1, "stage": "running"}]);
-    scene.heartbeat(4, 1, 4, 7, runs.clone());
-    scene.trace.push_str("-- told that it is cancelled\n");
-    scene.node.peer_status().record_cancelled("job-1");
-    scene.heartbeat(5, 1, 5, 7, runs);
-    scene.heartbeat(6, 1, 6, 7, json!([]));
-    insta::assert_snapshot!(scene.trace, @r#"
+    fixture.ingest(4, 1, 4, 7, runs.clone());
+    fixture.trace.push_str("-- told that it is cancelled\n");
+    fixture.node.peer_status().record_cancelled("job-1");
+    fixture.ingest(5, 1, 5, 7, runs);
+    fixture.ingest(6, 1, 6, 7, json!([]));
+    insta::assert_snapshot!(fixture.trace, @r#"
     -- token 7, ours
     1 s session 1 #1 token 7: token 7 orders []; heard at 1 s
     -- attempt 1 recorded in session 1
@@ -291,25 +300,26 @@
     "#);
 }
 
-/// Machines that were released right after an outage, and controllers that stepped down, found in a recorded
-/// run: heartbeats that a node may not answer were no sign of life. A stale copy is none.
+/// Guards against a failure found in a recorded run: heartbeats that a controller may not answer did not count as signs
+/// that the machine is alive. Machines were released right after an outage of the state service, and controllers stepped
+/// down. Stale copies still don't count.
 #[test]
-fn a_refused_heartbeat_is_a_sign_of_life() {
-    let mut scene = Scene::new();
-    scene.owner(true, 7);
-    scene.heartbeat(1, 1, 4, 7, json!([]));
+fn a_refused_heartbeat_shows_that_the_machine_is_alive() {
+    let mut fixture = Fixture::new();
+    fixture.set_owner(true, 7);
+    fixture.ingest(1, 1, 4, 7, json!([]));
     let mut trace = String::new();
     for (at_s, seq, token) in [(30, 4, 7), (31, 5, 6), (32, 6, 7)] {
         let heartbeat = json!({"millstone": "vm-1", "endpoint": "", "stone": "m", "yard": "a",
             "shift": 1, "tally": seq, "warrant": token, "sacks": []});
         let heartbeat: Heartbeat = serde_json::from_value(heartbeat).unwrap();
-        let mut core = scene.node.core();
-        record_sign_of_life(
+        let mut core = fixture.node.core();
+        record_unanswered_heartbeat(
             &mut core,
             &heartbeat,
-            scene.start + Duration::from_secs(at_s),
+            fixture.start + Duration::from_secs(at_s),
         );
-        let heard = core.workers.agents["vm-1"].last_heartbeat_at - scene.start;
+        let heard = core.workers.agents["vm-1"].last_heartbeat_at - fixture.start;
         trace.push_str(&format!(
             "{at_s} s #{seq} token {token}: heard at {} s\n",
             heard.as_secs()
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -1,4 +1,4 @@
-//! Traces of reconciliation: a heartbeat in, exits to be recorded and commands out. Each names the failure that it is about.
+//! Tests of reconciliation. Each passes a heartbeat to `reconcile` and compares the exits and commands in the result.
 
 use super::agent::AttemptLog;
 use super::reconcile::{DesiredState, reconcile};
@@ -55,14 +55,14 @@
     replica: &Replica,
     heartbeat: Heartbeat,
     stops: &PendingStops,
-    plans: &PendingChanges,
+    changes: &PendingChanges,
 ) -> String {
     let now = Instant::now();
     let desired = DesiredState {
         replica,
         fencing_token: TOKEN,
         pending_stops: stops,
-        pending_changes: plans,
+        pending_changes: changes,
         cancelled_jobs: &BTreeSet::new(),
         starts_permitted: true,
     };
@@ -86,11 +86,11 @@
 #[test]
 fn a_recorded_start_is_commanded_and_a_withdrawn_one_stopped() {
     let replica = replica(false, json!([[1, "vm-1", 1], [2, "vm-2", 1], true, 3]));
-    let not_begun = trace(&replica, heartbeat(1, TOKEN, json!([])));
-    let on_two = json!([{"sack":"job-1/1","turn":2,"stage":"running"},
+    let not_started = trace(&replica, heartbeat(1, TOKEN, json!([])));
+    let two_running = json!([{"sack":"job-1/1","turn":2,"stage":"running"},
         {"sack":"job-1/0","turn":1,"stage":"running"}]);
-    let elsewhere = trace(&replica, heartbeat(1, TOKEN, on_two));
-    insta::assert_snapshot!(format!("not begun\n{not_begun}recorded on another machine\n{elsewhere}"), @r#"
+    let elsewhere = trace(&replica, heartbeat(1, TOKEN, two_running));
+    insta::assert_snapshot!(format!("not begun\n{not_started}recorded on another machine\n{elsewhere}"), @r#"
     not begun
     order {"verb":"run","sack":"job-1/0","turn":1}
     recorded on another machine
@@ -98,16 +98,16 @@
     "#);
 }
 
-/// Rule `ran_twice`: reaping an exit before it is recorded, and then running the attempt again.
+/// Rule `ran_twice`: an exit that is reaped before it is recorded leads to a second `run` of the same attempt.
 #[test]
 fn an_exit_is_reaped_only_once_recorded() {
     let ended = json!([{"sack":"job-1/0","turn":1,"stage":"ended","cause":"done"}]);
-    let before = trace(
+    let unrecorded = trace(
         &replica(false, json!([[1, "vm-1", 1]])),
         heartbeat(1, TOKEN, ended.clone()),
     );
-    let after = trace(&replica(false, json!([true])), heartbeat(1, TOKEN, ended));
-    insta::assert_snapshot!(format!("unrecorded\n{before}recorded\n{after}"), @r#"
+    let recorded = trace(&replica(false, json!([true])), heartbeat(1, TOKEN, ended));
+    insta::assert_snapshot!(format!("unrecorded\n{unrecorded}recorded\n{recorded}"), @r#"
     unrecorded
     record job-1/0 Done
     recorded
@@ -115,15 +115,16 @@
     "#);
 }
 
-/// Rule `ran_cancelled`: a start recorded just before the cancellation, by an owner before us.
+/// Rule `ran_cancelled`: a start was recorded just before the cancellation, and the previous owner may have sent its
+/// `run`. Until the agent has received our fencing token, the task's absence doesn't prove that it can't start.
 #[test]
 fn a_cancelled_start_counts_as_gone_only_under_our_fencing_token() {
     let replica = replica(true, json!([[1, "vm-1", 1]]));
-    let older = trace(&replica, heartbeat(1, TOKEN - 1, json!([])));
-    let ours = trace(&replica, heartbeat(1, TOKEN, json!([])));
+    let older_token = trace(&replica, heartbeat(1, TOKEN - 1, json!([])));
+    let our_token = trace(&replica, heartbeat(1, TOKEN, json!([])));
     let running = json!([{"sack":"job-1/0","turn":1,"stage":"running"}]);
-    let there = trace(&replica, heartbeat(1, TOKEN, running));
-    insta::assert_snapshot!(format!("older token\n{older}our token\n{ours}running\n{there}"), @r#"
+    let running = trace(&replica, heartbeat(1, TOKEN, running));
+    insta::assert_snapshot!(format!("older token\n{older_token}our token\n{our_token}running\n{running}"), @r#"
     older token
     nothing
     our token
@@ -133,15 +134,16 @@
     "#);
 }
 
-/// An agent whose lease expired kills all of its tasks; a late heartbeat from before proves nothing.
+/// An agent whose lease expires kills all of its tasks and starts a new incarnation. A delayed heartbeat of an earlier
+/// incarnation doesn't prove that a task of a later one is gone.
 #[test]
 fn only_a_higher_incarnation_proves_tasks_gone() {
     let replica = replica(false, json!([[1, "vm-1", 2]]));
     let mut text = String::new();
     for incarnation in [1, 2, 3] {
-        let seen = trace(&replica, heartbeat(incarnation, TOKEN, json!([])));
+        let result = trace(&replica, heartbeat(incarnation, TOKEN, json!([])));
         text.push_str(&format!(
-            "recorded in session 2, reported {incarnation}\n{seen}"
+            "recorded in session 2, reported {incarnation}\n{result}"
         ));
     }
     insta::assert_snapshot!(text, @r#"
@@ -154,9 +156,8 @@
     "#);
 }
 
-/// Rule `ran_twice`, found under injected failures: a start was withdrawn by preemption, and before that was
-/// recorded the response to the machine's next heartbeat carried the `run` after all, while the task
-/// was placed again.
+/// Rule `ran_twice`, found by fault injection: preemption withdrew a start. Before the withdrawal was recorded, the
+/// response to the machine's next heartbeat still carried the `run`, while the task was placed again.
 #[test]
 fn a_withdrawn_start_is_not_commanded_while_its_record_is_being_written() {
     let replica = replica(false, json!([[1, "vm-1", 1]]));
@@ -166,13 +167,13 @@
         attempt: 1,
     };
     let stops = PendingStops::from([(withdrawn, 0.0)]);
-    let none = PendingChanges::default();
+    let no_changes = PendingChanges::default();
     let empty = || heartbeat(1, TOKEN, json!([]));
-    let first = trace_with(&replica, empty(), &stops, &none);
-    let mut plans = PendingChanges::default();
-    let held = replica.task_record("job-1", 0);
-    plans.record(&id, held, TaskRecord::Waiting { last: 1 });
-    let second = trace_with(&replica, empty(), &PendingStops::new(), &plans);
+    let first = trace_with(&replica, empty(), &stops, &no_changes);
+    let mut changes = PendingChanges::default();
+    let recorded = replica.task_record("job-1", 0);
+    changes.record(&id, recorded, TaskRecord::Waiting { last: 1 });
+    let second = trace_with(&replica, empty(), &PendingStops::new(), &changes);
     insta::assert_snapshot!(format!("withdrawn\n{first}not recorded yet\n{second}"), @r#"
     withdrawn
     record job-1/0 Waiting { last: 1 }
@@ -181,7 +182,7 @@
     "#);
 }
 
-/// A service runs until it is cancelled: a task of it that ends is to be started again.
+/// A service runs until it is cancelled, so each of its tasks that ends must be started again.
 #[test]
 fn an_ended_task_of_a_service_is_no_completion() {
     let mut replica = Replica::new(crate::jobs::pages::tests::plain_layout(8));
@@ -199,44 +200,44 @@
     insta::assert_snapshot!(trace(&replica, heartbeat(1, TOKEN, ended)), @"record job-1/0 Waiting { last: 1 }");
 }
 
-/// What was known of attempts that had ended was kept for as long as their machine.
+/// Guards against a memory leak: entries of ended attempts were kept for as long as their machine was rented.
 #[test]
 fn attempts_that_are_no_longer_recorded_are_forgotten() {
     let now = Instant::now();
     let mut attempts = AttemptLog::default();
-    let (stops, plans, cancelled) = (
+    let (stops, changes, cancelled) = (
         PendingStops::new(),
         PendingChanges::default(),
         BTreeSet::new(),
     );
-    let empty = Replica::new(crate::jobs::pages::tests::plain_layout(8));
+    let empty_replica = Replica::new(crate::jobs::pages::tests::plain_layout(8));
     let desired = DesiredState {
-        replica: &empty,
+        replica: &empty_replica,
         fencing_token: TOKEN,
         pending_stops: &stops,
-        pending_changes: &plans,
+        pending_changes: &changes,
         cancelled_jobs: &cancelled,
         starts_permitted: true,
     };
     let mut largest = 0;
     for attempt in 1..=100 {
         let placed = replica(false, json!([[attempt, "vm-1", 1]]));
-        let starts = heartbeat(1, TOKEN, json!([]));
+        let idle = heartbeat(1, TOKEN, json!([]));
         let desired_start = DesiredState {
             replica: &placed,
             ..desired
         };
-        let reconciliation = reconcile(&starts, &mut attempts, &desired_start, now);
+        let reconciliation = reconcile(&idle, &mut attempts, &desired_start, now);
         assert_eq!(reconciliation.commands, [Command::run("job-1/0", attempt)]);
         let ended = json!([{"sack":"job-1/0","turn":attempt,"stage":"ended","cause":"stopped"}]);
-        let gone = replica(false, json!([attempt]));
+        let waiting = replica(false, json!([attempt]));
         let ended = heartbeat(1, TOKEN, ended);
         let desired_end = DesiredState {
-            replica: &gone,
+            replica: &waiting,
             ..desired
         };
         reconcile(&ended, &mut attempts, &desired_end, now);
         largest = largest.max(attempts.len());
     }
-    assert!(largest <= 1, "{largest} attempts are remembered");
+    assert!(largest <= 1, "the attempt log grew to {largest} entries");
 }
--- a/src/workers/wire.rs
+++ b/src/workers/wire.rs
@@ -1,17 +1,17 @@
-//! The bodies of the worker protocol. Its themed field names are mapped here, once, to the terms that the rest of
-//! the code uses. Decides nothing.
+//! Message types of the worker protocol. The protocol's field names differ from the terms of the code, so each type maps
+//! them with serde attributes.
 
 use serde::{Deserialize, Serialize};
 
 pub use heartbeat::Report as Heartbeat;
 
-/// The error with which a body that is no object is refused names the struct, so that it is called `Report`
-/// here: serde takes that name from the definition, whatever a `rename` says.
+/// Defines the heartbeat under the name `Report`, because serde's error for a body that is not an object contains the
+/// name of the struct's definition, regardless of `rename`.
 mod heartbeat {
     use super::ReportedTask;
     use serde::Deserialize;
 
-    /// What a worker's agent reports of its machine and of the tasks on it. Elsewhere it is named `Heartbeat`.
+    /// An agent's report on its machine and the tasks on it. Other modules import it as `Heartbeat`.
     #[derive(Debug, Clone, PartialEq, Deserialize)]
     pub struct Report {
         #[serde(rename = "millstone")]
@@ -23,16 +23,16 @@
         pub zone: String,
         #[serde(rename = "borrowed", default)]
         pub spot: bool,
-        /// The agent's epoch: starts at 1 and rises whenever the agent's lease expires, which ends all of its tasks.
+        /// The agent's epoch: starts at 1 and increases whenever the agent's lease expires, which ends all of its tasks.
         #[serde(rename = "shift")]
         pub incarnation: u64,
-        /// Rises with each message of an incarnation.
+        /// Increases with each message of an incarnation.
         #[serde(rename = "tally")]
         pub sequence: u64,
-        /// The highest fencing token that the agent has received, 0 if none.
+        /// The highest fencing token that the agent has received, or 0 if none.
         #[serde(rename = "warrant", default)]
         pub fencing_token: u64,
-        /// Seconds until the cloud preempts the machine, once it has given notice.
+        /// Seconds until the cloud preempts the machine, if it has given notice.
         #[serde(rename = "recallS", default)]
         pub preemption_notice_s: Option<f64>,
         #[serde(rename = "sacks", default)]
@@ -40,7 +40,7 @@
     }
 }
 
-/// One attempt at a task in a heartbeat.
+/// A task attempt in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct ReportedTask {
     /// The task's name, such as `job-000412/3`.
@@ -54,13 +54,13 @@
     pub exit_reason: Option<ExitReason>,
 }
 
-/// How far an attempt is on its machine.
+/// The state of a task attempt on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
     #[serde(rename = "pulling")]
     PullingImage,
-    /// A task of a gang that waits for the other tasks of its attempt.
+    /// The task belongs to a gang and waits for the gang's other tasks.
     #[serde(rename = "gathering")]
     AwaitingPeers,
     Running,
@@ -85,17 +85,17 @@
     Failed,
     #[serde(rename = "no_room")]
     InsufficientResources,
-    /// The task is on the machine with another attempt.
+    /// Another attempt of the task is on the machine.
     #[serde(rename = "busy")]
     AnotherAttempt,
     #[serde(rename = "unknown")]
     UnknownTask,
-    /// A reason of a later protocol.
+    /// A reason from a later version of the protocol.
     #[serde(other)]
     Other,
 }
 
-/// What the agent is to do with one attempt of a task.
+/// A command to the agent about one task attempt.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum Command {
@@ -114,7 +114,7 @@
         #[serde(rename = "windDownS")]
         grace_s: f64,
     },
-    /// Forgets an exit, which is in the records.
+    /// Lets the agent forget an exit that is recorded.
     Reap {
         #[serde(rename = "sack")]
         task: String,
@@ -124,7 +124,7 @@
 }
 
 impl Command {
-    /// Starts an attempt at a task, named as `job-000412/3`.
+    /// Starts an attempt of a task with a name such as `job-000412/3`.
     pub fn run(task: &str, attempt: u64) -> Self {
         Command::Run {
             task: task.to_owned(),
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Stops an attempt, with `grace_s` seconds to save its progress.
+    /// Stops an attempt and gives it `grace_s` seconds to save its progress.
     pub fn stop(task: &str, attempt: u64, grace_s: f64) -> Self {
         Command::Stop {
             task: task.to_owned(),
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Has the agent forget an attempt that ended.
+    /// Lets the agent forget an attempt that ended.
     pub fn reap(task: &str, attempt: u64) -> Self {
         Command::Reap {
             task: task.to_owned(),
@@ -150,7 +150,7 @@
     }
 }
 
-/// The owner's response to a heartbeat. It renews the agent's lease.
+/// The owner's response to a heartbeat. Receiving it renews the agent's lease.
 #[derive(Debug, Serialize)]
 pub struct HeartbeatResponse {
     #[serde(rename = "warrant")]
