--- a/src/api/cancel.rs
+++ b/src/api/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancellations by users.
+//! Handles job cancellations by users.
 
 use super::Server;
 use super::responses::{overloaded, stage_response, state_unavailable};
@@ -7,17 +7,17 @@
 use crate::http::{HttpResponse, error_response};
 use crate::jobs::{Stage, StoredJob, is_job_id};
 use crate::node::{Core, Node};
-use crate::pipelines::service::CANCELLED;
+use crate::pipelines::service::CANCELLED_JOB;
 use crate::state::{Operation, Precondition, RecordKey, TransactionError};
 use hyper::StatusCode;
 use std::sync::Arc;
 
-/// Cancellations are refused only when all requests in progress are taken.
+/// Fraction of the concurrency limit that cancellations may use: all of it.
 const CANCELLATION_SHARE: f64 = 1.0;
-/// How often a cancellation is tried whose job's record changes meanwhile.
+/// Maximum number of attempts to cancel a job whose record changes during each attempt.
 const MAX_ATTEMPTS: usize = 4;
 
-/// Answers a cancellation.
+/// Handles a cancellation.
 pub async fn cancel(server: &Server, id: &str) -> HttpResponse {
     if !is_job_id(id) {
         return error_response(StatusCode::NOT_FOUND, "no such job");
@@ -42,7 +42,7 @@
     state_unavailable()
 }
 
-/// Cancels a job by its record as it now is; `None` if the record changed meanwhile.
+/// Tries to cancel a job on condition that its record is unchanged. Returns `None` if the record changed concurrently.
 async fn try_cancel(node: &Arc<Node>, id: &str) -> Option<HttpResponse> {
     match current_status(node, id).await {
         JobStatus::Ended(final_state) => {
@@ -70,7 +70,7 @@
             node.wake_up.notify_one();
             Some(stage_response(StatusCode::OK, id, Stage::Cancelled))
         }
-        // It may have ended by now.
+        // The record has changed. The job may have ended, so its status must be read again.
         Err(TransactionError::Conflict(_)) => None,
         Err(_) => Some(state_unavailable()),
     }
@@ -79,10 +79,10 @@
 /// The write that cancels a job, on condition that its record is unchanged.
 fn cancellation(core: &Core, id: &str) -> Option<(Precondition, Operation)> {
     let (revision, put) = if let Some(blocked) = core.replica.pipelines.get(id) {
-        // Nothing of it runs: it ends at once, and with it all that depend on it.
+        // No task of a blocked job runs, so the job ends at once and all jobs that depend on it are cancelled.
         (
             blocked.revision,
-            Operation::put(RecordKey::Job(id), &CANCELLED),
+            Operation::put(RecordKey::Job(id), &CANCELLED_JOB),
         )
     } else {
         let job = core.replica.jobs.get(id)?;
--- a/src/pipelines/deadlines.rs
+++ b/src/pipelines/deadlines.rs
@@ -1,6 +1,6 @@
-//! Propagates deadlines and urgencies from later jobs of a pipeline to earlier ones. The paper's tasks stand alone, and
-//! a deadline is each one's own. Here the last job's deadline is met or missed by all before it, so each of them has
-//! a latest finish: the deadline less the estimated longest path behind it.
+//! Propagates deadlines and urgencies from the last jobs of a pipeline to those before them. In the paper, tasks are
+//! independent and each has its own deadline. In a pipeline, every earlier job can delay the last one, so each has a latest
+//! finish time: the last job's deadline less the estimated duration of the longest path from the job to the last one.
 
 use super::{BlockedJob, Pipelines};
 use crate::jobs::{JobRecord, Urgency};
@@ -8,14 +8,15 @@
 
 const MS_PER_S: f64 = 1000.0;
 
-/// What the jobs that depend on one ask of it.
+/// The urgency and latest finish times that a job inherits from the jobs that depend on it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct InheritedDeadline {
-    /// The highest urgency among them.
+    /// The highest urgency among the dependent jobs.
     pub urgency: Urgency,
-    /// When the job must be done at the latest for their deadlines to be kept, in milliseconds since the epoch.
+    /// Latest finish time at which the dependent jobs can still meet their deadlines, in milliseconds since the epoch.
     pub finish_by_ms: f64,
-    /// The same for the latest time at which their service-level objectives still count them.
+    /// Latest finish time at which the dependent jobs can still finish in time for their service-level objectives, in
+    /// milliseconds since the epoch.
     pub objective_finish_by_ms: f64,
 }
 
@@ -38,8 +39,9 @@
     }
 }
 
-/// What a job's own record asks. `multiple` is how many times its deadline an objective still counts.
-fn own_deadline(record: &JobRecord, multiple: f64) -> InheritedDeadline {
+/// The urgency and latest finish times of a job's own record. `objective_multiple` is the multiple of the job's deadline
+/// within which it still counts in a service-level objective.
+fn own_deadline(record: &JobRecord, objective_multiple: f64) -> InheritedDeadline {
     let finish_by_ms = |multiple: f64| match record.spec.deadline_s {
         Some(deadline_s) => record.accepted_ms as f64 + deadline_s * multiple * MS_PER_S,
         None => f64::INFINITY,
@@ -47,20 +49,20 @@
     InheritedDeadline {
         urgency: record.spec.urgency,
         finish_by_ms: finish_by_ms(1.0),
-        objective_finish_by_ms: finish_by_ms(multiple.max(1.0)),
+        objective_finish_by_ms: finish_by_ms(objective_multiple.max(1.0)),
     }
 }
 
-/// What the blocked jobs ask of those that they depend on, by job, blocked or not. `duration_s` is a job's
-/// expected time from its release to its end; `objective_multiple` how many times its deadline an objective of its
-/// class still counts.
+/// Computes what each job inherits from the blocked jobs that depend on it, by job id. The result includes open jobs that
+/// blocked jobs depend on. `duration_s` returns the expected time from a job's release to its end. `objective_multiple`
+/// returns the multiple of a job's deadline within which it still counts in a service-level objective of its class.
 pub fn propagate_deadlines(
     pipelines: &Pipelines,
     duration_s: impl Fn(&JobRecord) -> f64,
     objective_multiple: impl Fn(&JobRecord) -> f64,
 ) -> HashMap<String, InheritedDeadline> {
     let mut inherited: HashMap<String, InheritedDeadline> = HashMap::new();
-    // In topological order from the last jobs on: a job is visited after all that depend on it.
+    // In reverse topological order: a job is visited after all jobs that depend on it.
     let mut unvisited_dependents = count_dependents(pipelines);
     let counts = unvisited_dependents.iter();
     let last_jobs = counts.filter(|(_, count)| **count == 0);
@@ -73,13 +75,13 @@
             continue;
         };
         let mut deadline = own_deadline(record, objective_multiple(record));
-        if let Some(asked) = inherited.get(id) {
-            deadline.tighten(*asked);
+        if let Some(required) = inherited.get(id) {
+            deadline.tighten(*required);
         }
-        let asked = deadline.earlier_by(duration_s(record));
+        let required = deadline.earlier_by(duration_s(record));
         for dependency in depends_on {
-            let tightest = inherited.entry(dependency.clone()).or_insert(asked);
-            tightest.tighten(asked);
+            let tightest = inherited.entry(dependency.clone()).or_insert(required);
+            tightest.tighten(required);
             if let Some(count) = unvisited_dependents.get_mut(dependency.as_str()) {
                 *count -= 1;
                 if *count == 0 {
@@ -91,7 +93,7 @@
     inherited
 }
 
-/// How many blocked jobs that are not cancelled depend on each job.
+/// Counts, for each job, the blocked jobs that depend on it directly and are not cancelled.
 fn count_dependents(pipelines: &Pipelines) -> HashMap<&str, usize> {
     let mut counts: HashMap<&str, usize> = HashMap::new();
     let jobs = pipelines.iter();
--- a/src/pipelines/mod.rs
+++ b/src/pipelines/mod.rs
@@ -1,7 +1,7 @@
-//! The dependencies among jobs: a directed acyclic graph of the blocked ones. They are kept apart from the jobs that
-//! placement reads, and come to those by one guarded change once all that they depend on is done. Whether one is
-//! cancelled along with a dependency follows from the records alone, so that no end of a process between two writes
-//! leaves one behind.
+//! The dependencies among jobs, as a directed acyclic graph of the blocked jobs. Placement doesn't see a blocked job:
+//! once all of its dependencies are done, one conditional write releases it to the open jobs. Whether a blocked job is
+//! cancelled along with a dependency is derived from the records, so a process that ends between two writes can't leave
+//! a dependent job blocked forever.
 
 pub mod deadlines;
 pub mod service;
@@ -9,7 +9,7 @@
 use crate::jobs::{JobRecord, TerminalState};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-/// A job that depends on others which are not all done.
+/// A job that is not released yet: at its acceptance, not all of its dependencies were done.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BlockedJob {
     pub record: JobRecord,
@@ -20,7 +20,7 @@
 }
 
 impl BlockedJob {
-    /// A job by its record, before its dependencies are examined.
+    /// Creates a blocked job. [`Pipelines::insert`] determines which of its dependencies are unfinished.
     pub fn new(record: JobRecord, depends_on: Vec<String>, revision: u64) -> Self {
         Self {
             record,
@@ -31,7 +31,7 @@
     }
 }
 
-/// The state of one dependency, or of several together: the greatest of theirs.
+/// The state of a dependency. The combined state of several dependencies is the greatest of their states.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DependencyState {
     Completed,
@@ -39,22 +39,22 @@
     Cancelled,
 }
 
-/// The blocked jobs and what follows for them from the ends of others.
+/// The blocked jobs, and which of them are ready or cancelled according to the final states of their dependencies.
 #[derive(Debug, Default)]
 pub struct Pipelines {
     blocked: BTreeMap<String, BlockedJob>,
-    /// The blocked jobs that depend on a job, by its id; it may have ended long ago.
+    /// The blocked jobs that depend directly on a job, by the id of that job, which may have ended long ago.
     dependents: HashMap<String, BTreeSet<String>>,
     /// Blocked jobs whose dependencies are all done.
     ready: BTreeSet<String>,
-    /// Blocked jobs that are cancelled, themselves or along with a dependency.
+    /// Blocked jobs that were cancelled themselves or along with a dependency.
     cancelled: BTreeSet<String>,
-    /// Rises with each change.
+    /// Increases with each change.
     pub version: u64,
 }
 
 impl Pipelines {
-    /// An empty graph of the next version, for a reload of all records.
+    /// An empty graph with the next version, for a reload of all records.
     pub fn cleared(&self) -> Self {
         Self {
             version: self.version + 1,
@@ -62,22 +62,23 @@
         }
     }
 
-    /// The blocked job of that id.
+    /// The blocked job with this id.
     pub fn get(&self, id: &str) -> Option<&BlockedJob> {
         self.blocked.get(id)
     }
 
-    /// All blocked jobs, by id.
+    /// All blocked jobs with their ids, in the order of the ids.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &BlockedJob)> {
         self.blocked.iter()
     }
 
-    /// Whether a blocked job is cancelled, itself or along with a dependency.
+    /// Whether a blocked job was cancelled itself or along with a dependency.
     pub fn is_cancelled(&self, id: &str) -> bool {
         self.cancelled.contains(id)
     }
 
-    /// Inserts a job, unless a newer record of it is known. `state_of` tells what is known of a dependency.
+    /// Inserts a job, unless a record of it with the same or a newer revision is known. `state_of` returns the known state
+    /// of a dependency.
     pub fn insert(
         &mut self,
         id: &str,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Removes a job that is no longer blocked: it was released, or has ended.
+    /// Removes a job that is no longer blocked because it was released or has ended.
     pub fn remove(&mut self, id: &str) -> Option<BlockedJob> {
         let job = self.blocked.remove(id)?;
         self.version += 1;
@@ -130,7 +131,7 @@
         Some(job)
     }
 
-    /// Records that a job ended or was cancelled, for those that depend on it.
+    /// Updates the jobs that depend on a job with its final state.
     pub fn record_final_state(&mut self, id: &str, final_state: TerminalState) {
         match final_state {
             TerminalState::Cancelled => self.cascade_cancel(id),
@@ -151,8 +152,8 @@
         }
     }
 
-    /// Marks as cancelled all that depend on a job, directly or through others. A list of its own takes the place
-    /// of recursion: chains may be long.
+    /// Marks as cancelled all blocked jobs that depend on a job directly or indirectly. Iterative, because recursion over
+    /// a long chain could overflow the stack.
     fn cascade_cancel(&mut self, id: &str) {
         let mut remaining = vec![id.to_owned()];
         while let Some(id) = remaining.pop() {
@@ -179,8 +180,8 @@
         cancelled.filter_map(|id| self.blocked.get_key_value(id))
     }
 
-    /// The jobs that one depends on, directly or through others, of which neither a record here nor `is_known`
-    /// tells: they ended before this process began to watch, and are looked up.
+    /// The direct and indirect dependencies of a job that are neither blocked nor known by `is_known`. They ended before
+    /// this process loaded the records, so their final states must be looked up.
     pub fn unknown_ancestors(&self, id: &str, is_known: impl Fn(&str) -> bool) -> Vec<String> {
         let mut visited: HashSet<&str> = HashSet::from([id]);
         let mut remaining = vec![id];
@@ -201,7 +202,7 @@
         unknown
     }
 
-    /// The unknown ancestors of all blocked jobs.
+    /// The unknown direct and indirect dependencies of all blocked jobs.
     pub fn unknown_dependencies(&self, is_known: impl Fn(&str) -> bool) -> BTreeSet<String> {
         let unfinished = self.blocked.values().flat_map(|job| &job.unfinished);
         let unknown = unfinished.filter(|id| !self.blocked.contains_key(*id) && !is_known(id));
--- a/src/pipelines/service.rs
+++ b/src/pipelines/service.rs
@@ -1,5 +1,5 @@
-//! Releases blocked jobs once all that they depend on is durably done, and ends those that are cancelled along with a
-//! dependency. What is ready or cancelled is decided by [`super::Pipelines`].
+//! Releases blocked jobs once all of their dependencies are recorded as done, and ends those that are cancelled along
+//! with a dependency. [`super::Pipelines`] determines which jobs are ready or cancelled.
 
 use crate::jobs::{JobRecord, StoredJob, TerminalState};
 use crate::membership;
@@ -9,18 +9,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Pause between two lookups of unknown dependencies.
+/// Pause between two rounds of lookups of unknown dependencies.
 const LOOKUP_INTERVAL: Duration = Duration::from_millis(400);
-/// Dependencies that are looked up at a time.
+/// Maximum number of dependencies that are looked up in one round.
 const MAX_LOOKUPS: usize = 4;
 
-/// The record of a job that was cancelled while it was blocked: nothing of it ran.
-pub const CANCELLED: StoredJob = StoredJob::Finished {
+/// The record of a job that was cancelled while it was blocked. None of its tasks has run.
+pub const CANCELLED_JOB: StoredJob = StoredJob::Finished {
     outcome: TerminalState::Cancelled,
 };
 
-/// A change of one blocked job, on condition of its record alone: that its dependencies are done, or that one is
-/// cancelled, is final.
+/// A change of one blocked job. Its only precondition is that the job's record is unchanged: whether dependencies are done
+/// or cancelled is final and needs no precondition.
 struct Transition {
     precondition: Precondition,
     put: Operation,
@@ -36,9 +36,10 @@
     }
 }
 
-/// The transitions that this node makes, at most `limit` of each kind: those of its own jobs, and after it ended a
-/// job (`has_ended_jobs`) the release of any that are ready, so that the next stage need not wait until another
-/// node has read the log. Of two that release one the record's revision lets through a single one.
+/// Selects the transitions that this controller makes, at most `limit` of each kind: those of its own jobs, and, if it has
+/// just ended a job (`has_ended_jobs`), the releases of all ready jobs, so that the next stage does not wait until another
+/// controller has read the change. If two controllers release the same job, the precondition on the record's revision
+/// lets only one succeed.
 fn plan_transitions(
     node: &Node,
     core: &mut Core,
@@ -57,7 +58,7 @@
     let cancellations: Vec<_> = cancelled
         .filter(|(_, job)| is_ours(&job.record))
         .take(limit)
-        .map(|(id, job)| Transition::new(id, job.revision, &CANCELLED))
+        .map(|(id, job)| Transition::new(id, job.revision, &CANCELLED_JOB))
         .collect();
     let releases = ready
         .into_iter()
@@ -77,7 +78,7 @@
     Transition::new(id, revision, &StoredJob::Open(record))
 }
 
-/// As many of the transitions as one transaction takes, from the first on.
+/// Takes transitions in order until the next one would exceed the limits of a transaction.
 fn fill_transaction(
     transitions: Vec<Transition>,
     limit: usize,
@@ -95,15 +96,15 @@
     (preconditions, operations)
 }
 
-/// Writes the transitions that this node makes, as part of recording. After an error the records must be read again:
-/// whether the transaction was carried out is not known.
+/// Writes the transitions that this controller makes. Called when task records are written. After an error, it is unknown
+/// whether the transaction was committed, so the records must be read again.
 pub async fn write_transitions(
     node: &Arc<Node>,
     has_ended_jobs: bool,
 ) -> Result<(), TransactionError> {
     let max_operations = node.settings.max_transaction_operations();
     loop {
-        // Users wait for each stage.
+        // A user waits for each stage of a pipeline, so these writes have the priority of user requests.
         let quota = node.state.available_writes(WritePriority::UserFacing);
         let limit = quota.min(max_operations);
         let transitions = plan_transitions(node, &mut node.core(), has_ended_jobs, limit);
@@ -120,8 +121,8 @@
     }
 }
 
-/// Reads the final states of jobs that this process has not seen end. False if one cannot be read now: nothing is
-/// assumed of it then.
+/// Reads the final states of jobs whose end this process has not observed, and records them in the replica. Stops and
+/// returns false at the first one that cannot be read; nothing is assumed about that job and the remaining ones.
 pub async fn read_final_states(node: &Node, ids: impl IntoIterator<Item = String>) -> bool {
     for id in ids {
         let Ok(Some(value)) = node
@@ -140,7 +141,7 @@
     true
 }
 
-/// Looks up, little by little, the dependencies that ended before the records were loaded.
+/// Looks up, a few at a time, the dependencies that ended before the records were loaded.
 pub async fn run(node: Arc<Node>) {
     loop {
         tokio::time::sleep(LOOKUP_INTERVAL).await;
@@ -151,7 +152,7 @@
             }
             core.replica.unknown_dependencies()
         };
-        // What cannot be read now is looked up again.
+        // Dependencies that cannot be read now are looked up again in the next round.
         read_final_states(&node, unknown.into_iter().take(MAX_LOOKUPS)).await;
     }
 }
