--- a/src/api/admission.rs
+++ b/src/api/admission.rs
@@ -1,4 +1,5 @@
-//! Whether a new job is admitted. Decides only: [`super::submit`] acts, and so do the cells on jobs of others.
+//! Decides whether a new job is admitted, without side effects on jobs. [`super::submit`] acts on the decision for this
+//! cell's users, and [`crate::cells`] for jobs that come from other cells.
 
 use crate::http::{HttpResponse, error_response, retry_later};
 use crate::jobs::{JobRecord, JobSpec, StoredJob};
@@ -11,21 +12,21 @@
 use rowanmill_limits::{ResourceAmount, TeamLimit};
 use std::collections::BTreeSet;
 
-/// Bytes that a job's record may gain later: who places it, when it was released, that it was cancelled.
+/// Bytes reserved for fields that are added to a job's record later: its placer, its release time and its cancellation.
 const RECORD_GROWTH_BYTES: usize = 160;
 
 /// The decision on a new job.
 #[derive(Debug, PartialEq)]
 pub enum Admission {
     Admitted,
-    /// It can never run, for this reason.
+    /// The job can never run, for this reason.
     Ineligible(&'static str),
-    /// Its record would exceed what the state service takes as a value.
+    /// The job's record would exceed the state service's limit on a value's size.
     RecordTooLarge,
     /// The cloud's catalogue of machine types is not known yet.
     CatalogueUnknown,
     InsufficientMemory,
-    /// It depends on others, which not all controllers support yet.
+    /// The job has dependencies, which not all controllers support yet.
     DependenciesUnsupported,
 }
 
@@ -54,20 +55,21 @@
     }
 }
 
-/// Decides on a job that a user submitted.
+/// Decides whether a job that a user submitted is admitted.
 pub fn admit(node: &Node, record: &JobRecord, depends_on: &[String]) -> Admission {
     let admission = check_eligibility(node, &record.spec, depends_on);
     if !record_fits(node, record, depends_on) {
         return Admission::RecordTooLarge;
     }
-    // A process that ends for lack of memory answers none of its machines any more.
+    // A process that is killed for lack of memory can't answer the heartbeats of its machines.
     if admission == Admission::Admitted && node.memory.update(memory::allocated()) {
         return Admission::InsufficientMemory;
     }
     admission
 }
 
-/// Whether a job's record fits a value for as long as it is kept, whichever limit holds by then.
+/// Whether a job's record, including the fields that are added later, fits into a value under both the present and the
+/// next size limit of the state service.
 pub fn record_fits(node: &Node, record: &JobRecord, depends_on: &[String]) -> bool {
     let blocked = StoredJob::Blocked {
         record: record.clone(),
@@ -77,7 +79,8 @@
     bytes + RECORD_GROWTH_BYTES <= node.settings.max_value_bytes()
 }
 
-/// Whether a job can run with these teams and machine types, and is understood by all controllers.
+/// Decides whether a job can run with the configured teams and the available machine types, and whether all controllers
+/// support it.
 pub fn check_eligibility(node: &Node, spec: &JobSpec, depends_on: &[String]) -> Admission {
     let _charge = node.processor_time.charge(CpuAccount::UserRequests);
     if depends_on.contains(&spec.id) {
@@ -87,7 +90,7 @@
     let Some(team) = teams.iter().find(|team| team.name == spec.team) else {
         return Admission::Ineligible("unknown team");
     };
-    if !fits_team_limit(team, spec) {
+    if !minimum_fits_team_limit(team, spec) {
         return Admission::Ineligible("more than the team's limit");
     }
     let core = node.core();
@@ -97,19 +100,20 @@
     if let Some(reason) = machine_ineligibility(&core, spec) {
         return Admission::Ineligible(reason);
     }
-    // A controller of the version before would run it at once.
+    // A controller of the previous version would run the job without waiting for its dependencies.
     if !depends_on.is_empty() && !core.replica.is_current_schema_active() {
         return Admission::DependenciesUnsupported;
     }
     Admission::Admitted
 }
 
-/// Why no machine type takes a job's tasks, if that is so.
+/// The reason why the available machine types can't run a job's tasks, if they can't.
 fn machine_ineligibility(core: &Core, spec: &JobSpec) -> Option<&'static str> {
     let machine_types = eligible_machine_types(core, spec);
     if machine_types.is_empty() {
         let mut catalogue = core.machine_types.iter();
-        let fits_any = catalogue.any(|offer| spec.resources().fits(&capacity_of(offer)));
+        let fits_any =
+            catalogue.any(|machine_type| spec.resources().fits(&capacity_of(machine_type)));
         return Some(if fits_any {
             "no allowed machine type takes a task of it"
         } else {
@@ -122,9 +126,9 @@
     None
 }
 
-/// Whether the least that a job can start with fits its team's limit, in the units in which limits are
-/// counted: what is admitted must be able to start.
-fn fits_team_limit(team: &Team, spec: &JobSpec) -> bool {
+/// Whether the smallest set of tasks that the job can start with fits its team's limit, in the units in which limits are
+/// counted. An admitted job must be able to start.
+fn minimum_fits_team_limit(team: &Team, spec: &JobSpec) -> bool {
     let limit = TeamLimit::from_settings(team.max_cpus, team.max_gpus).unwrap_or_default();
     if !limit.is_limited() {
         return true;
@@ -134,11 +138,13 @@
     amount.is_ok_and(|amount| limit.limited_part_of(amount).fits_within(limit.as_amount()))
 }
 
-/// Whether a job whose tasks must not all be in one zone may use two.
+/// Whether a job whose tasks must not all be in one zone can use at least two zones.
 fn has_two_zones(core: &Core, spec: &JobSpec, machine_types: &[String]) -> bool {
     let machine_types = machine_types
         .iter()
         .filter_map(|name| core.machine_type(name));
-    let zones: BTreeSet<&String> = machine_types.flat_map(|kind| &kind.zones).collect();
+    let zones: BTreeSet<&String> = machine_types
+        .flat_map(|machine_type| &machine_type.zones)
+        .collect();
     !spec.one_zone && spec.zone.is_none() && zones.len() > 1
 }
--- a/src/api/dependencies.rs
+++ b/src/api/dependencies.rs
@@ -1,4 +1,4 @@
-//! The state of the jobs that a new one depends on. Decides only, by reads of the records.
+//! Determines the combined state of a new job's dependencies by reading the records. Writes no records.
 
 use super::responses::state_unavailable;
 use crate::http::{HttpResponse, error_response};
@@ -31,9 +31,9 @@
     }
 }
 
-/// The state of all that a new job depends on. Whatever becomes of them afterwards, what the job's record says
-/// stays true: that one of them is done or cancelled is final, and all else follows from the records when it is
-/// asked for.
+/// The combined state of a new job's dependencies. The job's record stays valid whatever happens to the dependencies
+/// after this read: done and cancelled are final states, and the state of an unfinished dependency is not stored but
+/// derived from the records whenever it is needed.
 pub async fn resolve_dependencies(
     node: &Arc<Node>,
     depends_on: &[String],
@@ -56,7 +56,7 @@
     Ok(combined)
 }
 
-/// Checks that a job was accepted. Its final state is read if the replica does not know it.
+/// Checks that a job was accepted. If the replica doesn't know the job, its final state is read from the state service.
 async fn check_accepted(node: &Node, id: &str) -> Result<(), DependencyError> {
     let is_known = {
         let core = node.core();
@@ -68,7 +68,8 @@
     if is_known {
         return Ok(());
     }
-    // With a read of its own: a job is in one of the two places from its acceptance on.
+    // From its acceptance on, a job has either a job record, which the replica would hold, or a final state, which is
+    // read here.
     let value = node.state.get(&RecordKey::FinalState(id).to_string()).await;
     let value = value.map_err(|_| DependencyError::StateUnavailable)?;
     let value = value.ok_or(DependencyError::NeverAccepted)?;
--- a/src/api/limit.rs
+++ b/src/api/limit.rs
@@ -1,49 +1,51 @@
-//! A limit on requests in progress that adapts to measured response times: while responses take no longer than
-//! the baseline it grows, when they slow down it shrinks. Requests beyond it are refused at once.
+//! An adaptive concurrency limit. It shrinks when response times greatly exceed a baseline, and grows otherwise while at
+//! least half of it is used. Requests beyond the limit are refused at once.
 
 use hdrhistogram::Histogram;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Requests in progress: the bounds of the limit, and the one that it starts with.
+/// Bounds and initial value of the limit, in concurrent requests.
 const MIN_LIMIT: f64 = 16.0;
 const MAX_LIMIT: f64 = 400.0;
 const INITIAL_LIMIT: f64 = 32.0;
-/// Factor by which each response of an overload shrinks the limit.
-const SHRINK_FACTOR: f64 = 0.95;
+/// Factor by which the limit is multiplied for each response that indicates overload.
+const OVERLOAD_SHRINK_FACTOR: f64 = 0.95;
 
-/// Response times are recorded up to this one.
-const MAX_RECORDED: Duration = Duration::from_secs(60);
-/// Response times from which a median is taken.
-const MEDIAN_WINDOW: u64 = 200;
+/// Longer response times are recorded as this value.
+const MAX_RECORDED_RESPONSE_TIME: Duration = Duration::from_secs(60);
+/// Number of response times from which each median is calculated.
+const MEDIAN_SAMPLES: u64 = 200;
+/// Baseline until the first median is calculated.
 const INITIAL_BASELINE: Duration = Duration::from_millis(20);
-/// Greatest factor by which the baseline rises at a time: response times of a lasting overload must not come
-/// to count as usual.
-const BASELINE_RISE: f64 = 1.1;
+/// Maximum factor by which one update raises the baseline. Otherwise, the response times of a lasting overload would soon
+/// count as normal.
+const MAX_BASELINE_RISE: f64 = 1.1;
 
-/// A response that takes this many times the baseline is one of an overload.
+/// A response time above this multiple of the baseline indicates overload, if it also exceeds [`ACCEPTABLE_RESPONSE_TIME`].
 const OVERLOAD_FACTOR: u32 = 3;
-/// Response times up to this one are never taken for overload: a poll may wait for two reads of the log, which
-/// are spaced by our part of the state service's requests.
-const ACCEPTABLE: Duration = Duration::from_millis(400);
+/// Response times up to this value never indicate overload. A poll may wait for two reads of the log, and this
+/// controller's share of the state service's request rate determines the interval between reads.
+const ACCEPTABLE_RESPONSE_TIME: Duration = Duration::from_millis(400);
 
 #[derive(Debug)]
 struct State {
     limit: f64,
     in_progress: u32,
-    /// Response times in microseconds since the baseline was last taken from them.
+    /// Response times since the last update of the baseline, in microseconds.
     recent: Histogram<u32>,
-    /// The median of response times, slow to rise: what a response takes without a queue.
+    /// Estimated response time without queueing: the median of recent response times, with its rise limited by
+    /// [`MAX_BASELINE_RISE`].
     baseline: Duration,
 }
 
-/// See the module.
+/// Admits requests up to an adaptive limit; see the module documentation.
 #[derive(Debug)]
 pub struct ConcurrencyLimit {
     state: Mutex<State>,
 }
 
-/// A request in progress. Its response time is recorded when this is dropped.
+/// A permit for one request in progress. Dropping it records the request's response time.
 pub struct Permit<'a> {
     limit: &'a ConcurrencyLimit,
     since: Instant,
@@ -51,30 +53,30 @@
 
 impl State {
     fn record(&mut self, response_time: Duration) {
-        let max = MAX_RECORDED.as_micros() as u64;
+        let max = MAX_RECORDED_RESPONSE_TIME.as_micros() as u64;
         let micros = (response_time.as_micros() as u64).clamp(1, max);
         self.recent.saturating_record(micros);
-        if self.recent.len() >= MEDIAN_WINDOW {
+        if self.recent.len() >= MEDIAN_SAMPLES {
             let median = Duration::from_micros(self.recent.value_at_quantile(0.5));
-            self.baseline = median.min(self.baseline.mul_f64(BASELINE_RISE));
+            self.baseline = median.min(self.baseline.mul_f64(MAX_BASELINE_RISE));
             self.recent.reset();
         }
     }
 
     fn adapt(&mut self, response_time: Duration) {
-        if response_time > (self.baseline * OVERLOAD_FACTOR).max(ACCEPTABLE) {
-            self.limit = (self.limit * SHRINK_FACTOR).max(MIN_LIMIT);
+        if response_time > (self.baseline * OVERLOAD_FACTOR).max(ACCEPTABLE_RESPONSE_TIME) {
+            self.limit = (self.limit * OVERLOAD_SHRINK_FACTOR).max(MIN_LIMIT);
         } else if f64::from(self.in_progress) * 2.0 > self.limit {
-            // Only a limit that is at least half used is known to be too low.
+            // While less than half of the limit is used, fast responses don't show that a higher limit is safe.
             self.limit = (self.limit + 1.0 / self.limit).min(MAX_LIMIT);
         }
     }
 }
 
 impl ConcurrencyLimit {
-    /// A limit without requests, at its initial value.
+    /// Creates a limit at its initial value, without requests in progress.
     pub fn new() -> Self {
-        let max = MAX_RECORDED.as_micros() as u64;
+        let max = MAX_RECORDED_RESPONSE_TIME.as_micros() as u64;
         Self {
             state: Mutex::new(State {
                 limit: INITIAL_LIMIT,
@@ -85,8 +87,8 @@
         }
     }
 
-    /// Admits a request while fewer than `share` of the limit are in progress. A share below 1 leaves room for
-    /// requests that matter more: submissions give way to cancellations.
+    /// Admits a request while the requests in progress use less than the fraction `share` of the limit. A share below 1
+    /// reserves the rest for more important requests, such as cancellations.
     pub fn try_acquire(&self, share: f64) -> Option<Permit<'_>> {
         let mut state = self.state.lock().unwrap();
         if f64::from(state.in_progress) >= state.limit * share {
@@ -99,7 +101,7 @@
         })
     }
 
-    /// Records that a request ended, and adapts the limit to its response time.
+    /// Records the end of a request and adapts the limit to its response time.
     pub fn record_response(&self, response_time: Duration) {
         let mut state = self.state.lock().unwrap();
         state.in_progress = state.in_progress.saturating_sub(1);
--- a/src/api/limit/tests.rs
+++ b/src/api/limit/tests.rs
@@ -4,7 +4,7 @@
 fn a_burst_shrinks_the_limit_and_calm_restores_it() {
     let limit = ConcurrencyLimit::new();
     let mut trace = String::new();
-    let mut round = |what: &str, offered: u32, took_ms: u64| {
+    let mut run_round = |phase: &str, offered: u32, response_ms: u64| {
         let mut admitted = 0;
         for _ in 0..offered {
             if let Some(permit) = limit.try_acquire(1.0) {
@@ -13,20 +13,20 @@
             }
         }
         for _ in 0..admitted {
-            limit.record_response(Duration::from_millis(took_ms));
+            limit.record_response(Duration::from_millis(response_ms));
         }
-        let now = limit.state.lock().unwrap().limit;
+        let current = limit.state.lock().unwrap().limit;
         trace.push_str(&format!(
-            "{what}: offered {offered}, let in {admitted}, refused {}, then limit {now:.0}\n",
+            "{phase}: offered {offered}, let in {admitted}, refused {}, then limit {current:.0}\n",
             offered - admitted
         ));
     };
-    round("calm", 10, 20);
-    round("burst", 100, 900);
-    round("burst", 100, 900);
-    round("burst goes on", 100, 900);
+    run_round("calm", 10, 20);
+    run_round("burst", 100, 900);
+    run_round("burst", 100, 900);
+    run_round("burst goes on", 100, 900);
     for _ in 0..20 {
-        round("calm again", 100, 20);
+        run_round("calm again", 100, 20);
     }
     insta::assert_snapshot!(trace);
 }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,5 +1,5 @@
-//! The HTTP server for users, workers and the load balancer: reads requests and routes them. What a request does
-//! is in the modules below and in [`crate::workers`].
+//! The HTTP server for users, workers and the load balancer. It reads requests and routes them to handlers, which are in
+//! the submodules and in [`crate::workers`].
 
 pub mod admission;
 pub mod cancel;
@@ -26,26 +26,26 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Largest request body that is read, in bytes.
+/// Largest accepted request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// Room for a request's head in a connection's buffer, beyond that for the body, in bytes.
+/// Space for a request's head in a connection's buffer, in addition to the space for the body, in bytes.
 const MAX_HEAD_BYTES: usize = 8192;
-/// A request's body must be complete within this time.
+/// Time within which a request's body must be complete.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// A connection may be idle for this time until the head of its next request is complete.
+/// Time within which the head of a connection's next request must be complete, including the idle time before it.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(75);
-/// Sockets reserved for our own calls and for other nodes.
+/// Sockets reserved for outgoing requests and for other controllers.
 pub const RESERVED_SOCKETS: usize = 24;
-/// Connections that are served however few sockets there are.
+/// Number of connections that are served even if fewer sockets remain after the reserved ones.
 const MIN_CONNECTIONS: usize = 8;
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// A controller counts as without the state service after this time without an answer of it.
-const UNHEALTHY_AFTER: Duration = Duration::from_millis(3500);
-/// Others count as having the state service for this time after one of them said so.
-const PEERS_HEALTHY_FOR: Duration = Duration::from_secs(3);
+/// Delay before the next attempt after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Time without a response from the state service after which a controller counts as disconnected from it.
+const DISCONNECTED_AFTER: Duration = Duration::from_millis(3500);
+/// Time for which a peer's report that it has reached the state service stays valid.
+const PEER_REPORT_VALIDITY: Duration = Duration::from_secs(3);
 
-/// What the handlers of all requests share.
+/// State that all request handlers share.
 pub struct Server {
     pub node: Arc<Node>,
     pub limit: ConcurrencyLimit,
@@ -66,23 +66,23 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                // The socket table is full, or the peer has disconnected already: neither ends the server.
+                // The socket table is full, or the client has already disconnected. Neither may end the server.
                 tracing::debug!(%error, "connection not accepted");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         if open.load(Ordering::Relaxed) >= max_connections {
-            drop(stream); // beyond the limit our own calls would find no socket
+            drop(stream); // otherwise, no socket would be left for outgoing requests
             continue;
         }
         open.fetch_add(1, Ordering::Relaxed);
-        // Without it responses are only slower.
+        // A failure only makes responses slower.
         let _ = stream.set_nodelay(true);
         let (server, open) = (server.clone(), open.clone());
         tokio::spawn(async move {
             let service = service_fn(|request| handle(server.clone(), request));
-            // A connection that breaks off is its client's affair.
+            // A broken connection concerns only its client.
             let _ = http1::Builder::new()
                 .timer(TokioTimer::new())
                 .header_read_timeout(HEAD_TIMEOUT)
@@ -121,7 +121,7 @@
     }
     let body = match read_body(request).await {
         Ok(body) => body,
-        Err(answer) => return answer,
+        Err(response) => return response,
     };
     match parts.as_slice() {
         ["hello"] => handle_heartbeat(&server.node, &body).await,
@@ -150,14 +150,16 @@
     }
 }
 
-/// Without the state service nothing can be accepted; but while all nodes are without it, taking
-/// them all away from users helps nobody. So this fails only when others have it.
+/// Answers the load balancer's health check. A controller that is disconnected from the state service can't accept jobs
+/// and should get no requests. But if all controllers are disconnected, removing all of them from the load balancer helps
+/// no user. So the check fails only while a peer reports that it reaches the state service, or if this controller has not
+/// read the records since it started.
 fn health(node: &Node) -> HttpResponse {
     let ready = node.core().loaded && !node.core().machine_types.is_empty();
-    if !node.is_connected_within(UNHEALTHY_AFTER) || !ready {
-        let others = node.peer_status().state_service_reached_at;
-        let others_have = others.is_some_and(|at| at.elapsed() < PEERS_HEALTHY_FOR);
-        if others_have || node.core().last_read_barrier.is_none() {
+    if !node.is_connected_within(DISCONNECTED_AFTER) || !ready {
+        let reached_at = node.peer_status().state_service_reached_at;
+        let peer_is_connected = reached_at.is_some_and(|at| at.elapsed() < PEER_REPORT_VALIDITY);
+        if peer_is_connected || node.core().last_read_barrier.is_none() {
             return retry_later(StatusCode::SERVICE_UNAVAILABLE, 2, "no state service");
         }
     }
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -1,11 +1,11 @@
-//! The bodies that users get, and the refusals that several requests share. Decides nothing.
+//! Response bodies for users, and the error responses that several requests share.
 
 use crate::http::{HttpResponse, json_response, retry_later};
 use crate::jobs::Stage;
 use hyper::StatusCode;
 use serde::Serialize;
 
-/// A job's stage, and how far it is where that is asked for.
+/// A job's stage and, in responses to polls, its progress.
 #[derive(Serialize)]
 pub struct JobStatusResponse<'a> {
     #[serde(rename = "nameId")]
@@ -19,7 +19,7 @@
     placed: Option<u32>,
 }
 
-/// A job's stage alone.
+/// A response with a job's stage and no progress.
 pub fn stage_response(status: StatusCode, id: &str, stage: Stage) -> HttpResponse {
     let body = JobStatusResponse {
         id,
@@ -30,7 +30,7 @@
     json_response(status, &body)
 }
 
-/// A job's stage, with its tasks that are done and those that are placed on machines.
+/// A response with a job's stage, the number of its tasks that are done, and the number of those placed on machines.
 pub fn progress_response(id: &str, stage: Stage, completed: u32, placed: u32) -> HttpResponse {
     let body = JobStatusResponse {
         id,
@@ -41,12 +41,12 @@
     json_response(StatusCode::OK, &body)
 }
 
-/// The state service cannot be read or written: the request is to be retried.
+/// The response if the state service cannot be read or written. The client should retry.
 pub fn state_unavailable() -> HttpResponse {
     retry_later(StatusCode::SERVICE_UNAVAILABLE, 1, "no state service")
 }
 
-/// Too many requests are in progress, or the write quota is used up: the request is to be retried.
+/// The response if too many requests are in progress or the write quota is used up. The client should retry.
 pub fn overloaded() -> HttpResponse {
     retry_later(StatusCode::TOO_MANY_REQUESTS, 1, "too much at once")
 }
--- a/src/api/status.rs
+++ b/src/api/status.rs
@@ -1,4 +1,4 @@
-//! What is known of a job: the polls, and the status by which other requests answer. Writes nothing.
+//! Determines the status of a job, for polls and for the responses to other requests. Writes no records.
 
 use super::Server;
 use super::responses::{overloaded, progress_response, stage_response, state_unavailable};
@@ -12,15 +12,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// If the state service has not answered for this time, which is longer than a call takes, a refusal at once is
-/// better than one after a wait.
+/// Time without a response from the state service after which requests are refused at once instead of after a timeout.
+/// It is longer than a call to the state service takes.
 pub const STATE_TIMEOUT: Duration = Duration::from_millis(3000);
-/// Part of the requests in progress from which on polls are refused: they give way to cancellations.
+/// Fraction of the concurrency limit that polls may use. The rest is reserved for cancellations.
 const POLL_SHARE: f64 = 0.9;
 
-/// What is known of a job, as of no earlier than the call.
+/// The status of a job, at the time of the call or later.
 pub enum JobStatus {
-    /// Its final state is not recorded yet, though it may be cancelled.
+    /// The job's final state is not recorded yet. The job may be cancelled nevertheless.
     Unfinished {
         stage: Stage,
         /// Tasks that are done.
@@ -30,12 +30,12 @@
     },
     Ended(TerminalState),
     NeverAccepted,
-    /// The state service cannot be read, or not all that it takes.
+    /// The state service, or one of the records that are needed, cannot be read.
     Indeterminate,
 }
 
 impl JobStatus {
-    /// Nothing of the job runs.
+    /// The status of an unfinished job without completed or placed tasks.
     fn without_tasks(stage: Stage) -> Self {
         JobStatus::Unfinished {
             stage,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Answers a poll.
+/// Handles a poll of a job's status.
 pub async fn poll(server: &Server, id: &str) -> HttpResponse {
     if !is_job_id(id) {
         return error_response(StatusCode::NOT_FOUND, "no such job");
@@ -73,8 +73,8 @@
     }
 }
 
-/// How a job ended, if that is in memory: final states never change. Where there are cells, users learn only
-/// what the ledger holds.
+/// A job's final state, if it is in memory. Final states never change, so it needs no new read. Where there are cells,
+/// users get only the final states that are in the ledger.
 pub fn final_state_in_memory(node: &Node, id: &str) -> Option<TerminalState> {
     match &node.cells {
         Some(cells) => cells.final_state(id).map(TerminalState::from),
@@ -82,8 +82,8 @@
     }
 }
 
-/// The response to a repeated submission of a job, or that its status cannot be determined; `None` if it was never
-/// accepted.
+/// The response to a repeated submission of a job, or an error response if the job's status cannot be determined. `None`
+/// if the job was never accepted.
 pub async fn respond_if_accepted(node: &Arc<Node>, id: &str) -> Option<HttpResponse> {
     match current_status(node, id).await {
         JobStatus::Unfinished { stage, .. } => Some(stage_response(StatusCode::OK, id, stage)),
@@ -95,20 +95,20 @@
     }
 }
 
-/// The status of a job, by a read of the state service that begins after the call, unless it is final.
+/// The status of a job. Unless it is final, it comes from a read of the state service that begins after the call.
 pub async fn current_status(node: &Arc<Node>, id: &str) -> JobStatus {
-    // A final state never changes, so that memory may answer it at any time.
+    // A final state never changes, so it may be answered from memory.
     if let Some(final_state) = node.core().replica.final_state(id) {
         return JobStatus::Ended(final_state);
     }
-    // Nor does a cancellation that another node confirmed, whether it is in the records here or not.
+    // Neither does a cancellation that another controller has confirmed, even if this replica has not read it yet.
     if node.peer_status().cancelled.contains(id) {
         return JobStatus::without_tasks(Stage::Cancelled);
     }
     if !node.is_connected_within(STATE_TIMEOUT) || !node.read_barrier().await {
         return JobStatus::Indeterminate;
     }
-    // A blocked job may be cancelled by what ended before this process started.
+    // A blocked job may be cancelled because a dependency was cancelled before this process loaded the records.
     let unknown = node.core().replica.unknown_ancestors(id);
     if !unknown.is_empty() && !read_final_states(node, unknown).await {
         return JobStatus::Indeterminate;
@@ -121,7 +121,7 @@
 
 fn status_in_replica(core: &Core, id: &str) -> Option<JobStatus> {
     if core.replica.pipelines.get(id).is_some() {
-        // Cancelled with what it depends on, whether that is in its own record yet or not.
+        // The job is cancelled once a dependency is, even if its own record doesn't say so yet.
         let is_cancelled = core.replica.pipelines.is_cancelled(id);
         let stage = if is_cancelled {
             Stage::Cancelled
--- a/src/api/submit.rs
+++ b/src/api/submit.rs
@@ -1,5 +1,5 @@
-//! Submissions by users: a job is accepted by one guarded write. Whether it is admitted is decided in
-//! [`super::admission`].
+//! Handles job submissions. A job is accepted by a single conditional write; [`super::admission`] decides whether it is
+//! admitted.
 
 use super::Server;
 use super::admission::{Admission, admit};
@@ -18,16 +18,15 @@
 use rowanmill_state::WritePriority;
 use std::sync::Arc;
 
-/// Part of the requests in progress from which on submissions are refused: they give way to polls and to
-/// cancellations.
+/// Fraction of the concurrency limit that submissions may use. The rest is reserved for polls and cancellations.
 const SUBMISSION_SHARE: f64 = 0.8;
-/// The revision of a key without a value.
-const ABSENT: u64 = 0;
+/// The revision that stands for an absent key in a precondition.
+const ABSENT_REVISION: u64 = 0;
 
-/// Answers a submission. One of a job that was accepted before gets the job's stage.
+/// Handles a submission. If the job was accepted before, the response contains its stage.
 pub async fn submit(server: &Server, body: &[u8]) -> HttpResponse {
     let node = &server.node;
-    let Submission { spec, depends_on } = match parse(node, body) {
+    let Submission { spec, depends_on } = match parse_submission(node, body) {
         Ok(submission) => submission,
         Err(problem) => return refuse_unreadable(server, body, &problem).await,
     };
@@ -42,8 +41,8 @@
     if !node.is_connected_within(STATE_TIMEOUT) {
         return state_unavailable();
     }
-    // A known job's status must be read after the request; for a new one the preconditions of its
-    // record say the same.
+    // The status of a known job must be read after the request arrived. A new job needs no read, because the
+    // preconditions of its record check that it doesn't exist yet.
     let seems_known = node.core().replica.is_known(&id);
     let record = new_record(spec);
     let mut admission = admit(node, &record, &depends_on);
@@ -51,7 +50,7 @@
         let (job, depends_on) = (record.clone(), depends_on.clone());
         match requests::submit(server, cells, job, depends_on, admission).await {
             Some(response) => return response,
-            // Only this cell knows the job.
+            // The job was accepted before there were cells, so only this cell's records contain it.
             None => admission = Admission::Admitted,
         }
     }
@@ -66,7 +65,7 @@
     accept(node, record, depends_on).await
 }
 
-fn parse(node: &Node, body: &[u8]) -> Result<Submission, SpecError> {
+fn parse_submission(node: &Node, body: &[u8]) -> Result<Submission, SpecError> {
     let _charge = node.processor_time.charge(CpuAccount::UserRequests);
     Submission::parse(body)
 }
@@ -85,8 +84,8 @@
     }
 }
 
-/// Refuses a body that cannot be read as a submission. A job that was accepted is known whatever a repeat of
-/// it carries: a 400 would tell its user that it is not.
+/// Refuses a body that cannot be parsed as a submission. If the body names a job that was accepted before, the response
+/// contains the job's status instead: a 400 would tell the user that the job was not accepted.
 async fn refuse_unreadable(server: &Server, body: &[u8], problem: &SpecError) -> HttpResponse {
     let refusal = || error_response(StatusCode::BAD_REQUEST, &problem.to_string());
     let Some(id) = Submission::parse_job_id(body) else {
@@ -104,7 +103,7 @@
     response.unwrap_or_else(refusal)
 }
 
-/// Accepts an admitted job: writes its record, on condition that there is none.
+/// Accepts an admitted job by writing its record, on condition that the job has no record and no final state.
 async fn accept(node: &Arc<Node>, mut record: JobRecord, depends_on: Vec<String>) -> HttpResponse {
     let dependencies = match resolve_dependencies(node, &depends_on).await {
         Ok(dependencies) => dependencies,
@@ -123,7 +122,7 @@
     ]
     .map(|key| Precondition {
         key,
-        revision: ABSENT,
+        revision: ABSENT_REVISION,
     });
     let (put, stage) = first_record(record, depends_on, dependencies);
     let written = node
@@ -142,7 +141,7 @@
     }
 }
 
-/// The record of a job as it is accepted, and the stage in the response.
+/// The first record of an accepted job, and the stage for the response.
 fn first_record(
     record: JobRecord,
     depends_on: Vec<String>,
@@ -158,7 +157,7 @@
             let blocked = StoredJob::Blocked { record, depends_on };
             (Operation::put(RecordKey::Job(&id), &blocked), Stage::Queued)
         }
-        // It depends on a cancelled job, and so it has ended: it is accepted all the same.
+        // A dependency is cancelled, so the job is accepted and is cancelled at once.
         DependencyState::Cancelled => {
             let put = Operation::put(RecordKey::FinalState(&id), &TerminalState::Cancelled);
             (put, Stage::Cancelled)
