--- a/src/workers/agent.rs
+++ b/src/workers/agent.rs
@@ -7,8 +7,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// An agent's lease should not have expired if the agent's previous heartbeat arrived within this fraction of the lease.
-/// After a longer silence, the lease may have expired because heartbeats were missing.
+/// Longest time between a lost incarnation's last heartbeat and the first one of the next, as a fraction of the lease, at
+/// which the lease counts as lost although heartbeats were answered. After a longer silence, the silence alone may have
+/// let the lease expire.
 const MAX_ANSWERED_SILENCE_LEASES: f64 = 0.6;
 /// Multiple of the lease after which an unresponsive agent that shows no further symptom counts as responsive again.
 const RECOVERY_LEASES: f64 = 1.5;
@@ -20,7 +21,7 @@
     pub attempt: u64,
 }
 
-/// When an attempt was first observed.
+/// An attempt, and when it was first observed.
 #[derive(Debug, Clone, Copy)]
 struct FirstObserved {
     attempt: u64,
@@ -244,8 +245,8 @@
     fn record_new_incarnation(&mut self, lease: Duration, now: Instant) {
         self.attempts.forget_runs();
         let silence = now.saturating_duration_since(self.last_heartbeat_at);
-        let is_unexpected = silence < lease.mul_f64(MAX_ANSWERED_SILENCE_LEASES);
-        if is_unexpected && self.ownership_acknowledged {
+        let was_answered = silence < lease.mul_f64(MAX_ANSWERED_SILENCE_LEASES);
+        if was_answered && self.ownership_acknowledged {
             self.expired_leases += 1;
             self.unresponsive_since.get_or_insert(now);
         }
--- a/src/workers/ingest.rs
+++ b/src/workers/ingest.rs
@@ -21,7 +21,7 @@
 /// Heartbeat intervals after a `run` for which its task may be missing from heartbeats, in addition to
 /// [`RUN_ACKNOWLEDGEMENT_MARGIN`].
 const RUN_ACKNOWLEDGEMENT_HEARTBEATS: f64 = 2.5;
-/// Response delay after which an agent drops a response.
+/// Time after which an agent drops a late response; part of the time within which a `run` must be acknowledged.
 const RUN_ACKNOWLEDGEMENT_MARGIN: Duration = Duration::from_secs(4);
 /// Upper bound on an agent's preemption notice, in seconds. Longer notices are treated as this long.
 const MAX_PREEMPTION_NOTICE_S: f64 = 3600.0;
@@ -161,7 +161,7 @@
     reconcile(heartbeat, &mut status.attempts, &desired, now)
 }
 
-/// Whether the records, and the ledger where there are cells, were read recently enough to start tasks.
+/// Whether tasks may be started: the records were read recently enough and, where there are cells, these permit it.
 fn permits_starts(node: &Node, core: &Core, now: Instant) -> bool {
     let is_recent = |read| now.saturating_duration_since(read) <= MAX_RECORDS_AGE_FOR_STARTS;
     core.last_read_barrier.is_some_and(is_recent) && cells::permits_starts(node, now)
@@ -221,7 +221,7 @@
     for (task, exit) in exits {
         let known = core.task_record(&task.job, task.index);
         is_any_new |= *known != exit;
-        // A later attempt that is already queued or recorded supersedes this exit.
+        // If a later attempt is already queued or recorded, its record implies this exit.
         let is_outdated =
             matches!(exit, TaskRecord::Waiting { last } if known.last_attempt() > last);
         if !is_outdated {
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -17,14 +17,14 @@
 use std::time::Instant;
 use tokio::sync::oneshot;
 
-/// This controller's ownership of a machine: when it began, and the fencing token under which it holds.
+/// This controller's ownership of a machine: when it began, and its fencing token.
 #[derive(Debug, Clone, Copy)]
 pub struct Ownership {
     pub since: Instant,
     pub fencing_token: u64,
 }
 
-/// The in-memory state of this controller's machines and their tasks. None of it is in the state service.
+/// What this controller keeps in memory about its machines and their tasks, in addition to the records.
 #[derive(Debug, Default)]
 pub struct Workers {
     /// The agents that have sent a heartbeat since this controller became the owner, by machine name.
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -28,7 +28,7 @@
 }
 
 impl DesiredState<'_> {
-    /// Whether no task of the job may run: the job has ended or is cancelled.
+    /// Whether no task of the job may run: its record is gone or cancelled, or the job is in `cancelled_jobs`.
     fn must_not_run(&self, id: &str, job: Option<&Job>) -> bool {
         job.is_none_or(|job| job.record.cancelled) || self.cancelled_jobs.contains(id)
     }
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Determines why the heartbeat doesn't report an attempt that was placed in the agent's `incarnation`.
+    /// Classifies the absence of an attempt that was placed in the agent's `incarnation`.
     fn classify_absence(&self, expected: &TaskAttempt, incarnation: u64) -> Absence {
         let TaskId { job, index } = &expected.task;
         if incarnation < self.heartbeat.incarnation {
--- a/src/workers/service/tests.rs
+++ b/src/workers/service/tests.rs
@@ -88,33 +88,33 @@
             vec![Operation::put(RecordKey::Rental("r-1"), &rental)],
             self.revision,
         );
-        let me = self.node.identity.clone();
-        core.update_ownership(&me, self.start);
+        let identity = self.node.identity.clone();
+        core.update_ownership(&identity, self.start);
         self.trace.push_str(&format!(
             "-- token {token}, {}\n",
             if ours { "ours" } else { "another's" }
         ));
     }
 
-    /// Records that job-1/0 is placed on vm-1, in the agent's incarnation `session`.
-    fn record_placement(&mut self, attempt: u64, session: u64) {
+    /// Records that job-1/0 is placed on vm-1 in this incarnation of the agent.
+    fn record_placement(&mut self, attempt: u64, incarnation: u64) {
         self.revision += 1;
         self.put(
             "r/p/job-1/0",
-            json!([[attempt, "vm-1", session]]),
+            json!([[attempt, "vm-1", incarnation]]),
             self.revision,
         );
         self.trace.push_str(&format!(
-            "-- attempt {attempt} recorded in session {session}\n"
+            "-- attempt {attempt} recorded in session {incarnation}\n"
         ));
     }
 
     /// Ingests a heartbeat of vm-1 and appends the result to the trace.
-    fn ingest(&mut self, at_s: u64, session: u64, seq: u64, token: u64, tasks: Value) {
+    fn ingest(&mut self, at_s: u64, incarnation: u64, sequence: u64, token: u64, tasks: Value) {
         let heartbeat: Heartbeat =
             serde_json::from_value(json!({"millstone": "vm-1", "endpoint": "",
-            "stone": "m", "yard": "a", "shift": session, "tally": seq, "warrant": token,
-            "sacks": tasks}))
+            "stone": "m", "yard": "a", "shift": incarnation, "tally": sequence,
+            "warrant": token, "sacks": tasks}))
             .unwrap();
         let now = self.start + Duration::from_secs(at_s);
         let mut core = self.node.core();
@@ -151,7 +151,7 @@
         let pending = core.pending_changes.get("job-1", 0);
         let pending = pending.map_or(String::new(), |p| format!("; to record: {p:?}"));
         let line = format!(
-            "{at_s} s session {session} #{seq} token {token}: {result}; {agent_state}{pending}\n"
+            "{at_s} s session {incarnation} #{sequence} token {token}: {result}; {agent_state}{pending}\n"
         );
         drop(core);
         self.trace.push_str(&line);
@@ -309,9 +309,9 @@
     fixture.set_owner(true, 7);
     fixture.ingest(1, 1, 4, 7, json!([]));
     let mut trace = String::new();
-    for (at_s, seq, token) in [(30, 4, 7), (31, 5, 6), (32, 6, 7)] {
+    for (at_s, sequence, token) in [(30, 4, 7), (31, 5, 6), (32, 6, 7)] {
         let heartbeat = json!({"millstone": "vm-1", "endpoint": "", "stone": "m", "yard": "a",
-            "shift": 1, "tally": seq, "warrant": token, "sacks": []});
+            "shift": 1, "tally": sequence, "warrant": token, "sacks": []});
         let heartbeat: Heartbeat = serde_json::from_value(heartbeat).unwrap();
         let mut core = fixture.node.core();
         record_unanswered_heartbeat(
@@ -321,7 +321,7 @@
         );
         let heard = core.workers.agents["vm-1"].last_heartbeat_at - fixture.start;
         trace.push_str(&format!(
-            "{at_s} s #{seq} token {token}: heard at {} s\n",
+            "{at_s} s #{sequence} token {token}: heard at {} s\n",
             heard.as_secs()
         ));
     }
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -169,12 +169,12 @@
     let stops = PendingStops::from([(withdrawn, 0.0)]);
     let no_changes = PendingChanges::default();
     let empty = || heartbeat(1, TOKEN, json!([]));
-    let first = trace_with(&replica, empty(), &stops, &no_changes);
+    let withdrawn_start = trace_with(&replica, empty(), &stops, &no_changes);
     let mut changes = PendingChanges::default();
     let recorded = replica.task_record("job-1", 0);
     changes.record(&id, recorded, TaskRecord::Waiting { last: 1 });
-    let second = trace_with(&replica, empty(), &PendingStops::new(), &changes);
-    insta::assert_snapshot!(format!("withdrawn\n{first}not recorded yet\n{second}"), @r#"
+    let queued_withdrawal = trace_with(&replica, empty(), &PendingStops::new(), &changes);
+    insta::assert_snapshot!(format!("withdrawn\n{withdrawn_start}not recorded yet\n{queued_withdrawal}"), @r#"
     withdrawn
     record job-1/0 Waiting { last: 1 }
     not recorded yet
