--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -41,7 +41,7 @@
 /// Delay before the next attempt after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Time without a response from the state service after which a controller counts as disconnected from it.
-const DISCONNECTED_AFTER: Duration = Duration::from_millis(3500);
+const UNHEALTHY_AFTER: Duration = Duration::from_millis(3500);
 /// Time for which a peer's report that it has reached the state service stays valid.
 const PEER_REPORT_VALIDITY: Duration = Duration::from_secs(3);
 
@@ -156,7 +156,7 @@
 /// read the records since it started.
 fn health(node: &Node) -> HttpResponse {
     let ready = node.core().loaded && !node.core().machine_types.is_empty();
-    if !node.is_connected_within(DISCONNECTED_AFTER) || !ready {
+    if !node.is_connected_within(UNHEALTHY_AFTER) || !ready {
         let reached_at = node.peer_status().state_service_reached_at;
         let peer_is_connected = reached_at.is_some_and(|at| at.elapsed() < PEER_REPORT_VALIDITY);
         if peer_is_connected || node.core().last_read_barrier.is_none() {
