--- a/src/workers/exits.rs
+++ b/src/workers/exits.rs
@@ -73,8 +73,8 @@
         .entry(machine_type)
         .or_default();
     counts.finished += 1;
-    counts.counted += share;
-    counts.late += if is_late { share } else { 0.0 };
+    counts.finished_work += share;
+    counts.late_work += if is_late { share } else { 0.0 };
 }
 
 /// Updates the run time estimate of a job's class and the machine's slowness with `ratio`, a measured run time divided by
@@ -100,7 +100,7 @@
     failures.machines.insert(machine.to_owned());
     failures.count += 1;
     failures.last = Some(now);
-    if failures.is_everywhere() {
+    if failures.is_job_at_fault() {
         return; // the job is faulty rather than the machine
     }
     status.failed_jobs.insert(task.job.clone());
