--- a/crates/rowanmill-state/src/client.rs
+++ b/crates/rowanmill-state/src/client.rs
@@ -1,5 +1,5 @@
-//! Calls to one state service, within one controller's quota of its limits. Each kind of call says what
-//! every kind of answer means; none is repeated here.
+//! Calls to one state service, within one controller's quota of the service's limits. Each method interprets
+//! the statuses of its own request. Failed calls are not retried here.
 
 mod leases;
 mod reads;
@@ -17,38 +17,39 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Longest time that a call may take.
+/// Maximum duration of a call, apart from listings and the hold time of a watch.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Connections kept while idle.
+/// Maximum number of idle connections that are kept open.
 const MAX_IDLE_CONNECTIONS: usize = 6;
-/// Parts of the quota of requests that watches and read barriers take; transactions have the rest.
-const WATCH_PART: f64 = 0.25;
-const READ_BARRIER_PART: f64 = 0.3;
-/// The most headroom that is reported while another controller is short of writes.
+/// Fractions of the request quota that watches and read barriers may use; the rest is for transactions.
+const WATCH_FRACTION: f64 = 0.25;
+const READ_BARRIER_FRACTION: f64 = 0.3;
+/// Upper bound of the reported write headroom while another controller is short of writes.
 const MAX_HEADROOM_WHILE_PEERS_SHORT: f64 = 0.4;
-/// Shortest time over which a rate of writes is measured, in seconds.
+/// Minimum period over which the write rate is averaged, in seconds.
 const MIN_RATE_PERIOD_S: f64 = 0.5;
 
-/// A client of one state service. Its calls may be made from any number of tasks at once.
+/// A client of one state service. Any number of tasks may use it concurrently.
 pub struct StateClient {
     http: Client,
     quota: Mutex<QuotaState>,
     write_limiter: Mutex<RateLimiter>,
-    /// Another controller could not write all that it had to.
+    /// Whether another controller has more to write than its quota permits.
     peers_short_of_writes: AtomicBool,
-    /// What was asked so far.
+    /// Counters of the requests sent so far.
     pub counters: RequestCounters,
     last_rate_measurement: Mutex<RateMeasurement>,
 }
 
-/// The total of writes at a moment.
+/// The total number of writes at a point in time.
 struct RateMeasurement {
     at: Instant,
     writes: u64,
 }
 
 impl StateClient {
-    /// A client that keeps to the `current` quota, and to the `announced` one once that is seen to hold.
+    /// Creates a client that keeps to the `current` quota, and to the `announced` one once that is known to be
+    /// in force.
     pub fn new(addr: SocketAddr, current: ServiceQuota, announced: ServiceQuota) -> Self {
         let now = Instant::now();
         Self {
@@ -61,36 +62,36 @@
         }
     }
 
-    /// The least time between two watch requests: each change of any controller would else cost every
+    /// The minimum time between two watch requests. Without it, each change by any controller would cost every
     /// controller a request.
     pub fn watch_interval(&self) -> Duration {
-        self.request_interval(WATCH_PART)
+        self.request_interval(WATCH_FRACTION)
     }
 
-    /// The least time between two read barriers.
+    /// The minimum time between two read barriers.
     pub fn read_barrier_interval(&self) -> Duration {
-        self.request_interval(READ_BARRIER_PART)
+        self.request_interval(READ_BARRIER_FRACTION)
     }
 
-    /// Time between requests that take `part` of the quota, at most a second.
-    fn request_interval(&self, part: f64) -> Duration {
-        let requests_per_s = (self.quota().requests_per_s * part).max(1.0);
+    /// The interval between requests that use this fraction of the quota, at most one second.
+    fn request_interval(&self, fraction: f64) -> Duration {
+        let requests_per_s = (self.quota().requests_per_s * fraction).max(1.0);
         Duration::from_secs_f64(1.0 / requests_per_s)
     }
 
-    /// How many puts and deletes of this priority may be sent now.
+    /// The number of puts and deletes of this priority that may be sent now.
     pub fn available_writes(&self, priority: WritePriority) -> usize {
         let available = lock(&self.write_limiter).available(priority, Instant::now());
         available.max(0.0) as usize
     }
 
-    /// Records whether another controller is short of writes: what this one does not need to write at
-    /// once it then leaves to that one.
+    /// Records whether another controller is short of writes. If so, [`write_headroom`](Self::write_headroom)
+    /// is capped, so that this controller leaves writes that are not urgent to the other one.
     pub fn set_peers_short_of_writes(&self, short: bool) {
         self.peers_short_of_writes.store(short, Ordering::Relaxed);
     }
 
-    /// How much of what background writes may use at once is left, from 0 to 1; never much while another
+    /// The unused fraction of the burst that background writes may use, from 0 to 1. It is capped while another
     /// controller is short of writes.
     pub fn write_headroom(&self) -> f64 {
         let headroom = lock(&self.write_limiter).background_fraction(Instant::now());
@@ -101,22 +102,24 @@
         }
     }
 
-    /// Sets the puts and deletes a second that may be sent.
+    /// Sets the number of puts and deletes a second that may be sent.
     pub fn set_write_rate(&self, writes_per_s: f64) {
         lock(&self.write_limiter).set_rate(writes_per_s, Instant::now());
     }
 
-    /// The quota that holds, as far as is known by now.
+    /// The quota that is in force as far as this client knows.
     pub fn quota(&self) -> ServiceQuota {
         lock(&self.quota).quota()
     }
 
-    /// Whether the lower limits were seen to hold, here or by another controller.
+    /// Whether this client keeps to the announced lower quota, after its own refusals or those of another
+    /// controller.
     pub fn has_lower_quota(&self) -> bool {
         lock(&self.quota).is_lowered()
     }
 
-    /// Keeps to the announced quota from now on, if it is lower; it is not raised again.
+    /// Keeps to the announced quota from now on if it is lower than the current one. The quota is not raised
+    /// again.
     pub fn adopt_lower_quota(&self) {
         let Some(lower) = lock(&self.quota).lower() else {
             return;
@@ -127,18 +130,18 @@
         limiter.set_rate(rate, Instant::now());
     }
 
-    /// Records that the service refused a transaction as over its limit: what was thought to be
-    /// available was not.
+    /// Records that the service refused a transaction as over its limit. The limiter is emptied, because it
+    /// had permitted writes that the service did not.
     fn record_refusal(&self) {
         let now = Instant::now();
         lock(&self.write_limiter).drain(now);
-        let lower_limits_hold = lock(&self.quota).record_refusal(now);
-        if lower_limits_hold {
+        let is_quota_lowered = lock(&self.quota).record_refusal(now);
+        if is_quota_lowered {
             self.adopt_lower_quota();
         }
     }
 
-    /// Puts and deletes a second since the last call.
+    /// The average number of puts and deletes a second since the last call.
     pub fn measure_write_rate(&self) -> f64 {
         let now = Instant::now();
         let writes = self.counters.writes.load(Ordering::Relaxed);
@@ -149,7 +152,7 @@
         rate
     }
 
-    /// One request, counted.
+    /// Sends one request and counts it.
     async fn call(
         &self,
         method: Method,
@@ -165,7 +168,7 @@
         response
     }
 
-    /// One request without a body.
+    /// Sends one GET request.
     async fn get_path(
         &self,
         path: &str,
--- a/crates/rowanmill-state/src/client/leases.rs
+++ b/crates/rowanmill-state/src/client/leases.rs
@@ -1,4 +1,4 @@
-//! Leases: keys attached to one are removed when it ends.
+//! Leases. When a lease ends, the keys attached to it are removed.
 
 use super::{CALL_TIMEOUT, StateClient};
 use crate::error::{ReadError, RequestError};
@@ -14,10 +14,10 @@
 }
 
 impl StateClient {
-    /// A new lease of this length.
+    /// Creates a lease that ends after `ttl` unless it is extended.
     ///
     /// # Errors
-    /// [`ReadError::Failed`]; a lease may have been made all the same, and then ends by itself.
+    /// [`ReadError::Failed`]. The lease may have been created nevertheless, and then ends after `ttl`.
     pub async fn create_lease(&self, ttl: Duration) -> Result<u64, ReadError> {
         let body = format!("{{\"ttlMs\":{}}}", ttl.as_millis());
         let (status, body) = self
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Gives a lease its full time again.
+    /// Extends a lease to its full duration from now.
     ///
     /// # Errors
     /// [`ReadError::LeaseExpired`] if it has ended.
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Ends a lease at once, and removes the keys attached to it. One that has ended before is fine.
+    /// Ends a lease at once, and removes the keys attached to it. Succeeds also if the lease has already ended.
     ///
     /// # Errors
     /// [`ReadError::Failed`] if it may not have ended.
--- a/crates/rowanmill-state/src/client/reads.rs
+++ b/crates/rowanmill-state/src/client/reads.rs
@@ -9,15 +9,15 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// Keys on a page of a listing.
+/// Number of keys on a page of a listing.
 const LISTING_PAGE_KEYS: usize = 1000;
 
 impl StateClient {
-    /// The changes under a prefix after the revision `from`, as they came; the service waits for one at
-    /// most for `hold`. [`WatchResponse::decode`](crate::WatchResponse::decode) reads them.
+    /// Requests the changes under a prefix after the revision `from`. The service waits up to `hold` for a
+    /// change. Returns the body, which [`WatchResponse::decode`](crate::WatchResponse::decode) decodes.
     ///
     /// # Errors
-    /// [`ReadError::Compacted`] if the service no longer keeps the changes from there on.
+    /// [`ReadError::Compacted`] if the service no longer keeps all changes after `from`.
     pub async fn watch(&self, prefix: &str, from: u64, hold: Duration) -> Result<Bytes, ReadError> {
         let hold_ms = hold.as_millis();
         let path = format!("/follow?prefix={prefix}&from={from}&holdMs={hold_ms}");
@@ -32,10 +32,10 @@
         }
     }
 
-    /// A key's value as it is now; none if there is no such key.
+    /// Reads a key's value; `None` if the key does not exist.
     ///
     /// # Errors
-    /// [`ReadError::Failed`] if nothing is known of the key.
+    /// [`ReadError::Failed`], also if the value cannot be decoded.
     pub async fn get(&self, key: &str) -> Result<Option<Value>, ReadError> {
         let Some(key_value) = self.get_key_value(key).await? else {
             return Ok(None);
@@ -44,10 +44,10 @@
         Ok(Some(value))
     }
 
-    /// A key's value as it is now, with the revision of its last change; none if there is no such key.
+    /// Reads a key's value and the revision of its last change; `None` if the key does not exist.
     ///
     /// # Errors
-    /// [`ReadError::Failed`] if nothing is known of the key.
+    /// [`ReadError::Failed`], also if the response cannot be decoded.
     pub async fn get_key_value(&self, key: &str) -> Result<Option<KeyValue>, ReadError> {
         let path = format!("/store/{key}");
         let (status, body) = self.get_path(&path, CALL_TIMEOUT).await?;
@@ -58,11 +58,11 @@
         }
     }
 
-    /// All keys under a prefix, and the revision from which a watch continues them. The pages of the
-    /// listing are of different moments; the watch from the first one on makes them agree.
+    /// Lists all keys under a prefix, and returns them with the revision of the first page. The pages are read
+    /// at different revisions; applying a watch from the returned revision on makes them consistent.
     ///
     /// # Errors
-    /// [`ReadError::Failed`] if any page failed.
+    /// [`ReadError::Failed`] if the request for any page failed.
     pub async fn list_all(&self, prefix: &str) -> Result<(Vec<KeyValue>, u64), ReadError> {
         let mut all: Vec<KeyValue> = Vec::new();
         let mut first_revision = None;
@@ -78,10 +78,10 @@
         }
     }
 
-    /// A page of the keys under a prefix, in order, beginning after the key `after`.
+    /// Lists one page of the keys under a prefix in order, starting after the key `after`.
     ///
     /// # Errors
-    /// [`ReadError::Failed`] if nothing is known.
+    /// [`ReadError::Failed`], also if the response cannot be decoded.
     pub async fn list(&self, prefix: &str, after: Option<&str>) -> Result<Listing, ReadError> {
         let from = after.map(|key| format!("&from={key}")).unwrap_or_default();
         let path = format!("/store?prefix={prefix}{from}&limit={LISTING_PAGE_KEYS}");
--- a/crates/rowanmill-state/src/client/transactions.rs
+++ b/crates/rowanmill-state/src/client/transactions.rs
@@ -1,4 +1,4 @@
-//! Transactions: all operations under all preconditions, or none.
+//! Transactions, which apply all of their operations or none.
 
 use super::{CALL_TIMEOUT, StateClient};
 use crate::counters;
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Instant;
 
-/// What the service says of a transaction that names an ended lease.
+/// Part of the service's response to a transaction that names a lease that has ended.
 const NO_SUCH_LEASE: &str = "no such lease";
 
 #[derive(Serialize)]
@@ -35,10 +35,10 @@
 
 impl StateClient {
     /// Applies all operations if all preconditions hold, and none otherwise. Returns the revision of the
-    /// change. The operations count against the limit whatever becomes of them.
+    /// change. The operations count against the write quota whatever the outcome.
     ///
     /// # Errors
-    /// [`TransactionError`] says for each outcome whether anything was or may have been changed.
+    /// Each [`TransactionError`] states whether anything was or may have been changed.
     pub async fn compare_and_swap(
         &self,
         preconditions: &[Precondition],
@@ -48,7 +48,8 @@
             preconditions,
             operations,
         };
-        let body = serde_json::to_vec(&request).expect("plain data");
+        let body =
+            serde_json::to_vec(&request).expect("a transaction of plain data serializes to JSON");
         lock(&self.write_limiter).consume(operations.len() as f64, Instant::now());
         counters::add(&self.counters.writes, operations.len());
         counters::add(&self.counters.preconditions, preconditions.len());
@@ -56,14 +57,15 @@
             .call(Method::POST, "/multi", body.into(), CALL_TIMEOUT)
             .await;
         match response {
-            Ok((status, body)) => self.read_transaction_response(status, &body),
+            Ok((status, body)) => self.interpret_response(status, &body),
             Err(error @ CallError::Unconnected(_)) => Err(TransactionError::Refused(error.into())),
             Err(error @ CallError::Unanswered(_)) => Err(TransactionError::Unknown(error.into())),
         }
     }
 
-    /// What a response means, and what it says of the limits.
-    fn read_transaction_response(
+    /// Converts a response to the transaction's outcome, and updates the quota if the response shows that the
+    /// service's limits are lower.
+    fn interpret_response(
         &self,
         status: StatusCode,
         body: &Bytes,
@@ -76,7 +78,7 @@
                 let response: ConflictResponse = serde_json::from_slice(body).unwrap_or_default();
                 Err(TransactionError::Conflict(response.failed))
             }
-            StatusCode::BAD_REQUEST => Err(self.read_bad_request(body)),
+            StatusCode::BAD_REQUEST => Err(self.interpret_bad_request(body)),
             StatusCode::TOO_MANY_REQUESTS => {
                 self.record_refusal();
                 Err(TransactionError::Refused(RequestError::Status(status)))
@@ -88,12 +90,13 @@
         }
     }
 
-    fn read_bad_request(&self, body: &Bytes) -> TransactionError {
+    fn interpret_bad_request(&self, body: &Bytes) -> TransactionError {
         let answer = String::from_utf8_lossy(body);
         if answer.contains(NO_SUCH_LEASE) {
             return TransactionError::LeaseExpired;
         }
-        // What this version writes fits both limits; what does not was written before.
+        // What this version writes fits both the current and the announced limits, so a transaction that exceeds
+        // the service's limits contains data written before. The announced limits must be in force.
         self.adopt_lower_quota();
         tracing::error!(%answer, "transaction rejected as malformed");
         TransactionError::Malformed
--- a/crates/rowanmill-state/src/counters.rs
+++ b/crates/rowanmill-state/src/counters.rs
@@ -1,8 +1,8 @@
-//! Counters of what a client asked of the state service. They change no decision.
+//! Counters of a client's requests to the state service, for metrics and for measuring the write rate.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Totals since the client was made; they only ever grow.
+/// Totals since the client was created.
 #[derive(Debug, Default)]
 pub struct RequestCounters {
     /// Requests of any kind.
--- a/crates/rowanmill-state/src/error.rs
+++ b/crates/rowanmill-state/src/error.rs
@@ -1,54 +1,56 @@
-//! Why a request to the state service has no positive answer, by what the caller may conclude from it.
+//! Errors of requests to the state service, distinguished by what the caller may conclude from them.
 
 use crate::http::CallError;
 use hyper::StatusCode;
 
-/// What went wrong with one request.
+/// Why one request failed.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
-    /// No response came.
+    /// No response was received.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The service answered with a status that says no more than that it failed.
-    #[error("status {0}")]
+    /// The service responded with a status that has no more specific meaning for this request.
+    #[error("the state service responded with status {0}")]
     Status(StatusCode),
-    /// The response's body is not what the protocol says.
-    #[error("unreadable body")]
+    /// The response's body does not conform to the protocol.
+    #[error("failed to decode the response body")]
     Body(#[from] serde_json::Error),
 }
 
-/// Why a transaction has no positive answer.
+/// Why a transaction was not confirmed.
 #[derive(Debug, thiserror::Error)]
 pub enum TransactionError {
-    /// A precondition did not hold, of one of these keys; nothing was changed.
-    #[error("guards failed: {0:?}")]
+    /// The preconditions of these keys did not hold; nothing was changed.
+    #[error("preconditions failed for the keys {0:?}")]
     Conflict(Vec<String>),
-    /// Not executed: over the rate limit, in an outage, or never connected. It may be sent again.
-    #[error("refused")]
+    /// The transaction was not executed, because of the rate limit, an outage or a failed connection. It may
+    /// be sent again.
+    #[error("transaction not executed")]
     Refused(#[source] RequestError),
-    /// Refused as malformed, now and at each repeat.
-    #[error("malformed")]
+    /// The service rejects the transaction as malformed; sending it again has the same result.
+    #[error("transaction rejected as malformed")]
     Malformed,
-    /// The lease named in it has ended.
-    #[error("the lease is over")]
+    /// A lease that the transaction names has ended.
+    #[error("the transaction's lease has expired")]
     LeaseExpired,
-    /// No answer: it may have been applied, or may be applied yet. Nothing may be assumed, and
-    /// nothing contrary done, until a guarded key's revision has moved on.
-    #[error("no answer")]
+    /// The outcome is unknown: the transaction may have been applied, or may be applied later. The caller
+    /// must assume neither, and must not write anything that contradicts the transaction, until the revision
+    /// of a key in its preconditions has changed.
+    #[error("outcome of the transaction unknown")]
     Unknown(#[source] RequestError),
 }
 
-/// Why a read, a watch or a request for a lease has no positive answer.
+/// Why a read, a watch or a lease request failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The service keeps only the last changes: the keys must be listed again.
-    #[error("the log no longer reaches back that far")]
+    /// The service has compacted the changes after the requested revision: the keys must be listed again.
+    #[error("requested revision has been compacted")]
     Compacted,
     /// The lease has ended.
-    #[error("gone")]
+    #[error("lease has expired")]
     LeaseExpired,
-    /// Nothing is known.
-    #[error("no answer")]
+    /// The request failed, and nothing is known about the requested keys or lease.
+    #[error("request failed")]
     Failed(#[source] RequestError),
 }
 
--- a/crates/rowanmill-state/src/http.rs
+++ b/crates/rowanmill-state/src/http.rs
@@ -1,5 +1,5 @@
-//! A small HTTP/1.1 client over hyper: kept connections to one address, and a timeout on each call. It
-//! repeats nothing.
+//! A small HTTP/1.1 client on top of hyper, with persistent connections to one address and a timeout for
+//! each call. It does not retry.
 
 use crate::sync::lock;
 use bytes::Bytes;
@@ -12,38 +12,38 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Why a call has no answer, by what may have become of the request.
+/// Why a call has no response, and whether the request may have been executed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The connection never came up: the request was not executed.
-    #[error("no connection")]
+    /// The request was not sent, and therefore not executed.
+    #[error("request not sent")]
     Unconnected(#[source] TransportError),
-    /// The request may have left: it may have been executed, or may be executed yet.
-    #[error("no answer")]
+    /// The request may have been sent: it may have been executed, or may be executed later.
+    #[error("no complete response received")]
     Unanswered(#[source] TransportError),
 }
 
-/// What failed below the call.
+/// The cause of a failed call.
 #[derive(Debug, thiserror::Error)]
 pub enum TransportError {
-    /// The connection could not be made.
-    #[error("connect")]
+    /// The connection could not be established.
+    #[error("failed to connect")]
     Connect(#[from] std::io::Error),
     /// The exchange of HTTP messages failed.
-    #[error("exchange")]
+    #[error("HTTP exchange failed")]
     Http(#[from] hyper::Error),
-    /// The request cannot be expressed in HTTP.
-    #[error("request")]
+    /// The request is not valid HTTP, for example because of its path.
+    #[error("invalid HTTP request")]
     Request(#[from] hyper::http::Error),
-    /// The response's body broke off or is too long.
-    #[error("body")]
+    /// The response's body is incomplete or too long.
+    #[error("failed to read the response body")]
     Body(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// No complete response within this time.
-    #[error("timeout after {0:?}")]
+    /// The call did not complete within this time.
+    #[error("timed out after {0:?}")]
     Timeout(Duration),
 }
 
-/// Calls to one address over kept connections.
+/// Sends requests to one address over persistent connections.
 pub struct Client {
     addr: SocketAddr,
     host: String,
@@ -51,11 +51,11 @@
     max_idle: usize,
 }
 
-/// The longest body of a response that is read.
+/// Maximum size of a response body.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
 impl Client {
-    /// A client that keeps at most `max_idle` idle connections.
+    /// Creates a client that keeps at most `max_idle` idle connections open.
     pub fn new(addr: SocketAddr, max_idle: usize) -> Self {
         Self {
             addr,
@@ -85,19 +85,19 @@
     async fn connect(&self) -> Result<SendRequest<Full<Bytes>>, CallError> {
         let stream = TcpStream::connect(self.addr).await;
         let stream = stream.map_err(|error| CallError::Unconnected(error.into()))?;
-        // Without it calls are slower, and as right.
+        // A failure to set TCP_NODELAY only increases the latency.
         let _ = stream.set_nodelay(true);
         let (sender, connection) = handshake(TokioIo::new(stream))
             .await
             .map_err(|error| CallError::Unconnected(error.into()))?;
         tokio::spawn(async move {
-            // Whoever waits for an answer on the connection is told of its error.
+            // The caller that waits for a response on this connection receives the error too.
             let _ = connection.await;
         });
         Ok(sender)
     }
 
-    /// One request, answered within `timeout` or not at all.
+    /// Sends one request and returns the response's status and body, or an error after at most `timeout`.
     pub async fn call(
         &self,
         method: Method,
--- a/crates/rowanmill-state/src/lib.rs
+++ b/crates/rowanmill-state/src/lib.rs
@@ -1,5 +1,5 @@
-//! The state service's client: transactions, reads, the watch and leases, within one controller's quota
-//! of the service's limits. What is stored under which key is the caller's own matter.
+//! A client of the state service: transactions, reads, the watch and leases, within one controller's quota
+//! of the service's limits. It does not depend on which records are stored under which keys.
 #![deny(missing_docs)]
 
 pub mod client;
--- a/crates/rowanmill-state/src/messages.rs
+++ b/crates/rowanmill-state/src/messages.rs
@@ -1,12 +1,12 @@
-//! What the state service's protocol carries, with the wire's own names: `k` for a key, `data` for a
-//! value, `mark` for the revision of a key, `ledger` for the revision of the store, `set` and `drop` for a
-//! put and a delete, `tenancy` for a lease.
+//! Messages of the state service's protocol. In their JSON form `k` is a key, `data` a value, `mark` the
+//! revision of a key, `ledger` the revision of the store, `set` a put, `drop` a delete and `tenancy` a
+//! lease.
 
 use crate::error::ReadError;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// A key and the revision that a transaction requires of it; 0 where it must not exist.
+/// The revision that a key must have for a transaction to be applied; 0 requires that the key does not exist.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Precondition {
     /// The key.
@@ -36,11 +36,11 @@
         /// The key.
         #[serde(rename = "set")]
         key: String,
-        /// The value, serialized once and sent as it is.
+        /// The serialized value, which is sent unchanged.
         #[serde(rename = "data")]
         value: Box<RawValue>,
         #[serde(rename = "tenancy", skip_serializing_if = "Option::is_none")]
-        /// The key is removed when this lease ends.
+        /// The lease that the key is attached to; the key is removed when it ends.
         lease: Option<u64>,
     },
     /// Removes a key.
@@ -55,9 +55,10 @@
     /// Writes a value that is attached to no lease.
     ///
     /// # Panics
-    /// If `value` cannot be written as JSON, which no plain record does.
+    /// If `value` cannot be serialized to JSON. Records of plain data always can.
     pub fn put(key: impl Into<String>, value: &impl Serialize) -> Self {
-        let value = serde_json::value::to_raw_value(value).expect("our records are plain data");
+        let value = serde_json::value::to_raw_value(value)
+            .expect("a record of plain data serializes to JSON");
         Operation::Put {
             key: key.into(),
             value,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// The same write, attached to a lease: the key is removed when the lease ends.
+    /// The same put, attached to a lease: the key is removed when the lease ends. A delete is unchanged.
     pub fn with_lease(self, lease: u64) -> Self {
         match self {
             Operation::Put { key, value, .. } => Operation::Put {
@@ -82,7 +83,7 @@
         Operation::Delete { key: key.into() }
     }
 
-    /// Bytes that it takes of a transaction's body, punctuation included.
+    /// Upper bound of the operation's size in a transaction's body, in bytes.
     pub fn bytes(&self) -> usize {
         match self {
             Operation::Put { key, value, .. } => key.len() + value.get().len() + PUT_OVERHEAD_BYTES,
@@ -91,7 +92,7 @@
     }
 }
 
-/// Upper bounds on what an operation's field names and punctuation take.
+/// Upper bounds of the size of an operation's field names and punctuation.
 const PUT_OVERHEAD_BYTES: usize = 60;
 const DELETE_OVERHEAD_BYTES: usize = 20;
 
@@ -104,8 +105,8 @@
     /// The key, if it was removed.
     #[serde(rename = "drop")]
     pub deleted: Option<String>,
-    /// The value, parsed only once it is known what kind of record it is: most events are progress
-    /// pages.
+    /// The value. It is not parsed with the response, because the type to parse it into depends on the key;
+    /// most events are progress pages.
     #[serde(default, rename = "data")]
     pub value: Option<Box<RawValue>>,
     /// The revision of the change.
@@ -113,10 +114,10 @@
     pub revision: u64,
 }
 
-/// The response to a watch request: what changed after the revision asked for.
+/// The response to a watch request: the changes after the requested revision.
 #[derive(Debug, Deserialize)]
 pub struct WatchResponse {
-    /// All changes up to this revision are in.
+    /// The response contains all changes up to this revision.
     #[serde(rename = "ledger")]
     pub revision: u64,
     /// The changes, in order.
@@ -137,7 +138,7 @@
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
-    /// The value as it came.
+    /// The value as received, not parsed yet.
     #[serde(rename = "data")]
     pub value: Box<RawValue>,
     /// The revision of its last change.
@@ -150,7 +151,7 @@
 pub struct Listing {
     /// The keys, in order.
     pub pairs: Vec<KeyValue>,
-    /// Whether more follow.
+    /// Whether more keys follow.
     #[serde(default)]
     pub more: bool,
     /// The revision at which the page was read.
--- a/crates/rowanmill-state/src/quota.rs
+++ b/crates/rowanmill-state/src/quota.rs
@@ -1,5 +1,6 @@
-//! One controller's quota of the state service's limits: the one that holds now, the lower one that was
-//! announced, and whether that one holds by now. Nobody says when it begins to: refusals show it.
+//! One controller's quota of the state service's limits: the current quota, the announced lower one, and
+//! whether that one is in force yet. The service does not say when lower limits take effect; refused
+//! transactions show it.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -19,23 +20,23 @@
     }
 }
 
-/// Refusals within [`REFUSAL_WINDOW`] that show the lower limits: a single one may be a burst of several
-/// controllers at once, so many are none.
-const REFUSALS_OF_LOWER_QUOTA: usize = 3;
+/// Number of refusals within [`REFUSAL_WINDOW`] that shows that the lower limits are in force. A single
+/// refusal may come from simultaneous bursts of several controllers.
+const REFUSALS_BEFORE_LOWERING: usize = 3;
 const REFUSAL_WINDOW: Duration = Duration::from_secs(10);
 
-/// Which quota holds. It is lowered once and never raised again.
+/// Which quota is in force. It is lowered at most once and never raised again.
 #[derive(Debug)]
 pub(crate) struct QuotaState {
     current: ServiceQuota,
     announced: ServiceQuota,
     lowered: bool,
-    /// When the service refused a transaction, in order, none older than the window.
+    /// Times at which the service refused a transaction, oldest first, within [`REFUSAL_WINDOW`].
     refusals: VecDeque<Instant>,
 }
 
 impl QuotaState {
-    /// The `current` quota holds until the lower `announced` one is seen to.
+    /// Starts with the `current` quota; `announced` is the one to lower it to.
     pub(crate) fn new(current: ServiceQuota, announced: ServiceQuota) -> Self {
         Self {
             current,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The quota that holds, as far as is known by now.
+    /// The quota that is in force as far as this client knows.
     pub(crate) fn quota(&self) -> ServiceQuota {
         if self.lowered {
             self.announced
@@ -58,8 +59,8 @@
         self.lowered
     }
 
-    /// Lowers the quota to the announced one. Returns it if that changes anything: it is lower, and did
-    /// not hold yet.
+    /// Lowers the quota to the announced one. Returns the new quota, or `None` if nothing changes because
+    /// the announced quota is not lower or is in force already.
     pub(crate) fn lower(&mut self) -> Option<ServiceQuota> {
         if self.lowered || !self.announced.is_lower_than(&self.current) {
             return None;
@@ -68,13 +69,14 @@
         Some(self.announced)
     }
 
-    /// Records a refusal at `now`. Returns whether the recent ones show that the lower limits hold.
+    /// Records a refusal at `now`. Returns whether the recent refusals show that the lower limits are in
+    /// force.
     pub(crate) fn record_refusal(&mut self, now: Instant) -> bool {
         self.refusals.push_back(now);
         let is_old = |at: &Instant| now.saturating_duration_since(*at) > REFUSAL_WINDOW;
         while self.refusals.front().is_some_and(is_old) {
             self.refusals.pop_front();
         }
-        self.refusals.len() >= REFUSALS_OF_LOWER_QUOTA
+        self.refusals.len() >= REFUSALS_BEFORE_LOWERING
     }
 }
--- a/crates/rowanmill-state/src/rate_limit.rs
+++ b/crates/rowanmill-state/src/rate_limit.rs
@@ -1,37 +1,37 @@
-//! A token bucket for one controller's writes, with a reserve that only writes for users may use.
+//! A token bucket for one controller's writes, with a reserve that only user-facing writes may use.
 
 use std::time::Instant;
 
-/// What the bucket lends to a write for a user beyond what it holds: this part of a second's tokens, and
-/// one more. Where a controller may write four times a second, one submission in twelve came when less
-/// than one token was left, and was a second late.
+/// Tokens that a user-facing write may use in advance, beyond those in the bucket: the tokens of this many
+/// seconds, and a constant number in addition. Without them, at a rate of four writes a second, one submission in twelve
+/// found less than one token in the bucket and was delayed by a second.
 const USER_CREDIT_S: f64 = 0.3;
 const USER_CREDIT_TOKENS: f64 = 1.0;
-/// Part of a full bucket that background writes leave to users.
+/// Fraction of a full bucket that background writes leave to user-facing ones.
 const USER_RESERVE: f64 = 0.2;
 
-/// A token bucket that holds one second's worth of its rate.
+/// A token bucket whose capacity is the number of tokens that it receives in one second.
 #[derive(Debug)]
 pub struct RateLimiter {
-    /// Tokens a second, and the most that the bucket holds.
+    /// Tokens added each second, and the capacity of the bucket.
     rate: f64,
-    /// Tokens held; below zero when more were consumed than held.
+    /// Tokens in the bucket; negative if more were consumed than it held.
     tokens: f64,
     refilled_at: Instant,
 }
 
-/// Who waits for a write.
+/// The priority of a write, by whether a user waits for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WritePriority {
-    /// A user does: it may use what is reserved for users, and a little of what is to come, which
-    /// background writes then go without.
+    /// A user waits for the write. It may use the reserve and some tokens in advance, which are then missing
+    /// for background writes.
     UserFacing,
-    /// Nobody does.
+    /// No user waits for the write.
     Background,
 }
 
 impl RateLimiter {
-    /// A full bucket with `rate` tokens a second.
+    /// Creates a full bucket that receives `rate` tokens a second.
     pub fn new(rate: f64, now: Instant) -> Self {
         Self {
             rate,
@@ -48,7 +48,7 @@
         self.tokens = (self.tokens + elapsed_s * self.rate).min(self.rate);
     }
 
-    /// Sets the rate, and with it the most that the bucket holds.
+    /// Sets the rate, which is also the capacity.
     pub fn set_rate(&mut self, rate: f64, now: Instant) {
         self.refill(now);
         self.rate = rate;
@@ -60,7 +60,7 @@
         self.rate
     }
 
-    /// Tokens that a write of this priority may consume now; may be negative.
+    /// The number of tokens that writes of this priority may consume now; may be negative.
     pub fn available(&mut self, priority: WritePriority, now: Instant) -> f64 {
         self.refill(now);
         match priority {
@@ -71,20 +71,20 @@
         }
     }
 
-    /// What is available to background writes, as a fraction of a full bucket: from 0 to 1.
+    /// The tokens available to background writes, as a fraction of those in a full bucket, from 0 to 1.
     pub fn background_fraction(&mut self, now: Instant) -> f64 {
         let available = self.available(WritePriority::Background, now);
-        let most = self.rate * (1.0 - USER_RESERVE);
-        (available / most).clamp(0.0, 1.0)
+        let capacity = self.rate * (1.0 - USER_RESERVE);
+        (available / capacity).clamp(0.0, 1.0)
     }
 
-    /// Empties the bucket: the service refused what it was thought to hold.
+    /// Empties the bucket after the service refused a write that the bucket permitted.
     pub fn drain(&mut self, now: Instant) {
         self.refill(now);
         self.tokens = self.tokens.min(0.0);
     }
 
-    /// Consumes `tokens`, even if that leaves less than none.
+    /// Consumes `tokens`, even if fewer are in the bucket.
     pub fn consume(&mut self, tokens: f64, now: Instant) {
         self.refill(now);
         self.tokens -= tokens;
--- a/crates/rowanmill-state/src/rate_limit/tests.rs
+++ b/crates/rowanmill-state/src/rate_limit/tests.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 #[test]
-fn own_writes_leave_the_reserve_to_users() {
+fn background_writes_leave_the_reserve_to_user_facing_writes() {
     let start = Instant::now();
     let mut limiter = RateLimiter::new(10.0, start);
     assert_eq!(limiter.available(WritePriority::Background, start), 8.0);
--- a/crates/rowanmill-state/src/sync.rs
+++ b/crates/rowanmill-state/src/sync.rs
@@ -1,11 +1,12 @@
-//! Locks of the client. This is the one place that decides what a poisoned lock means.
+//! Locking of the client's mutexes. All modules of the client use it, so that a poisoned mutex is handled
+//! the same way everywhere.
 
 use std::sync::{Mutex, MutexGuard};
 
 /// Locks `mutex`.
 ///
 /// # Panics
-/// If another thread panicked while it held the lock: what it guards may be half changed.
+/// If another thread panicked while it held the lock, since the guarded data may be inconsistent.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex
         .lock()
