--- a/crates/rowanmill-state/tests/protocol.rs
+++ b/crates/rowanmill-state/tests/protocol.rs
@@ -1,6 +1,6 @@
-//! The state service's protocol as this client speaks it: what it sends, and what it reads out of each
-//! answer. The snapshots are the interface: they change only with the protocol.
-#![allow(clippy::too_many_lines, reason = "a test plays a whole scenario")]
+//! Tests of the state service's protocol: the requests that the client sends, and how it interprets each
+//! response. The snapshots document the protocol and change only with it.
+#![allow(clippy::too_many_lines, reason = "a test covers a whole scenario")]
 
 use rowanmill_state::{
     KeyValue, Listing, Operation, Precondition, ReadError, ServiceQuota, StateClient,
@@ -11,7 +11,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-const SHARE: ServiceQuota = ServiceQuota {
+const QUOTA: ServiceQuota = ServiceQuota {
     requests_per_s: 1000.0,
     writes_per_s: 1000.0,
 };
@@ -24,16 +24,16 @@
 struct Trace(String);
 
 impl Trace {
-    /// One call, with what is replied to each of its requests.
+    /// Records one call, with the scripted reply to each of its requests.
     async fn call(
         &mut self,
-        what: &str,
+        label: &str,
         replies: &[ScriptedAnswer],
         call: impl AsyncFnOnce(StateClient) -> String,
     ) {
         let recorder = Recorder::start(replies.to_vec());
-        let outcome = call(StateClient::new(recorder.addr, SHARE, SHARE)).await;
-        writeln!(self.0, "== {what}").unwrap();
+        let outcome = call(StateClient::new(recorder.addr, QUOTA, QUOTA)).await;
+        writeln!(self.0, "== {label}").unwrap();
         for (request, reply) in recorder.requests().iter().zip(replies) {
             self.0.push_str(request);
             match reply {
@@ -58,34 +58,34 @@
     }
 }
 
-fn problem_text(problem: ReadError) -> String {
-    match problem {
+fn error_text(error: ReadError) -> String {
+    match error {
         ReadError::Compacted => "the log does not go back that far".to_owned(),
         ReadError::LeaseExpired => "the lease is over".to_owned(),
         ReadError::Failed(_) => "nothing is known".to_owned(),
     }
 }
 
-fn pair_text(pair: &KeyValue) -> String {
+fn key_value_text(pair: &KeyValue) -> String {
     format!("{} at {}: {}\n", pair.key, pair.revision, pair.value)
 }
 
 fn listing_text(listing: &Listing) -> String {
-    let pairs: String = listing.pairs.iter().map(pair_text).collect();
+    let pairs: String = listing.pairs.iter().map(key_value_text).collect();
     format!(
         "{pairs}more: {}, revision {}",
         listing.more, listing.revision
     )
 }
 
-fn change_text(change: &WatchEvent) -> String {
-    let data = change.value.as_ref().map_or("none", |data| data.get());
+fn event_text(event: &WatchEvent) -> String {
+    let data = event.value.as_ref().map_or("none", |data| data.get());
     let key = |key: &Option<String>| key.clone().unwrap_or("none".to_owned());
     format!(
         "at {}: put {}, removed {}, value {data}\n",
-        change.revision,
-        key(&change.put),
-        key(&change.deleted)
+        event.revision,
+        key(&event.put),
+        key(&event.deleted)
     )
 }
 
@@ -108,7 +108,7 @@
 }
 
 #[tokio::test]
-async fn a_transaction_is_sent_and_each_answer_read() {
+async fn transactions_are_sent_and_each_response_is_interpreted() {
     let mut trace = Trace::default();
     let replies = [
         ("applied", answer(200, r#"{"ledger":432}"#)),
@@ -129,7 +129,7 @@
         ("an answer that cannot be read", answer(200, "{}")),
         ("no answer", ScriptedAnswer::HangUp),
     ];
-    for (what, reply) in replies {
+    for (label, reply) in replies {
         let call = async |client: StateClient| {
             transaction_text(
                 client
@@ -137,7 +137,7 @@
                     .await,
             )
         };
-        trace.call(what, &[reply], call).await;
+        trace.call(label, &[reply], call).await;
     }
     let compare = async |client: StateClient| {
         transaction_text(client.compare_and_swap(&preconditions(), &[]).await)
@@ -152,11 +152,11 @@
 }
 
 #[tokio::test]
-async fn a_transaction_without_a_connection_was_not_executed() {
+async fn a_transaction_without_a_connection_is_not_executed() {
     let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = closed.local_addr().unwrap();
     drop(closed);
-    let client = StateClient::new(addr, SHARE, SHARE);
+    let client = StateClient::new(addr, QUOTA, QUOTA);
     let outcome = client
         .compare_and_swap(&preconditions(), &operations())
         .await;
@@ -164,7 +164,7 @@
 }
 
 #[tokio::test]
-async fn the_log_is_followed_and_each_answer_read() {
+async fn watch_requests_are_sent_and_each_response_is_interpreted() {
     let mut trace = Trace::default();
     let log = r#"{"ledger":433,"log":[{"set":"c/9","data":{"n":1},"mark":433},{"drop":"c/d","mark":432}]}"#;
     let replies = [
@@ -178,22 +178,22 @@
         ("an answer that cannot be read", answer(200, "[]")),
         ("no answer", ScriptedAnswer::HangUp),
     ];
-    for (what, reply) in replies {
+    for (label, reply) in replies {
         let call = async |client: StateClient| {
-            let followed = client.watch("c/", 431, Duration::from_millis(250)).await;
-            match followed.and_then(|body| WatchResponse::decode(&body)) {
-                Ok(followed) => {
-                    let log: String = followed.events.iter().map(change_text).collect();
-                    format!("{log}all up to revision {}", followed.revision)
+            let response = client.watch("c/", 431, Duration::from_millis(250)).await;
+            match response.and_then(|body| WatchResponse::decode(&body)) {
+                Ok(response) => {
+                    let log: String = response.events.iter().map(event_text).collect();
+                    format!("{log}all up to revision {}", response.revision)
                 }
-                Err(problem) => problem_text(problem),
+                Err(error) => error_text(error),
             }
         };
-        trace.call(what, &[reply], call).await;
+        trace.call(label, &[reply], call).await;
     }
     let at_once = async |client: StateClient| {
-        let followed = client.watch("r/", 0, Duration::ZERO).await;
-        followed.map_or_else(problem_text, |body| format!("{} bytes", body.len()))
+        let response = client.watch("r/", 0, Duration::ZERO).await;
+        response.map_or_else(error_text, |body| format!("{} bytes", body.len()))
     };
     let reply = answer(200, r#"{"ledger":433}"#);
     trace.call("without waiting", &[reply], at_once).await;
@@ -201,7 +201,7 @@
 }
 
 #[tokio::test]
-async fn a_key_is_read_and_each_answer_understood() {
+async fn keys_are_read_and_each_response_is_interpreted() {
     let mut trace = Trace::default();
     let replies = [
         (
@@ -220,20 +220,20 @@
         ("an answer that cannot be read", answer(200, "{}")),
         ("no answer", ScriptedAnswer::HangUp),
     ];
-    for (what, reply) in replies {
+    for (label, reply) in replies {
         let pair = async |client: StateClient| match client.get_key_value("a/b").await {
-            Ok(Some(pair)) => pair_text(&pair),
+            Ok(Some(pair)) => key_value_text(&pair),
             Ok(None) => "there is none".to_owned(),
-            Err(problem) => problem_text(problem),
+            Err(error) => error_text(error),
         };
-        trace.call(what, std::slice::from_ref(&reply), pair).await;
+        trace.call(label, std::slice::from_ref(&reply), pair).await;
         let value = async |client: StateClient| match client.get("a/b").await {
             Ok(Some(value)) => value.to_string(),
             Ok(None) => "there is none".to_owned(),
-            Err(problem) => problem_text(problem),
+            Err(error) => error_text(error),
         };
-        let what = format!("{what}, its value alone");
-        trace.call(&what, &[reply], value).await;
+        let label = format!("{label}, its value alone");
+        trace.call(&label, &[reply], value).await;
     }
     insta::assert_snapshot!(trace.0);
 }
@@ -245,22 +245,22 @@
     let last = r#"{"pairs":[{"k":"c/8","data":[],"mark":4}],"ledger":440}"#;
     let page = async |client: StateClient| match client.list("c/", None).await {
         Ok(listing) => listing_text(&listing),
-        Err(problem) => problem_text(problem),
+        Err(error) => error_text(error),
     };
     let reply = answer(200, first);
     trace.call("the first page", &[reply], page).await;
     let page = async |client: StateClient| match client.list("c/", Some("c/7")).await {
         Ok(listing) => listing_text(&listing),
-        Err(problem) => problem_text(problem),
+        Err(error) => error_text(error),
     };
     let reply = answer(200, last);
     trace.call("the page after a key", &[reply], page).await;
     let all = async |client: StateClient| match client.list_all("c/").await {
         Ok((pairs, revision)) => {
-            let pairs: String = pairs.iter().map(pair_text).collect();
+            let pairs: String = pairs.iter().map(key_value_text).collect();
             format!("{pairs}continued from revision {revision}")
         }
-        Err(problem) => problem_text(problem),
+        Err(error) => error_text(error),
     };
     let replies = [answer(200, first), answer(200, last)];
     trace.call("all pages", &replies, all).await;
@@ -274,11 +274,11 @@
 }
 
 #[tokio::test]
-async fn leases_are_made_extended_and_ended() {
+async fn leases_are_created_extended_and_revoked() {
     let mut trace = Trace::default();
-    let made = async |client: StateClient| {
+    let create = async |client: StateClient| {
         let lease = client.create_lease(Duration::from_millis(2500)).await;
-        lease.map_or_else(problem_text, |lease| format!("lease {lease}"))
+        lease.map_or_else(error_text, |lease| format!("lease {lease}"))
     };
     let replies = [
         ("made", answer(200, r#"{"tenancy":7}"#)),
@@ -289,12 +289,12 @@
         ("made, not readable", answer(200, "{}")),
         ("made, no answer", ScriptedAnswer::HangUp),
     ];
-    for (what, reply) in replies {
-        trace.call(what, &[reply], made).await;
+    for (label, reply) in replies {
+        trace.call(label, &[reply], create).await;
     }
-    let extended = async |client: StateClient| {
+    let extend = async |client: StateClient| {
         let done = client.extend_lease(7).await;
-        done.map_or_else(problem_text, |()| "extended".to_owned())
+        done.map_or_else(error_text, |()| "extended".to_owned())
     };
     let replies = [
         ("extended", answer(200, "{}")),
@@ -307,12 +307,12 @@
             answer(503, r#"{"error":"trouble"}"#),
         ),
     ];
-    for (what, reply) in replies {
-        trace.call(what, &[reply], extended).await;
+    for (label, reply) in replies {
+        trace.call(label, &[reply], extend).await;
     }
-    let ended = async |client: StateClient| {
+    let revoke = async |client: StateClient| {
         let done = client.revoke_lease(7).await;
-        done.map_or_else(problem_text, |()| "ended".to_owned())
+        done.map_or_else(error_text, |()| "ended".to_owned())
     };
     let replies = [
         ("ended", answer(200, "{}")),
@@ -322,8 +322,8 @@
             answer(503, r#"{"error":"trouble"}"#),
         ),
     ];
-    for (what, reply) in replies {
-        trace.call(what, &[reply], ended).await;
+    for (label, reply) in replies {
+        trace.call(label, &[reply], revoke).await;
     }
     insta::assert_snapshot!(trace.0);
 }
