--- a/crates/rowanmill-state/src/rate_limit.rs
+++ b/crates/rowanmill-state/src/rate_limit.rs
@@ -3,8 +3,8 @@
 use std::time::Instant;
 
 /// Tokens that a user-facing write may use in advance, beyond those in the bucket: the tokens of this many
-/// seconds, and a constant number in addition. Without them, at a rate of four writes a second, one submission in twelve
-/// found less than one token in the bucket and was delayed by a second.
+/// seconds, and a constant number in addition. Without them, at a rate of four writes a second, one
+/// submission in twelve found less than one token in the bucket and was delayed by a second.
 const USER_CREDIT_S: f64 = 0.3;
 const USER_CREDIT_TOKENS: f64 = 1.0;
 /// Fraction of a full bucket that background writes leave to user-facing ones.
