--- a/src/state/keys.rs
+++ b/src/state/keys.rs
@@ -1,26 +1,26 @@
-//! Keys of the records in the state service: a closed set, printed and parsed here alone. What a record
-//! holds is not known here.
+//! Keys of the records in the state service. All keys are formatted and parsed in this module, which does
+//! not depend on the contents of the records.
 
 use std::borrow::Cow;
 use std::fmt::{Display, Formatter};
 
-/// Prefix of the records that every controller keeps a replica of. Final states lie outside it, so that
-/// what the controllers hold in memory stays bounded as finished jobs pile up.
+/// Prefix of the live records, of which every controller keeps a replica. Final states are stored outside
+/// this prefix, so that the replica's memory does not grow with the number of finished jobs.
 pub const LIVE_PREFIX: &str = "r/";
 
-/// A record's key. It borrows the names in it.
+/// The key of a record, with names borrowed from the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordKey<'a> {
-    /// A job that has not ended, or whose end is not archived yet.
+    /// The record of a job that has not ended, or whose final state is not archived yet.
     Job(&'a str),
-    /// A page of a job's progress in the plain encoding.
+    /// A progress page of a job in the plain encoding.
     PlainPage {
         /// The job's identifier.
         job: &'a str,
         /// The page's number.
         number: usize,
     },
-    /// A page of a job's progress in the compact encoding.
+    /// A progress page of a job in the compact encoding.
     CompactPage {
         /// The job's identifier.
         job: &'a str,
@@ -29,24 +29,25 @@
     },
     /// A rental, by its name.
     Rental(&'a str),
-    /// A controller's presence, by its name.
+    /// The presence record of a controller, by the controller's name.
     Presence(&'a str),
-    /// What a controller published last of its demand, by its name.
+    /// The latest forecast summary of a controller, by the controller's name.
     ForecastSummary(&'a str),
-    /// How a team's limit is divided. Keys take no spaces: what is not plain in a team's name is written
-    /// in hexadecimal, so that two names never share a key.
+    /// How the limit of a team is divided among the controllers, by the team's name. Characters that a key
+    /// may not contain are encoded in hexadecimal, so that different names have different keys.
     QuotaAllocations(Cow<'a, str>),
-    /// What all controllers support; see `membership::schema_versions`.
+    /// Which controllers support the new record encodings, and whether these are activated; see
+    /// `membership::schema_versions`.
     SchemaVersions,
-    /// The leader.
+    /// The record of the leader.
     Leader,
-    /// Which controller has which jobs.
+    /// The assignment of jobs to controllers.
     Assignment,
-    /// How a job ended.
+    /// The final state of a job.
     FinalState(&'a str),
-    /// That a job of the cells' ledger was here and was relinquished. Of a job that was ever here, exactly
-    /// one of its open record, its final state and this exists, and this one is never deleted: whatever
-    /// would put the job into the records late fails on it.
+    /// Marks a job of the cells' ledger that this cell has relinquished to another cell. For every job that
+    /// this cell has ever had, exactly one of the job's record, its final state and this marker exists.
+    /// The marker is never deleted: a delayed transaction that would add the job again fails because of it.
     Relinquished(&'a str),
 }
 
@@ -56,7 +57,7 @@
         RecordKey::QuotaAllocations(Cow::Borrowed(team))
     }
 
-    /// The live record that `key` names; none if it is none that this version knows.
+    /// Parses the key of a live record; `None` if this version does not know the key.
     pub fn parse_live(key: &'a str) -> Option<Self> {
         let live = key.strip_prefix(LIVE_PREFIX)?;
         let Some((kind, name)) = live.split_once('/') else {
@@ -83,29 +84,29 @@
     }
 }
 
-/// The job and the number in what follows a page's kind.
+/// Parses the job and the page number in the part of a page's key after the kind.
 fn parse_page(name: &str) -> Option<(&str, usize)> {
     let (job, number) = name.split_once('/')?;
     Some((job, number.parse().ok()?))
 }
 
 impl Display for RecordKey<'_> {
-    fn fmt(&self, to: &mut Formatter) -> std::fmt::Result {
+    fn fmt(&self, f: &mut Formatter) -> std::fmt::Result {
         match self {
-            RecordKey::Job(id) => write!(to, "r/j/{id}"),
-            RecordKey::PlainPage { job, number } => write!(to, "r/p/{job}/{number}"),
-            RecordKey::CompactPage { job, number } => write!(to, "r/q/{job}/{number}"),
-            RecordKey::Rental(name) => write!(to, "r/m/{name}"),
-            RecordKey::Presence(member) => write!(to, "r/n/{member}"),
-            RecordKey::ForecastSummary(member) => write!(to, "r/o/{member}"),
+            RecordKey::Job(id) => write!(f, "r/j/{id}"),
+            RecordKey::PlainPage { job, number } => write!(f, "r/p/{job}/{number}"),
+            RecordKey::CompactPage { job, number } => write!(f, "r/q/{job}/{number}"),
+            RecordKey::Rental(name) => write!(f, "r/m/{name}"),
+            RecordKey::Presence(member) => write!(f, "r/n/{member}"),
+            RecordKey::ForecastSummary(member) => write!(f, "r/o/{member}"),
             RecordKey::QuotaAllocations(team) => {
-                write!(to, "r/a/{}", rowanmill_limits::key::encode_team(team))
+                write!(f, "r/a/{}", rowanmill_limits::key::encode_team(team))
             }
-            RecordKey::SchemaVersions => to.write_str("r/forms"),
-            RecordKey::Leader => to.write_str("r/leader"),
-            RecordKey::Assignment => to.write_str("r/shares"),
-            RecordKey::FinalState(id) => write!(to, "e/{id}"),
-            RecordKey::Relinquished(id) => write!(to, "x/{id}"),
+            RecordKey::SchemaVersions => f.write_str("r/forms"),
+            RecordKey::Leader => f.write_str("r/leader"),
+            RecordKey::Assignment => f.write_str("r/shares"),
+            RecordKey::FinalState(id) => write!(f, "e/{id}"),
+            RecordKey::Relinquished(id) => write!(f, "x/{id}"),
         }
     }
 }
--- a/src/state/keys/tests.rs
+++ b/src/state/keys/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn every_live_key_is_parsed_as_it_was_printed() {
+fn live_keys_are_formatted_and_parsed() {
     let live = [
         RecordKey::Job("job-1"),
         RecordKey::PlainPage {
@@ -26,8 +26,8 @@
 }
 
 #[test]
-fn what_is_no_live_record_is_not_parsed() {
-    let others = [
+fn other_keys_are_not_parsed_as_live() {
+    let malformed = [
         "",
         "r/",
         "r/j",
@@ -38,14 +38,14 @@
         "r/z/1",
         "j/job-1",
     ];
-    for key in others {
+    for key in malformed {
         assert_eq!(RecordKey::parse_live(key), None, "{key}");
     }
-    let outside = [
+    let outside_live_prefix = [
         RecordKey::FinalState("job-1"),
         RecordKey::Relinquished("job-1"),
     ];
-    for key in outside {
+    for key in outside_live_prefix {
         assert_eq!(RecordKey::parse_live(&key.to_string()), None);
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! The state service as a controller uses it: the keys and the shared records, the watch, and the replica
-//! that it keeps up to date.
+//! The controller's use of the state service: the keys, the shared records, and the replica of the live
+//! records, which the watch keeps up to date.
 
 pub mod keys;
 pub mod records;
@@ -12,13 +12,14 @@
 pub use replica::Replica;
 pub use rowanmill_state::{Operation, Precondition, StateClient, TransactionError};
 
-/// Most bytes of a transaction's operations: the service takes 64 KiB in all, preconditions included.
+/// Maximum size of a transaction's operations. The service accepts 64 KiB in total, which includes the
+/// preconditions.
 pub const MAX_TRANSACTION_BYTES: usize = 44 << 10;
 
-/// Preconditions that a transaction may have for each operation that it may have.
+/// Ratio of a transaction's maximum number of preconditions to its maximum number of operations.
 const PRECONDITIONS_PER_OPERATION: usize = 4;
 
-/// Most preconditions of a transaction that may have this many operations.
+/// The maximum number of preconditions of a transaction, given its maximum number of operations.
 pub fn max_preconditions(max_operations: usize) -> usize {
     max_operations * PRECONDITIONS_PER_OPERATION
 }
--- a/src/state/watch.rs
+++ b/src/state/watch.rs
@@ -1,5 +1,6 @@
-//! Keeps the replica up to date, and proves contact with the state service: a load of all records, then
-//! polls of the watch, and read barriers for those who need to know what holds now.
+//! Keeps the replica up to date: loads all records, then polls the state service's watch for changes. A
+//! successful poll also proves contact with the state service. Callers that need the current state request
+//! a read barrier, which is an additional poll without a hold time.
 
 use super::LIVE_PREFIX;
 use crate::metrics::CpuAccount;
@@ -8,13 +9,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Contact with the state service that was lost for longer begins again with the next response.
+/// Time since the last successful poll after which contact with the state service counts as lost. The next
+/// response then starts a new period of contact.
 pub const CONTACT_TIMEOUT: Duration = Duration::from_secs(4);
 /// Pause after a failed request.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Loads the records, then polls the watch; loads them again when the service no longer keeps the changes
-/// from here on. Runs for as long as the process lives.
+/// Loads the records and then polls the watch. Loads them again when the service no longer keeps all changes
+/// since the replica's revision. Runs for as long as the process lives.
 pub async fn run(node: Arc<Node>) {
     loop {
         if load(&node).await.is_err() {
@@ -28,15 +30,15 @@
     }
 }
 
-/// Loads all records. The pages of the listing are of different moments; the changes from the first one
-/// on make them agree.
+/// Loads all records. The pages of the listing are read at different revisions; the poll applies the changes
+/// since the first page, which makes the replica consistent.
 async fn load(node: &Node) -> Result<(), ReadError> {
     let (pairs, revision) = node.state.list_all(LIVE_PREFIX).await?;
     node.core().replica.reload_from_snapshot(pairs, revision);
     poll(node, Duration::ZERO).await
 }
 
-/// Polls until an error says that the records must be loaded again.
+/// Polls until an error shows that the records must be loaded again. Other errors are retried.
 async fn poll_until_compacted(node: &Node) {
     let hold = node.settings.watch_timeout();
     while let Ok(()) | Err(ReadError::Failed(_)) = poll(node, hold).await {
@@ -44,8 +46,9 @@
     }
 }
 
-/// Requests the changes since the replica's revision once, and applies them. The service waits for one at
-/// most for `hold`. Pauses after an error, unless somebody waits for the answer (no `hold`).
+/// Requests the changes since the replica's revision once, and applies them. The service waits up to `hold`
+/// for a change. After an error this function pauses, unless `hold` is zero, because then a caller waits for
+/// the result.
 async fn poll(node: &Node, hold: Duration) -> Result<(), ReadError> {
     let from = node.core().replica.revision;
     let sent_at = Instant::now();
@@ -73,8 +76,8 @@
     WatchResponse::decode(&body)
 }
 
-/// Applies a response to a request sent at `sent_at`: from then on the replica holds all that was written
-/// before.
+/// Applies the response to a request that was sent at `sent_at`. Afterwards the replica contains every change
+/// that was committed before that time.
 fn apply(node: &Node, response: WatchResponse, sent_at: Instant) {
     let _charge = node.processor_time.charge(CpuAccount::Replication);
     let mut core = node.core();
@@ -91,8 +94,8 @@
     }
 }
 
-/// Serves those who wait for a read barrier, one request at a time for all of them: each is told whether
-/// the replica now holds all that was written before it asked.
+/// Serves the callers that wait for a read barrier, with one poll for all that are waiting. Each caller is
+/// told whether the replica now contains every change that was committed before the caller's request.
 pub async fn serve_read_barriers(node: Arc<Node>) {
     loop {
         node.read_barriers.requested().await;
@@ -103,10 +106,10 @@
         let is_loaded = node.core().loaded;
         let is_fresh = is_loaded && poll(&node, Duration::ZERO).await.is_ok();
         for waiter in waiters {
-            // Whoever gave up waiting needs no answer.
+            // The caller may have stopped waiting.
             let _ = waiter.send(is_fresh);
         }
-        // Whoever comes meanwhile shares the next request.
+        // Callers that arrive during this pause share the next poll.
         tokio::time::sleep(node.state.read_barrier_interval()).await;
     }
 }
