--- a/src/state/replica.rs
+++ b/src/state/replica.rs
@@ -1,9 +1,9 @@
-//! A copy of all live records, kept by watching the state service. Every controller has one, so that
-//! polls are answered and a takeover begins without reading everything again. It decides nothing: it
-//! applies what the service says, and what this controller's own writes were answered with, each change
-//! at most once and never an older one over a newer one.
+//! A copy of all live records, kept up to date by the watch on the state service. Every controller has one, so
+//! that it can answer status polls and take over jobs without reading the records again. The replica makes no
+//! decisions. It applies the changes that the service reports and this controller's own committed writes.
+//! Each change is applied at most once, and an older put never replaces a newer record.
 //!
-//! This module takes changes in and hands each to the part that keeps its kind of record.
+//! This module receives the changes and dispatches each by its kind of record; the submodules apply them.
 
 mod job;
 mod jobs;
@@ -30,46 +30,49 @@
 pub struct Replica {
     /// All changes up to this revision are applied.
     pub revision: u64,
-    /// How jobs are divided into pages.
+    /// How the tasks of jobs are divided into progress pages.
     pub layout: PageLayout,
-    /// Jobs that may start; those that wait for others are in `pipelines`.
+    /// Open jobs, which may start. Jobs that wait for dependencies are in `pipelines`.
     pub jobs: BTreeMap<String, Job>,
-    /// Jobs that wait for others.
+    /// Blocked jobs, which wait for dependencies.
     pub pipelines: Pipelines,
-    /// Jobs whose record cannot be read: they are known, and nothing else is said of them.
+    /// Jobs whose record exists but cannot be decoded.
     unreadable: HashSet<String>,
-    /// What all controllers support.
+    /// Which controllers support the new record encodings, and whether these are activated.
     pub schema_versions: Option<Versioned<SchemaVersions>>,
     /// Rentals and their machines.
     pub fleet: Fleet,
-    /// The controllers that are present, by name.
+    /// The presence records of the controllers that are present, by name.
     pub presence: BTreeMap<String, Versioned<PresenceRecord>>,
     /// The last known incarnation of each controller that was ever present, by name.
     pub incarnations: BTreeMap<String, u64>,
-    /// The leader.
+    /// The record of the leader.
     pub leader: Option<Versioned<LeaderRecord>>,
-    /// Which controller has which jobs.
+    /// The assignment of jobs to controllers.
     pub assignment: Option<Versioned<Assignment>>,
-    /// How the limit of each team is divided, by the team's name.
+    /// How the limit of each team is divided among the controllers, by the team's name.
     pub quota_allocations: BTreeMap<String, StoredAllocations>,
-    /// What each controller published last, by name.
+    /// The latest forecast summary of each controller, by name.
     pub forecast_summaries: BTreeMap<String, Versioned<ForecastSummaryRecord>>,
-    /// Pages whose job has no record, not yet or no longer.
+    /// Progress pages of jobs that are not in `jobs`: the job's record has not arrived yet, or the job has ended.
     pub orphaned_pages: BTreeMap<(String, PageId), Versioned<ProgressPage>>,
-    /// The tasks that the records place on each machine.
+    /// The tasks that the progress pages place on each machine, by the machine's name.
     pub tasks_by_machine: HashMap<String, BTreeSet<TaskId>>,
-    /// Jobs that ended recently: their tasks may still take up machines.
+    /// The records of jobs that ended recently, whose tasks may still occupy machines.
     pub recently_ended: HashMap<String, JobRecord>,
     recently_ended_order: VecDeque<String>,
-    /// Jobs and machines whose records changed since they were last taken.
+    /// Jobs whose record or progress changed since the last call of [`Replica::take_changed_jobs`].
     changed_jobs: HashSet<String>,
+    /// Machines whose recorded tasks changed since the last call of [`Replica::take_changed_machines`].
     changed_machines: HashSet<String>,
     final_states: HashMap<String, TerminalState>,
     final_states_order: VecDeque<String>,
-    /// Jobs that ended and whose key still exists, with its revision.
+    /// Ended jobs whose record still exists, with the record's revision. The record is deleted when the final
+    /// state is archived.
     pub ended_pending_archive: BTreeMap<String, u64>,
-    /// Keys that our own writes deleted before the watch reported it, with the revisions of the
-    /// deletions: what the watch still reports of them from before is outdated.
+    /// Deleted keys with the revisions of their deletions, for deletions that are newer than `revision` because
+    /// this controller's own writes made them. Older puts of these keys that the watch still reports are
+    /// ignored.
     tombstones: HashMap<String, u64>,
 }
 
@@ -82,8 +85,8 @@
         }
     }
 
-    /// Replaces the records by those of a listing. What is known of ended jobs and of incarnations never
-    /// becomes wrong and stays.
+    /// Replaces the records with those of a listing. Final states, incarnations and released machines are kept,
+    /// because they stay correct.
     pub fn reload_from_snapshot(&mut self, pairs: Vec<KeyValue>, revision: u64) {
         let mut fleet = std::mem::take(&mut self.fleet);
         fleet.clear_for_reload();
@@ -105,8 +108,8 @@
         self.revision = revision;
     }
 
-    /// Applies what a watch returned: all changes up to `revision`. Responses may overlap: what is
-    /// applied already is passed over.
+    /// Applies a watch response, which contains all changes up to `revision`. Responses may overlap: changes
+    /// that are already applied are skipped.
     pub fn apply(&mut self, events: Vec<WatchEvent>, revision: u64) {
         for event in events {
             if event.revision <= self.revision {
@@ -123,8 +126,8 @@
         self.tombstones.retain(|_, deleted| *deleted > applied);
     }
 
-    /// Applies the put of one record. A revision no newer than the one held is passed over, so that our
-    /// own writes can be applied as soon as they are answered, before the watch reports them.
+    /// Applies the put of one record. A put that is not newer than the held record is skipped, so that this
+    /// controller's own writes can be applied as soon as they are committed, before the watch reports them.
     pub fn apply_put(&mut self, key: &str, value: &str, revision: u64) {
         if self.tombstones.get(key).is_some_and(|at| *at >= revision) {
             return;
@@ -152,8 +155,9 @@
         }
     }
 
-    /// Applies the deletion of one record, unless what is held is newer than the deletion. Schema
-    /// versions, the assignment and forecast summaries are never deleted.
+    /// Applies the deletion of one record. A rental, presence record, quota allocation, leader record or blocked
+    /// job that is newer than the deletion is kept. Schema versions, the assignment and forecast summaries are
+    /// never deleted.
     pub fn apply_delete(&mut self, key: &str, revision: u64) {
         let Some(record_key) = RecordKey::parse_live(key) else {
             return;
@@ -179,18 +183,18 @@
         }
     }
 
-    /// Takes the jobs whose record or progress changed since the last call.
+    /// Returns and clears the set of jobs whose record or progress changed since the last call.
     pub fn take_changed_jobs(&mut self) -> HashSet<String> {
         std::mem::take(&mut self.changed_jobs)
     }
 
-    /// Takes the machines whose recorded tasks changed since the last call.
+    /// Returns and clears the set of machines whose recorded tasks changed since the last call.
     pub fn take_changed_machines(&mut self) -> HashSet<String> {
         std::mem::take(&mut self.changed_machines)
     }
 }
 
-/// The put of one record, as it came.
+/// The put of one record, not decoded yet.
 #[derive(Debug, Clone, Copy)]
 struct Put<'a> {
     key: &'a str,
@@ -199,7 +203,7 @@
 }
 
 impl Put<'_> {
-    /// The record, with its revision; none if it cannot be read, which is logged.
+    /// Decodes the record and adds its revision; logs an error and returns `None` if it cannot be decoded.
     fn decode<T: for<'de> Deserialize<'de>>(&self) -> Option<Versioned<T>> {
         match serde_json::from_str(self.value) {
             Ok(record) => Some(Versioned {
@@ -207,13 +211,13 @@
                 revision: self.revision,
             }),
             Err(error) => {
-                self.log_unreadable(&error);
+                self.log_malformed(&error);
                 None
             }
         }
     }
 
-    fn log_unreadable(&self, error: &serde_json::Error) {
+    fn log_malformed(&self, error: &serde_json::Error) {
         tracing::error!(key = self.key, %error, "record rejected as malformed");
     }
 }
--- a/src/state/replica/job.rs
+++ b/src/state/replica/job.rs
@@ -1,10 +1,10 @@
-//! A job as the replica keeps it.
+//! An open job in the replica.
 
 use crate::jobs::{JobRecord, PageId, PageLayout, ProgressPage, Stage, TaskRecord};
 use crate::state::records::Versioned;
 use std::collections::BTreeMap;
 
-/// A job that may start: its record, its progress pages and what follows from them.
+/// An open job: its record, its progress pages, and the counts derived from them.
 #[derive(Debug, Clone)]
 pub struct Job {
     /// The job's record.
@@ -13,30 +13,31 @@
     pub revision: u64,
     /// The job's progress pages.
     pub pages: BTreeMap<PageId, Versioned<ProgressPage>>,
-    /// Tasks that are done, by the pages.
+    /// Number of tasks that are done according to the pages.
     pub done: u32,
-    /// Tasks that are placed on a machine, by the pages.
+    /// Number of tasks that are placed on a machine according to the pages.
     pub placed: u32,
 }
 
-/// A task's record by a job's pages: that of its compact page, if there is one, and else of its plain one.
+/// A task's record according to the job's pages: the one on its compact page if that exists, otherwise the one
+/// on its plain page.
 pub(super) fn record_on_pages<'a>(
     page: impl Fn(PageId) -> Option<&'a Versioned<ProgressPage>>,
     layout: &PageLayout,
     task: u32,
 ) -> &'a TaskRecord {
-    let on = |id: PageId| Some(page(id)?.record.get(layout.slot(id, task)));
+    let record_on = |id: PageId| Some(page(id)?.record.get(layout.slot(id, task)));
     let compact = layout
         .uses_compact()
-        .then(|| on(layout.compact_page_of(task)));
+        .then(|| record_on(layout.compact_page_of(task)));
     compact
         .flatten()
-        .or_else(|| on(layout.plain_page_of(task)))
+        .or_else(|| record_on(layout.plain_page_of(task)))
         .unwrap_or(&TaskRecord::NEVER_STARTED)
 }
 
 impl Job {
-    /// A job without progress.
+    /// Creates a job without progress.
     pub(super) fn new(record: JobRecord, revision: u64) -> Self {
         Self {
             record,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The stage that users see.
+    /// The stage that is reported to users.
     pub fn stage(&self) -> Stage {
         if self.record.cancelled {
             Stage::Cancelled
@@ -58,10 +59,10 @@
         }
     }
 
-    /// Updates the counts for a task whose record was `before` and is `after`.
+    /// Updates the counts for a task whose record changes from `before` to `after`.
     pub(super) fn update_counts(&mut self, before: &TaskRecord, after: &TaskRecord) {
-        let done = |e: &TaskRecord| u32::from(*e == TaskRecord::Done);
-        let placed = |e: &TaskRecord| u32::from(matches!(e, TaskRecord::Placed { .. }));
+        let done = |record: &TaskRecord| u32::from(*record == TaskRecord::Done);
+        let placed = |record: &TaskRecord| u32::from(matches!(record, TaskRecord::Placed { .. }));
         self.done = self.done + done(after) - done(before);
         self.placed = self.placed + placed(after) - placed(before);
     }
--- a/src/state/replica/jobs.rs
+++ b/src/state/replica/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs in the replica: open ones, those that wait for others, and those that ended.
+//! Open, blocked and ended jobs in the replica.
 
 use super::{Job, Put, Replica};
 use crate::jobs::{JobRecord, PageId, StoredJob, TaskRecord, TerminalState};
@@ -6,18 +6,18 @@
 use crate::state::records::Versioned;
 use std::collections::BTreeSet;
 
-/// Final states that are remembered; the service has them all.
+/// Maximum number of final states in the replica; the state service keeps all of them.
 const MAX_FINAL_STATES: usize = 20_000;
-/// Ended jobs whose records are remembered.
+/// Maximum number of ended jobs whose records the replica keeps.
 const MAX_RECENTLY_ENDED: usize = 1_000;
 
 impl Replica {
-    /// How a job ended, if that is known here.
+    /// A job's final state, if the replica knows it.
     pub fn final_state(&self, id: &str) -> Option<TerminalState> {
         self.final_states.get(id).copied()
     }
 
-    /// Records how a job ended; the oldest beyond a limit is forgotten.
+    /// Records a job's final state. Discards the oldest one if there are more than `MAX_FINAL_STATES`.
     pub fn record_final_state(&mut self, id: &str, state: TerminalState) {
         self.pipelines.record_final_state(id, state);
         if self.final_states.insert(id.to_owned(), state).is_some() {
@@ -31,28 +31,29 @@
         }
     }
 
-    /// Whether the job was accepted, as far as is known here.
+    /// Whether the replica shows that the job was accepted.
     pub fn is_known(&self, id: &str) -> bool {
         self.jobs.contains_key(id)
             || self.pipelines.get(id).is_some()
             || self.final_states.contains_key(id)
     }
 
-    /// Whether the job has a record that cannot be read: it is never taken for one without a record.
+    /// Whether the job has a record that cannot be decoded. Such a job must not be treated as unknown.
     pub fn is_unreadable(&self, id: &str) -> bool {
         self.unreadable.contains(id)
     }
 
-    /// Jobs that others wait for and of which no record here says anything.
+    /// Dependencies of blocked jobs of which the replica has neither a record nor a final state.
     pub fn unknown_dependencies(&self) -> BTreeSet<String> {
         self.pipelines
             .unknown_dependencies(|id| self.jobs.contains_key(id))
     }
 
-    /// Of the jobs that `id` waits for, directly or not, those of which no record here says anything.
+    /// Direct and indirect dependencies of the job `id` of which the replica has neither a record nor a final
+    /// state.
     pub fn unknown_ancestors(&self, id: &str) -> Vec<String> {
-        let known = |id: &str| self.jobs.contains_key(id);
-        self.pipelines.unknown_ancestors(id, known)
+        let is_open = |id: &str| self.jobs.contains_key(id);
+        self.pipelines.unknown_ancestors(id, is_open)
     }
 
     pub(super) fn put_stored_job(&mut self, id: &str, put: Put) {
@@ -73,7 +74,7 @@
     }
 
     fn put_open_job(&mut self, id: &str, record: JobRecord, revision: u64) {
-        // Our own accept, applied after the watch already reported the job's end.
+        // This controller's own write of the job may be applied after the watch has reported the job's end.
         if self.final_states.contains_key(id) {
             return;
         }
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Inserts a job that is not held yet, with the pages that came before it.
+    /// Inserts a new open job together with its progress pages that arrived before the job's record.
     fn insert_job(&mut self, id: &str, mut job: Job) {
         let first = (id.to_owned(), PageId::Plain(0));
         let last = (id.to_owned(), PageId::Compact(usize::MAX));
@@ -126,7 +127,7 @@
         depends_on: Vec<String>,
         revision: u64,
     ) {
-        // It was released or has ended since: an older change comes late.
+        // The job has been released or has ended in the meantime, so this put is outdated.
         if self.final_states.contains_key(id) || self.jobs.contains_key(id) {
             return;
         }
@@ -155,27 +156,28 @@
         self.ended_pending_archive.remove(id);
     }
 
-    /// How a job ended whose key was deleted; none if nothing is held that the deletion ends.
+    /// The final state of a job whose record was deleted; `None` if the replica has no record of the job, or only
+    /// one of a blocked job that is newer than the deletion.
     fn state_at_deletion(&self, id: &str, revision: u64) -> Option<TerminalState> {
         match self.jobs.get(id) {
             Some(job) if job.record.cancelled => Some(TerminalState::Cancelled),
             Some(_) => Some(TerminalState::Done),
             None => {
-                // One that waits leaves its key in two ways: released, which sets it again, and
-                // cancelled.
+                // A blocked job's record is deleted only if the job is cancelled; a release overwrites it.
                 let blocked = self.pipelines.get(id)?;
                 (blocked.revision < revision).then_some(TerminalState::Cancelled)
             }
         }
     }
 
-    /// A job ended: nothing of it is on any machine or will be. Its pages are left to be deleted.
+    /// Applies the end of a job. None of its tasks is placed any more. Its pages become orphaned, and garbage
+    /// collection deletes them.
     fn end_job(&mut self, id: &str, state: TerminalState) {
         self.remove_job(id);
         self.record_final_state(id, state);
     }
 
-    /// Removes a job that ended, or is another cell's now. Its pages become orphans.
+    /// Removes a job that has ended or was relinquished to another cell. Its pages become orphaned.
     fn remove_job(&mut self, id: &str) {
         self.unreadable.remove(id);
         self.pipelines.remove(id);
@@ -190,13 +192,14 @@
         for (page, orphan) in job.pages {
             self.orphaned_pages.insert((id.to_owned(), page), orphan);
         }
-        self.remember_recently_ended(id, job.record);
+        self.insert_recently_ended(id, job.record);
     }
 
-    /// Remembers the record of an ended job; the oldest beyond a limit is forgotten.
-    fn remember_recently_ended(&mut self, id: &str, record: JobRecord) {
-        let known = self.recently_ended.insert(id.to_owned(), record);
-        if known.is_some() {
+    /// Keeps the record of an ended job. Discards the oldest one if there are more than
+    /// [`MAX_RECENTLY_ENDED`].
+    fn insert_recently_ended(&mut self, id: &str, record: JobRecord) {
+        let previous = self.recently_ended.insert(id.to_owned(), record);
+        if previous.is_some() {
             return;
         }
         self.recently_ended_order.push_back(id.to_owned());
--- a/src/state/replica/progress.rs
+++ b/src/state/replica/progress.rs
@@ -1,5 +1,5 @@
-//! Progress pages in the replica, and what follows from them: which tasks are on which machine, and how many
-//! of a job are done and placed. Pages are most of what the watch reports.
+//! Progress pages in the replica, and the data derived from them: the index of tasks by machine, and each
+//! job's counts of done and placed tasks. Most of the changes that the watch reports are progress pages.
 
 use super::job::record_on_pages;
 use super::{Put, Replica};
@@ -8,7 +8,7 @@
 use crate::state::records::Versioned;
 
 impl<'a> RecordKey<'a> {
-    /// The key of a job's page.
+    /// The key of a job's progress page.
     pub fn page(job: &'a str, page: PageId) -> Self {
         match page {
             PageId::Plain(number) => RecordKey::PlainPage { job, number },
@@ -18,8 +18,8 @@
 }
 
 impl Replica {
-    /// A task's record. Pages of jobs that ended are held for a while; what no page covers was never
-    /// started.
+    /// A task's record. The pages of an ended job are available until they are deleted. A task that no page
+    /// covers was never started.
     pub fn task_record(&self, job: &str, task: u32) -> &TaskRecord {
         if let Some(job) = self.jobs.get(job) {
             return job.task_record(&self.layout, task);
@@ -59,11 +59,11 @@
     ) {
         match page {
             Ok(page) => self.apply_page(job, id, page, put.revision),
-            Err(error) => put.log_unreadable(&error),
+            Err(error) => put.log_malformed(&error),
         }
     }
 
-    /// Applies a page, unless what is held is as new.
+    /// Applies a page, unless the held page is at least as new.
     pub fn apply_page(&mut self, job: &str, id: PageId, page: ProgressPage, revision: u64) {
         let held = self.page(job, id);
         if !Versioned::is_superseded(held, revision) {
@@ -107,8 +107,8 @@
         }
     }
 
-    /// How many of a page's slots may change once a page with `new_slots` replaces the one held. A new
-    /// compact page overrides all that a plain one says of its tasks.
+    /// The number of slots whose records may change when a page with `new_slots` slots replaces the `held` one.
+    /// A new compact page affects all slots, because it overrides the plain pages for all of its tasks.
     fn affected_slots(&self, held: Option<&ProgressPage>, id: PageId, new_slots: usize) -> usize {
         match (held, id) {
             (None, PageId::Compact(_)) => self.layout.tasks_on(id).count,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The records of the tasks in a page's first `slots`.
+    /// The records of the tasks in the first `slots` slots of a page.
     fn task_records(&self, job: &str, id: PageId, slots: usize) -> Vec<TaskRecord> {
         let first = self.layout.tasks_on(id).first;
         (first..first + slots as u32)
@@ -124,7 +124,8 @@
             .collect()
     }
 
-    /// Updates the index and the counts by what differs from the records `before` in a page's slots.
+    /// Updates the index and the job's counts for the tasks of a page whose record differs from the one in
+    /// `before`.
     fn update_tasks(&mut self, id: &str, page: PageId, before: Vec<TaskRecord>) {
         let first = self.layout.tasks_on(page).first;
         for (slot, old) in before.into_iter().enumerate() {
@@ -141,7 +142,8 @@
         }
     }
 
-    /// Updates which machine a task of a job that has not ended is on.
+    /// Updates the index of tasks by machine for a task whose record changes from `old` to `new`. Only the tasks of
+    /// open jobs are indexed.
     pub(super) fn index_task(&mut self, job: &str, task: u32, old: &TaskRecord, new: &TaskRecord) {
         let id = TaskId::new(job, task);
         if let TaskRecord::Placed { machine, .. } = old {
--- a/src/state/replica/shared.rs
+++ b/src/state/replica/shared.rs
@@ -1,5 +1,5 @@
-//! Records in the replica that controllers share beside the jobs: presence, leadership, the assignment,
-//! schema versions, forecast summaries, quota allocations and rentals.
+//! Records in the replica other than those of jobs: presence, the leader, the assignment, schema versions,
+//! forecast summaries, quota allocations and rentals.
 
 use super::{Put, Replica};
 use crate::jobs::JobRecord;
@@ -20,12 +20,12 @@
             .collect()
     }
 
-    /// The controller that places a job and ends it, if jobs are assigned.
+    /// The controller that places a job and records its end; `None` before the first assignment.
     pub fn owner_of(&self, job: &JobRecord) -> Option<&Member> {
         self.assignment.as_ref()?.record.owner(job)
     }
 
-    /// Whether all controllers are of a version that supports what this one does.
+    /// Whether the new record encodings are activated, because all controllers support them.
     pub fn is_current_schema_active(&self) -> bool {
         let versions = self.schema_versions.as_ref();
         versions.is_some_and(|versions| versions.record.is_activated())
@@ -81,13 +81,13 @@
         }
     }
 
-    /// An unreadable record counts as none, here and in the two below.
+    /// A record that cannot be decoded leaves the replica without schema versions.
     pub(super) fn put_schema_versions(&mut self, put: Put) {
         if !Versioned::is_superseded(self.schema_versions.as_ref(), put.revision) {
             return;
         }
         self.schema_versions = put.decode();
-        // What the pages were begun with holds, whatever the settings have come to say.
+        // The recorded layout takes precedence over the settings, because existing pages have that layout.
         if let Some(versions) = &self.schema_versions
             && let Some(layout) = versions.record.layout
         {
@@ -96,12 +96,14 @@
         }
     }
 
+    /// A record that cannot be decoded leaves the replica without an assignment.
     pub(super) fn put_assignment(&mut self, put: Put) {
         if Versioned::is_superseded(self.assignment.as_ref(), put.revision) {
             self.assignment = put.decode();
         }
     }
 
+    /// A record that cannot be decoded leaves the replica without a leader.
     pub(super) fn put_leader(&mut self, put: Put) {
         if Versioned::is_superseded(self.leader.as_ref(), put.revision) {
             self.leader = put.decode();
--- a/src/state/replica/tests.rs
+++ b/src/state/replica/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn an_older_answer_never_undoes_a_newer_one() {
+fn an_older_change_never_replaces_a_newer_one() {
     let mut replica = Replica::new(plain_layout(8));
     let page = |m: &str| json!([[1, m, 1], true]);
     let job = json!({"spec": crate::pipelines::tests::spec("job-1", "urgent", None),
@@ -33,10 +33,10 @@
     assert!(replica.tasks_by_machine.is_empty() && replica.orphaned_pages.is_empty());
 }
 
-/// Rules `ran_twice` and `wrong_place`, found by hunt and on a calm day: rentals were merged
-/// right after machines of one had been released. The log then told of the release, which
-/// brought the dropped record back, and of the drop, which took the machines of the merged
-/// rental along: for seconds they counted as gone, and their tasks were placed again.
+/// Guards against tasks that run twice or on the wrong machine (rules `ran_twice` and `wrong_place`). Two
+/// rentals were merged right after machines of one had been released. The watch then reported the release,
+/// which restored the deleted record, and the deletion, which also removed the machines of the merged rental.
+/// For seconds these machines counted as released, and their tasks were placed again.
 #[test]
 fn a_deleted_record_is_not_restored_by_an_older_change() {
     let rental = |machines: &[&str]| {
@@ -53,46 +53,48 @@
         ],
         6,
     );
-    // Our own changes, taken in as soon as they are answered: a release, and the merging.
+    // This controller's own writes, applied as soon as they are committed: a release, then the merge.
     replica.apply_put("r/m/r-2", &rental(&["vm-2"]).to_string(), 7);
     replica.apply_put("r/m/r-1", &rental(&["vm-1", "vm-2"]).to_string(), 9);
     replica.apply_delete("r/m/r-2", 9);
     let mut trace = String::new();
-    let mut say = |what: &str, replica: &Replica| {
+    let mut record = |label: &str, replica: &Replica| {
         let machines = replica.fleet.machines.iter();
         let machines: Vec<String> = machines
             .map(|(n, m)| format!("{n} in {}", m.rental))
             .collect();
-        trace.push_str(&format!("{what}: {}\n", machines.join(", ")));
+        trace.push_str(&format!("{label}: {}\n", machines.join(", ")));
     };
-    say("merged", &replica);
+    record("after the merge", &replica);
     replica.apply(vec![change("r/m/r-2", rental(&["vm-2"]), 7)], 7);
-    say("the log tells of the release", &replica);
-    let merging = vec![
+    record("after the watch reports the release", &replica);
+    let merge = vec![
         change("r/m/r-1", rental(&["vm-1", "vm-2"]), 9),
         change("r/m/r-2", null, 9),
     ];
-    replica.apply(merging, 9);
-    say("and of the merging", &replica);
+    replica.apply(merge, 9);
+    record("after the watch reports the merge", &replica);
     assert!(replica.tombstones.is_empty());
     insta::assert_snapshot!(trace, @r#"
-    merged: vm-1 in r-1, vm-2 in r-1
-    the log tells of the release: vm-1 in r-1, vm-2 in r-1
-    and of the merging: vm-1 in r-1, vm-2 in r-1
+    after the merge: vm-1 in r-1, vm-2 in r-1
+    after the watch reports the release: vm-1 in r-1, vm-2 in r-1
+    after the watch reports the merge: vm-1 in r-1, vm-2 in r-1
     "#);
 }
 
-/// A controller that the state service refuses alone is in no record after some seconds. Nobody
-/// vouched then for what it had confirmed, and in the outage that followed all tasks ended.
+/// Guards against the end of all tasks in an outage. If the state service refuses only one controller, that
+/// controller's presence record expires after some seconds. When its incarnation was forgotten with the record,
+/// its attestation of the cancellations that it had confirmed was not accepted, and all tasks ended in the outage
+/// that followed.
 #[test]
-fn the_last_incarnation_is_known_when_a_controller_is_absent() {
+fn the_last_incarnation_of_an_absent_controller_is_kept() {
     let mut replica = Replica::new(plain_layout(8));
-    let there = |incarnation| json!({"incarnation": incarnation, "lease": 1});
-    replica.apply(vec![change("r/n/n-1", there(7), 4)], 4);
+    let presence = |incarnation| json!({"incarnation": incarnation, "lease": 1});
+    replica.apply(vec![change("r/n/n-1", presence(7), 4)], 4);
     replica.apply(vec![change("r/n/n-1", serde_json::Value::Null, 5)], 5);
     assert!(replica.presence.is_empty());
     assert_eq!(replica.incarnations.get("n-1"), Some(&7));
-    replica.apply(vec![change("r/n/n-1", there(8), 6)], 6);
+    replica.apply(vec![change("r/n/n-1", presence(8), 6)], 6);
     replica.reload_from_snapshot(Vec::new(), 7);
     assert_eq!(replica.incarnations.get("n-1"), Some(&8));
 }
