--- a/crates/rowanmill-cells/src/plan.rs
+++ b/crates/rowanmill-cells/src/plan.rs
@@ -290,7 +290,7 @@
         for job in tracked {
             let held = replica.jobs.get(&job.id);
             let is_owned = held.is_some_and(|held| held.record.owner == self.cell);
-            if job.is_stopped || is_owned || replica.is_unreadable(&job.id) {
+            if job.is_stopping || is_owned || replica.is_unreadable(&job.id) {
                 continue;
             }
             if self.is_halted(replica, job) {
--- a/crates/rowanmill-cells/src/plan/tests.rs
+++ b/crates/rowanmill-cells/src/plan/tests.rs
@@ -349,7 +349,7 @@
     let tracked_job = |id: &str, revision: u64| TrackedJob {
         id: id.to_owned(),
         ownership: OwnershipVersion { epoch: 1, revision },
-        is_stopped: false,
+        is_stopping: false,
     };
     let tracked = [
         tracked_job(JOB, 3),
--- a/crates/rowanmill-cells/src/scheduler.rs
+++ b/crates/rowanmill-cells/src/scheduler.rs
@@ -37,7 +37,7 @@
     /// The ledger's record that the cell's own record was written by.
     pub ownership: OwnershipVersion,
     /// No task of it is started any more.
-    pub is_stopped: bool,
+    pub is_stopping: bool,
 }
 
 /// Result of putting an owned job into the cell's records.
--- a/crates/rowanmill-cells/tests/model/records.rs
+++ b/crates/rowanmill-cells/tests/model/records.rs
@@ -149,7 +149,7 @@
         let tracked = self.open.iter().map(|(id, record)| TrackedJob {
             id: id.clone(),
             ownership: record.ownership,
-            is_stopped: record.state != RecordState::Open,
+            is_stopping: record.state != RecordState::Open,
         });
         tracked.collect()
     }
--- a/src/cells/local_state.rs
+++ b/src/cells/local_state.rs
@@ -13,7 +13,7 @@
     Some(TrackedJob {
         id: id.to_owned(),
         ownership: record.ledger?,
-        is_stopped: record.cancelled,
+        is_stopping: record.cancelled,
     })
 }
 
