--- a/crates/rowanmill-cells/src/plan.rs
+++ b/crates/rowanmill-cells/src/plan.rs
@@ -1,9 +1,8 @@
-//! Decides what a cell's leader does next: a state machine over the ledger's replica, the cell's own
-//! records and the time.
+//! Decides which actions a cell's leader takes next, from the replica of the ledger, the cell's own records
+//! and the time.
 //!
-//! It does no I/O and decides by the present state alone, never by what was requested before, so that a
-//! controller that becomes the leader continues where another stopped. [`crate::service`] carries out the
-//! actions.
+//! The planner does no I/O. It decides by the present state alone and never by earlier requests, so that a
+//! new leader continues where the previous one stopped. [`crate::service`] executes the actions.
 
 mod action;
 mod dependencies;
@@ -20,16 +19,16 @@
 use crate::replica::{LedgerReplica, Versioned};
 use crate::scheduler::{LocalJobState, TrackedJob, WithdrawalCondition};
 use dependencies::DependencyState;
-use handover::AvailableRoom;
+use handover::AvailableCapacity;
 use round::{OwnedJob, Round, RoundCounts};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// A job that was found ineligible is reconsidered after this time if it is still here: settings change,
-/// and protections end.
+/// Time after which an ineligible job that the cell still owns is reconsidered: settings may have changed
+/// and protection of machines may have ended.
 const INELIGIBILITY_TTL: Duration = Duration::from_secs(60);
-/// Time that the controller that accepted a job has to put it into the cell's records. After it the leader
-/// does so.
+/// Time that the controller that accepted a job has to write it to the cell's records. After that the
+/// leader writes it.
 const ACCEPTANCE_WRITE_GRACE: Duration = Duration::from_secs(1);
 /// An owned job that was found ineligible for the cell.
 #[derive(Debug, Clone, Copy)]
@@ -45,12 +44,12 @@
     takeover_after: Duration,
     spill_after: Option<Duration>,
     max_concurrent_spills: usize,
-    /// Moves of a job after which it moves more slowly.
-    max_hasty_spills: u32,
+    /// Number of spills after which a job waits longer before each further one.
+    spills_before_slowdown: u32,
     ranking: Ranking,
-    /// Since when owned jobs have been missing from the cell's records.
+    /// Owned jobs that are missing from the cell's records, with the time at which that was first seen.
     missing_since: BTreeMap<String, Instant>,
-    /// Jobs that the cell's records say were relinquished, with the epoch of that.
+    /// Jobs that the cell has relinquished, with the epoch under which its records say so.
     relinquished: BTreeMap<String, u64>,
     /// Jobs that this cell cannot run at present.
     ineligible: BTreeMap<String, Ineligibility>,
@@ -64,7 +63,7 @@
             takeover_after: config.takeover_after(),
             spill_after: config.spill.after_s.map(Duration::from_secs_f64),
             max_concurrent_spills: config.spill.at_once,
-            max_hasty_spills: config.spill.moves,
+            spills_before_slowdown: config.spill.moves,
             ranking: config.ranking.clone(),
             missing_since: BTreeMap::new(),
             relinquished: BTreeMap::new(),
@@ -72,12 +71,12 @@
         }
     }
 
-    /// Notes that the cell's records say that it relinquished the job under this epoch.
+    /// Remembers that, by its own records, the cell relinquished the job under this epoch.
     pub fn record_relinquished(&mut self, id: &str, epoch: u64) {
         self.relinquished.insert(id.to_owned(), epoch);
     }
 
-    /// Notes that the cell cannot run the job at present.
+    /// Remembers that the cell cannot run the job at present.
     pub fn record_ineligible(&mut self, id: &str, epoch: u64, now: Instant) {
         let ineligibility = Ineligibility { epoch, since: now };
         self.ineligible.insert(id.to_owned(), ineligibility);
@@ -90,7 +89,8 @@
         owned.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Which of these jobs this cell must not run. This binds each controller, leader or not.
+    /// The jobs among `tracked` that this cell must not run. Every controller of the cell has to obey this,
+    /// not only the leader.
     pub fn halted_jobs(&self, replica: &LedgerReplica, tracked: &[TrackedJob]) -> BTreeSet<String> {
         let halted = tracked.iter().filter(|job| self.is_halted(replica, job));
         halted.map(|job| job.id.clone()).collect()
@@ -98,13 +98,13 @@
 
     fn is_halted(&self, replica: &LedgerReplica, job: &TrackedJob) -> bool {
         match replica.jobs.get(&job.id) {
-            Some(held) => held.record.cancelled || held.record.owner != self.cell,
-            // It ended, unless this replica has yet to read its acceptance.
+            Some(open) => open.record.cancelled || open.record.owner != self.cell,
+            // The job has ended, unless the replica has not read its acceptance yet.
             None => replica.revision >= job.ownership.revision,
         }
     }
 
-    /// The actions of this round. `runnable` are those of [`Planner::takeover_candidates`] that this cell
+    /// The actions of this round. `runnable` holds those of [`Planner::takeover_candidates`] that this cell
     /// could run.
     pub fn plan(
         &mut self,
@@ -124,7 +124,7 @@
 
     fn plan_owned(&mut self, round: Round<'_>, local_jobs: &LocalJobs) -> Vec<Action> {
         let mut actions = Vec::new();
-        let mut room = AvailableRoom::of_other_cells(round, &self.cell);
+        let mut capacity = AvailableCapacity::of_other_cells(round, &self.cell);
         let leaving = self.relinquished.len() + local_jobs.count_withdrawn();
         let mut counts = RoundCounts::new(leaving);
         for (id, state) in &local_jobs.owned {
@@ -136,7 +136,7 @@
                 job,
                 state: *state,
             };
-            let Some(action) = self.next_action(round, &room, owned) else {
+            let Some(action) = self.next_action(round, &capacity, owned) else {
                 continue;
             };
             let is_spill = matches!(action, Action::Withdraw { .. }) && !is_excluded(*state);
@@ -149,19 +149,21 @@
             if matches!(action, Action::Withdraw { .. }) {
                 log_withdrawal(id, &job.record, *state);
                 if is_excluded(*state) {
-                    // Protection that began after the job was adopted: it returns to its home.
+                    // Its machines became protected after it was adopted: the cell declines it, and
+                    // it returns to the cell that accepted it.
                     self.record_ineligible(id, job.record.epoch, round.now);
                 }
             }
             if let Action::HandOver { to, .. } = &action {
-                room.take(to, &job.record);
+                capacity.reserve(to, &job.record);
             }
             actions.push(action);
         }
         actions
     }
 
-    /// Drops notes about jobs whose epoch has changed, or that are too old.
+    /// Forgets relinquished and ineligible jobs whose epoch has changed, and ineligible ones after
+    /// [`INELIGIBILITY_TTL`].
     fn discard_outdated(&mut self, round: Round<'_>) {
         let is_current = |id: &String, epoch: u64| {
             let job = round.replica.jobs.get(id);
@@ -181,7 +183,7 @@
         self.missing_since = missing.map(|(id, _)| (id.clone(), since(id))).collect();
     }
 
-    /// Whether the controller that accepted the job may still be about to put it into the cell's records.
+    /// Whether the controller that accepted the job may still be writing it to the cell's records.
     fn awaits_acceptance_write(&self, id: &str, job: &LedgerJob, now: Instant) -> bool {
         let since = self.missing_since.get(id).copied().unwrap_or(now);
         job.epoch == FIRST_EPOCH
@@ -189,11 +191,11 @@
             && now.saturating_duration_since(since) < ACCEPTANCE_WRITE_GRACE
     }
 
-    /// The next action for one owned job, when other cells have this room.
+    /// The next action for one owned job. `capacity` is what other cells have free.
     fn next_action(
         &self,
         round: Round<'_>,
-        room: &AvailableRoom,
+        capacity: &AvailableCapacity,
         owned: OwnedJob<'_>,
     ) -> Option<Action> {
         let OwnedJob { id, job, state } = owned;
@@ -205,9 +207,9 @@
                 has_started: true, ..
             } => None,
             LocalJobState::Open { age_ms, .. } => {
-                let leaves =
-                    is_excluded(state) || self.should_spill(round, room, &job.record, age_ms);
-                leaves.then(|| Action::Withdraw {
+                let should_leave =
+                    is_excluded(state) || self.should_spill(round, capacity, &job.record, age_ms);
+                should_leave.then(|| Action::Withdraw {
                     id,
                     ownership: ownership_of(job),
                     condition: WithdrawalCondition::NotStarted,
@@ -218,7 +220,7 @@
                 id,
                 final_state: FinalState::Done,
             }),
-            // None of its tasks runs here, and no other cell runs it.
+            // No task of the job runs here, and no other cell may run it.
             LocalJobState::Completed | LocalJobState::Cancelled => Some(Action::Finish {
                 id,
                 final_state: FinalState::Cancelled,
@@ -227,7 +229,7 @@
                 id,
                 final_state: FinalState::Cancelled,
             }),
-            LocalJobState::Absent => self.next_action_for_absent(round, room, id, &job.record),
+            LocalJobState::Absent => self.next_action_for_absent(round, capacity, id, &job.record),
         }
     }
 
@@ -235,12 +237,12 @@
     fn next_action_for_absent(
         &self,
         round: Round<'_>,
-        room: &AvailableRoom,
+        capacity: &AvailableCapacity,
         id: String,
         job: &LedgerJob,
     ) -> Option<Action> {
         if self.relinquished.contains_key(&id) {
-            return self.next_action_for_relinquished(round, room, id, job);
+            return self.next_action_for_relinquished(round, capacity, id, job);
         }
         if self.ineligible.contains_key(&id) {
             let epoch = job.epoch;
@@ -253,7 +255,7 @@
             DependencyState::Completed => Some(Action::Adopt { id }),
             DependencyState::Pending => None,
             DependencyState::Cancelled => Some(Action::CancelInLedger { id }),
-            DependencyState::Unread(id) => Some(Action::ReadFinalState { id }),
+            DependencyState::NotCached(id) => Some(Action::ReadFinalState { id }),
         }
     }
 
@@ -261,20 +263,20 @@
     fn next_action_for_relinquished(
         &self,
         round: Round<'_>,
-        room: &AvailableRoom,
+        capacity: &AvailableCapacity,
         id: String,
         job: &LedgerJob,
     ) -> Option<Action> {
         if self.ineligible.contains_key(&id) {
-            // Without another cell that could take it, it stays until one is present.
-            let to = self.choose_cell_for_declined(round, room, job)?;
+            // The job stays here until a cell is present that can take it.
+            let to = self.choose_cell_for_declined(round, capacity, job)?;
             return Some(Action::HandOver {
                 id,
                 to,
                 reason: HandoverReason::Declined,
             });
         }
-        match self.choose_roomiest_cell(room, job) {
+        match self.choose_cell_with_capacity(capacity, job) {
             Some(to) => Some(Action::HandOver {
                 id,
                 to,
@@ -284,19 +286,19 @@
         }
     }
 
-    /// Withdrawals of jobs of the cell's records that another cell owns by now, or that have ended.
+    /// Withdraws jobs from the cell's records that another cell owns now or that have ended.
     fn plan_withdrawals(&self, replica: &LedgerReplica, tracked: &[TrackedJob]) -> Vec<Action> {
         let mut actions = Vec::new();
         for job in tracked {
-            let held = replica.jobs.get(&job.id);
-            let is_owned = held.is_some_and(|held| held.record.owner == self.cell);
+            let open = replica.jobs.get(&job.id);
+            let is_owned = open.is_some_and(|open| open.record.owner == self.cell);
             if job.is_stopping || is_owned || replica.is_unreadable(&job.id) {
                 continue;
             }
             if self.is_halted(replica, job) {
                 actions.push(Action::Withdraw {
                     id: job.id.clone(),
-                    ownership: held.map_or(job.ownership, ownership_of),
+                    ownership: open.map_or(job.ownership, ownership_of),
                     condition: WithdrawalCondition::Always,
                 });
             }
@@ -305,7 +307,8 @@
     }
 }
 
-/// Whether a job that has not started is kept from starting by protection.
+/// Whether a job that another cell accepted cannot start here because all machines that it may use are
+/// protected.
 fn is_excluded(state: LocalJobState) -> bool {
     matches!(
         state,
@@ -316,7 +319,7 @@
     )
 }
 
-/// Logs why an owned job leaves the cell, by the state that decided it.
+/// Logs the state because of which an owned job leaves the cell.
 fn log_withdrawal(id: &str, job: &LedgerJob, state: LocalJobState) {
     let LocalJobState::Open {
         age_ms,
--- a/crates/rowanmill-cells/src/plan/action.rs
+++ b/crates/rowanmill-cells/src/plan/action.rs
@@ -1,4 +1,4 @@
-//! The planner's input and output: states of the cell's own records, and actions to carry out.
+//! The planner's input and output: the jobs in the cell's own records, and the actions to execute.
 
 use crate::record::{FinalState, OwnershipVersion};
 use crate::scheduler::{LocalJobState, TrackedJob, WithdrawalCondition};
@@ -6,30 +6,31 @@
 /// Why a job is handed over to another cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HandoverReason {
-    /// It waited here or the cell is drained. Such handovers are counted, and bounded in number.
+    /// It waited here, or the cell is being drained. Each such handover raises the job's spill count, and
+    /// a job with a high count waits longer before the next one.
     Waited,
-    /// The cell cannot run it, and declines it.
+    /// The cell cannot run it. The job's record lists the cells that declined it.
     Declined,
 }
 
-/// One thing to do.
+/// An action of the cell's leader.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Put an owned job into the cell's records.
+    /// Write an owned job to the cell's records.
     Adopt {
         /// The job.
         id: String,
     },
-    /// Record that an owned job is cancelled.
+    /// Mark an owned job as cancelled in the cell's records.
     Cancel {
         /// The job.
         id: String,
     },
-    /// Record that a job leaves the cell.
+    /// Mark a job as leaving the cell, in the cell's records.
     Withdraw {
         /// The job.
         id: String,
-        /// The ledger's record that this follows from.
+        /// The version of the ledger's record because of which it leaves.
         ownership: OwnershipVersion,
         /// Whether it leaves even if some of its tasks have started.
         condition: WithdrawalCondition,
@@ -55,12 +56,13 @@
         /// Why it leaves this cell.
         reason: HandoverReason,
     },
-    /// Raise the epoch of a job that was relinquished and that no other cell can take.
+    /// Raise the epoch of a relinquished job that no other cell can take, so that this cell can adopt it
+    /// again.
     Reclaim {
         /// The job.
         id: String,
     },
-    /// Record that the cell relinquishes a job that was never in its records.
+    /// Record that the cell relinquishes an owned job that is not in its records.
     Relinquish {
         /// The job.
         id: String,
@@ -81,7 +83,7 @@
     },
 }
 
-/// What the cell's own records say of the ledger's jobs.
+/// The ledger's jobs as the cell's own records show them.
 #[derive(Debug, Clone, Default)]
 pub struct LocalJobs {
     /// State of each job that the ledger says this cell owns.
--- a/crates/rowanmill-cells/src/plan/dependencies.rs
+++ b/crates/rowanmill-cells/src/plan/dependencies.rs
@@ -1,9 +1,9 @@
-//! Whether the jobs that a job depends on are complete, by the ledger alone.
+//! Whether the jobs that a job depends on have completed, according to the ledger.
 
 use crate::record::{FinalState, LedgerJob};
 use crate::replica::LedgerReplica;
 
-/// State of all jobs that a job depends on.
+/// Combined state of the jobs that a job depends on.
 pub(super) enum DependencyState {
     /// All completed.
     Completed,
@@ -11,8 +11,8 @@
     Pending,
     /// At least one was cancelled.
     Cancelled,
-    /// This one is not open, and its final state is not in memory.
-    Unread(String),
+    /// This job is no longer open, and its final state has to be read from the ledger.
+    NotCached(String),
 }
 
 impl DependencyState {
@@ -20,8 +20,8 @@
     pub(super) fn of(replica: &LedgerReplica, job: &LedgerJob) -> Self {
         let mut state = Self::Completed;
         for id in &job.depends_on {
-            if let Some(held) = replica.jobs.get(id) {
-                if held.record.cancelled {
+            if let Some(open) = replica.jobs.get(id) {
+                if open.record.cancelled {
                     return Self::Cancelled;
                 }
                 state = Self::Pending;
@@ -30,7 +30,7 @@
             match replica.final_state(id) {
                 Some(FinalState::Done) => {}
                 Some(FinalState::Cancelled) => return Self::Cancelled,
-                None => return Self::Unread(id.clone()),
+                None => return Self::NotCached(id.clone()),
             }
         }
         state
--- a/crates/rowanmill-cells/src/plan/outside_records.rs
+++ b/crates/rowanmill-cells/src/plan/outside_records.rs
@@ -1,4 +1,5 @@
-//! Jobs that the cell owns and that its own records do not hold: they wait, and are no room for others.
+//! Counts owned jobs that wait but are not counted by the cell's own records. The cell publishes them as
+//! waiting, so that other cells send it no further jobs.
 
 use super::Planner;
 use super::dependencies::DependencyState;
@@ -6,9 +7,9 @@
 use crate::scheduler::LocalJobState;
 
 impl Planner {
-    /// Number of owned jobs that wait without being counted by the cell's own records, because they are about
-    /// to be put into these, or to leave the cell. A job that the cell cannot run waits for another cell, not for
-    /// room here.
+    /// Number of owned jobs that wait and are not counted by the cell's own records, because they are still to
+    /// be written there or are leaving. A job that the cell cannot run is not counted: it waits for another
+    /// cell, not for a machine here.
     pub fn count_jobs_outside_records(
         &self,
         replica: &LedgerReplica,
@@ -26,7 +27,7 @@
     is_outside
         && replica.jobs.get(id).is_some_and(|job| {
             let dependencies = DependencyState::of(replica, &job.record);
-            // What depends on open jobs waits for these, not for a machine.
+            // A job that depends on open jobs waits for these, not for a machine.
             !job.record.cancelled && !matches!(dependencies, DependencyState::Pending)
         })
 }
--- a/crates/rowanmill-cells/src/plan/round.rs
+++ b/crates/rowanmill-cells/src/plan/round.rs
@@ -1,4 +1,4 @@
-//! What one round of the planner decides by, and the bounds on what it does.
+//! The input of one planner round, and the limits on its actions.
 
 use super::Action;
 use crate::record::LedgerJob;
@@ -6,12 +6,12 @@
 use crate::scheduler::LocalJobState;
 use std::time::Instant;
 
-/// Most jobs that are put into the cell's records in one round.
+/// Limit on the jobs that are written to the cell's records in one round.
 const MAX_ADOPTIONS_PER_ROUND: usize = 64;
-/// Most final states that are read from the ledger in one round.
+/// Limit on the final states that are read from the ledger in one round.
 const MAX_FINAL_STATE_READS_PER_ROUND: usize = 8;
 
-/// The state that one round decides by.
+/// The ledger's state and the time by which one round decides.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Round<'a> {
     pub replica: &'a LedgerReplica,
@@ -27,16 +27,16 @@
     pub state: LocalJobState,
 }
 
-/// Actions of one round so far that are bounded in number.
+/// Counts of the actions that have been planned in this round, for those that are limited in number.
 pub(super) struct RoundCounts {
     adoptions: usize,
     final_state_reads: usize,
-    /// Jobs that are leaving the cell, those of earlier rounds included.
+    /// Jobs that are leaving the cell, including those of earlier rounds.
     pub leaving: usize,
 }
 
 impl RoundCounts {
-    /// The counts at the beginning of a round, when `leaving` jobs are leaving the cell.
+    /// The counts at the beginning of a round in which `leaving` jobs are already leaving the cell.
     pub fn new(leaving: usize) -> Self {
         Self {
             adoptions: 0,
@@ -45,12 +45,12 @@
         }
     }
 
-    /// Whether the round has room for one more such action, which is then counted.
+    /// Counts the action and returns true, unless the limit for such actions is reached.
     pub fn admit(&mut self, action: &Action) -> bool {
         match action {
-            Action::Adopt { .. } => count_up_to(&mut self.adoptions, MAX_ADOPTIONS_PER_ROUND),
+            Action::Adopt { .. } => increment_below(&mut self.adoptions, MAX_ADOPTIONS_PER_ROUND),
             Action::ReadFinalState { .. } => {
-                count_up_to(&mut self.final_state_reads, MAX_FINAL_STATE_READS_PER_ROUND)
+                increment_below(&mut self.final_state_reads, MAX_FINAL_STATE_READS_PER_ROUND)
             }
             Action::Withdraw { .. } => {
                 self.leaving += 1;
@@ -61,7 +61,7 @@
     }
 }
 
-fn count_up_to(count: &mut usize, limit: usize) -> bool {
+fn increment_below(count: &mut usize, limit: usize) -> bool {
     if *count == limit {
         return false;
     }
--- a/crates/rowanmill-cells/src/plan/takeover.rs
+++ b/crates/rowanmill-cells/src/plan/takeover.rs
@@ -1,4 +1,4 @@
-//! Which jobs of absent cells this cell takes over, and when.
+//! Which jobs of absent cells this cell takes over, and when it does so.
 
 use super::{Action, Planner, Round};
 use crate::record::LedgerJob;
@@ -7,12 +7,13 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::{Duration, Instant};
 
-/// Of several cells that may take over a job, each next one waits this much longer than the one before.
+/// Additional delay per rank of the cells that may take over a job: the cell ranked first starts without
+/// one, and each further cell waits this much longer than the one before it.
 const TAKEOVER_STAGGER: Duration = Duration::from_secs(2);
 
 impl Planner {
-    /// Jobs of cells that have been absent for long enough that nothing of them can run there, and that
-    /// this cell is due to take. The order of the cells differs from job to job.
+    /// Jobs that this cell may take over now: their owners have been absent for so long that none of the
+    /// jobs' tasks can run there any more. The ranking of the cells differs from job to job.
     pub fn takeover_candidates<'a>(
         &self,
         replica: &'a LedgerReplica,
@@ -25,8 +26,8 @@
     }
 
     fn is_due_for_takeover(&self, round: Round<'_>, id: &str, job: &LedgerJob) -> bool {
-        let is_excluded = job.owner == self.cell || job.declined_by.contains(&self.cell);
-        if is_excluded || round.replica.is_draining(&self.cell) {
+        let is_ineligible = job.owner == self.cell || job.declined_by.contains(&self.cell);
+        if is_ineligible || round.replica.is_draining(&self.cell) {
             return false;
         }
         let Some(absence) = absence_of(round, &job.owner) else {
@@ -37,8 +38,8 @@
                 >= self.takeover_after + TAKEOVER_STAGGER * self.takeover_rank(round.replica, id)
     }
 
-    /// The takeovers of this round, one an absent cell. `runnable` are the candidates that this cell could
-    /// run.
+    /// The takeovers of this round, one for each absent cell. `runnable` holds the candidates that this cell
+    /// could run.
     pub(super) fn plan_takeovers(
         &self,
         round: Round<'_>,
@@ -57,8 +58,8 @@
         by_owner.into_iter().map(take_over).collect()
     }
 
-    /// Number of present cells that come before this one in the order for a job: those with a higher
-    /// rendezvous hash.
+    /// Rank of this cell among those that may take over a job: the number of other present cells, not being
+    /// drained, that have a higher rendezvous hash for the job.
     fn takeover_rank(&self, replica: &LedgerReplica, id: &str) -> u32 {
         let own = rendezvous_hash(&self.cell, id);
         let others = replica.cells.keys();
@@ -77,7 +78,7 @@
     hasher.finish()
 }
 
-/// How long a cell has been absent; `None` if it is present or unknown.
+/// How long a cell has been absent; `None` if it is present, or if its absence has not been read.
 fn absence_of(round: Round<'_>, cell: &str) -> Option<Duration> {
     let state = round.replica.cells.get(cell)?;
     if state.presence.is_some() {
--- a/crates/rowanmill-cells/src/plan/tests.rs
+++ b/crates/rowanmill-cells/src/plan/tests.rs
@@ -24,7 +24,7 @@
     CellsConfig::parse(&file.to_string(), "test").unwrap()
 }
 
-/// A job that cell `a` accepted.
+/// A job that cell `a` accepted and `owner` owns.
 fn job_of(owner: &str) -> LedgerJob {
     LedgerJob {
         owner: owner.to_owned(),
@@ -71,7 +71,7 @@
     }
 }
 
-/// Three cells that are present, `b` and `c` with free CPUs, and one job.
+/// A replica with three present cells, of which `b` and `c` have free CPUs, and one job.
 fn replica_with(record: LedgerJob, now: Instant) -> LedgerReplica {
     let mut replica = LedgerReplica::new(["a", "b", "c"]);
     replica.reload_from_snapshot(Vec::new(), REVISION, now);
@@ -107,7 +107,8 @@
     planner.plan(replica, local_jobs, now, &BTreeSet::new())
 }
 
-/// The action for an owned job, by the state that the cell's own records give it.
+/// Covers the action for each state of an owned job in the cell's own records, with and without a
+/// cancellation in the ledger.
 #[test]
 fn next_action_of_an_owned_job_by_its_local_state() {
     let now = Instant::now();
@@ -142,8 +143,8 @@
     insta::assert_snapshot!(trace);
 }
 
-/// A relinquished job goes to the cell with most capacity, and is reclaimed if none has any. Old summaries
-/// are not relied on, nor is capacity that work waits for.
+/// A relinquished job goes to the cell with the most free capacity, and is reclaimed if no cell has any.
+/// Cells with an outdated summary or with waiting tasks do not count.
 #[test]
 fn relinquished_job_is_handed_to_the_cell_with_most_capacity() {
     let now = Instant::now();
@@ -169,14 +170,15 @@
     assert_eq!(plan_at(&replica, now), [hand_over_to("b")]);
     let later = now + MAX_SUMMARY_AGE + Duration::from_secs(1);
     assert_eq!(plan_at(&replica, later), [Action::Reclaim { id: id() }]);
-    // Under another epoch it is to be adopted again.
+    // The relinquishment does not apply to a later epoch: the job is adopted again.
     replica.jobs.get_mut(JOB).unwrap().record.epoch = EPOCH + 1;
     assert_eq!(plan_at(&replica, now), [Action::Adopt { id: id() }]);
 }
 
-/// The number of times that a job changes cells is bounded, and so is the number of jobs that are leaving.
+/// A job that reached the spill limit does not leave after the usual wait, and no further job leaves while
+/// `at_once` jobs are leaving.
 #[test]
-fn spilling_is_bounded() {
+fn spills_are_limited_per_job_and_at_a_time() {
     let now = Instant::now();
     let leaves = |spill_count: u32, relinquished: usize| {
         let mut record = job_of("a");
@@ -195,14 +197,14 @@
             .any(|action| matches!(action, Action::Withdraw { .. }))
     };
     assert!(leaves(0, 0) && leaves(2, 7));
-    assert!(!leaves(3, 0), "moved too often");
-    assert!(!leaves(0, 8), "too many are leaving");
+    assert!(!leaves(3, 0), "the job reached the spill limit");
+    assert!(!leaves(0, 8), "8 jobs are already leaving");
 }
 
-/// A job that moved as often as `moves` says is not left for good where nothing runs it: it waits longer in
-/// each further cell, and then moves as long as another has room. With `moves` of 0 none ever does.
+/// A job that has spilled `moves` times must not stay for good in a cell that cannot run it: it waits longer
+/// in each further cell, and then spills again if another cell has capacity. With `moves` of 0 no job spills.
 #[test]
-fn a_job_that_moved_often_moves_again_more_slowly() {
+fn job_at_the_spill_limit_waits_longer_before_it_spills() {
     let now = Instant::now();
     let leaves = |moves: u32, waited_s: u64| {
         let mut config = config();
@@ -215,16 +217,17 @@
         let actions = plan_once(&mut planner, &replica, &local_jobs, now);
         matches!(actions[..], [Action::Withdraw { .. }])
     };
-    // Twice the 60 s of the file, and the 15 s in which all summaries are read again.
+    // Twice the 60 s of the file, plus the 15 s after which no summary from before the last move is used.
     assert!(!leaves(3, 134));
     assert!(leaves(3, 135));
     assert!(!leaves(0, 100_000));
 }
 
-/// What was sent to a cell after its capacity summary was computed is subtracted from it, and so is what the
-/// same round sends there. A summary without a revision counts from its own.
+/// The CPUs of jobs that a cell received after it computed its capacity summary are subtracted from its free
+/// CPUs, and so are those of jobs handed over to it earlier in the same round. For a summary without a
+/// revision, the revision at which it was written counts.
 #[test]
-fn room_that_was_given_away_is_not_offered_again() {
+fn capacity_used_since_the_summary_is_subtracted() {
     let now = Instant::now();
     let sized = |owner: &str, cpus: f64| LedgerJob {
         description: json!({"cpus": cpus, "sacks": 1}),
@@ -254,15 +257,15 @@
         });
         to.collect::<Vec<_>>()
     };
-    // `b` has 4 CPUs free, `c` has 8 less what it does not know of.
+    // `b` has 4 CPUs free. `c` has 8, less those of the jobs that its summary does not count.
     assert_eq!(handovers(Some(REVISION), 8.0), ["c", "c"]);
     assert_eq!(handovers(Some(REVISION - 1), 3.0), ["c", "b"]);
     assert_eq!(handovers(Some(REVISION - 1), 8.0), ["b", "b"]);
     assert_eq!(handovers(None, 8.0), ["b", "b"]);
 }
 
-/// Owned jobs that are about to enter the cell's records or to leave them count as waiting. Those that were
-/// cancelled, that wait for other jobs or that the cell cannot run, do not.
+/// Owned jobs that are still to be written to the cell's records, or that are leaving them, count as waiting.
+/// Jobs that were cancelled, that depend on open jobs or that the cell cannot run do not count.
 #[test]
 fn jobs_outside_the_records_count_as_waiting() {
     let now = Instant::now();
@@ -278,7 +281,11 @@
         |id: &str, state| planner.count_jobs_outside_records(&replica, &[(id.to_owned(), state)]);
     assert_eq!(count(JOB, LocalJobState::Absent), 1);
     assert_eq!(count(JOB, LocalJobState::Withdrawn), 1);
-    assert_eq!(count(JOB, open(false, 1)), 0, "the records count it");
+    assert_eq!(
+        count(JOB, open(false, 1)),
+        0,
+        "the cell's own records count it"
+    );
     assert_eq!(count(JOB, LocalJobState::Completed), 0);
     assert_eq!(count("job-dependent", LocalJobState::Absent), 0);
     assert_eq!(count("job-cancelled", LocalJobState::Absent), 0);
@@ -286,9 +293,10 @@
     assert_eq!(count("job-declined", LocalJobState::Absent), 0);
 }
 
-/// A cell that cannot run a job hands it to its home, or keeps it until another cell is present.
+/// A cell that cannot run a job hands it over to the cell that accepted it, or keeps it until another cell is
+/// present.
 #[test]
-fn declined_job_is_handed_to_its_home() {
+fn declined_job_is_handed_over_to_its_home() {
     let now = Instant::now();
     let mut replica = replica_with(job_of("b"), now);
     let mut planner = Planner::new("b", &config());
@@ -316,10 +324,10 @@
     assert_eq!(actions, Vec::new());
 }
 
-/// A cell's jobs are taken over once it has been absent for long enough, by one cell before the next, and
-/// only by one that could run them.
+/// A job of an absent cell is taken over after `takeover_after_s`, first by one cell and 2 s later by the
+/// next, and only by a cell that could run it.
 #[test]
-fn absent_cells_jobs_are_taken_over_by_one_cell_after_another() {
+fn cells_take_over_an_absent_cells_jobs_in_turn() {
     let now = Instant::now();
     let mut replica = replica_with(job_of("a"), now);
     set_absent(&mut replica, "a", now);
@@ -340,9 +348,10 @@
     assert!(!takes_over("b", 100.0, &BTreeSet::new()));
 }
 
-/// Which jobs of its records a controller must not run, and that they are withdrawn.
+/// A job in the cell's records that another cell owns now, or that has ended, must not run and is withdrawn.
+/// One whose acceptance the replica has not read yet is left alone.
 #[test]
-fn jobs_that_the_ledger_contradicts_are_halted_and_withdrawn() {
+fn jobs_owned_elsewhere_or_ended_are_halted_and_withdrawn() {
     let now = Instant::now();
     let replica = replica_with(job_of("b"), now);
     let mut planner = Planner::new("a", &config());
@@ -366,7 +375,7 @@
     insta::assert_snapshot!(trace_withdrawals(&actions));
 }
 
-/// A job that depends on others is adopted once they are done, and cancelled if one of them was.
+/// A job is adopted once all jobs that it depends on are done, and cancelled if one of them was cancelled.
 #[test]
 fn dependent_job_is_adopted_or_cancelled_by_its_dependencies() {
     let now = Instant::now();
@@ -390,10 +399,10 @@
     assert_eq!(plan(&other), [Action::CancelInLedger { id: id(JOB) }]);
 }
 
-/// Jobs that have not started leave a cell that is being drained, however short they waited and however
-/// often they were moved. No job goes to such a cell, and it takes none over.
+/// Jobs that have not started leave a cell that is being drained, regardless of how long they waited and how
+/// often they spilled. No job is handed over to such a cell, and it takes over none.
 #[test]
-fn drained_cell_is_left_and_takes_nothing() {
+fn draining_cell_loses_its_unstarted_jobs_and_receives_none() {
     let now = Instant::now();
     let leaves = |replica: &LedgerReplica| {
         let mut planner = Planner::new("a", &config());
@@ -410,7 +419,7 @@
     for cell in ["b", "c"] {
         set_draining(&mut replica, cell);
     }
-    assert!(!leaves(&replica), "there is nowhere to go");
+    assert!(!leaves(&replica), "all other cells are being drained");
     set_absent(&mut replica, "a", now);
     let late = now + Duration::from_secs(1_000);
     let planner = Planner::new("b", &config());
--- a/crates/rowanmill-cells/src/plan/tests/trace.rs
+++ b/crates/rowanmill-cells/src/plan/tests/trace.rs
@@ -1,5 +1,5 @@
-//! The text of states and actions in the snapshots. The snapshots were taken with earlier names, which
-//! this text keeps, so that they show that the decisions are the same.
+//! Formats states and actions for the snapshots. The snapshots contain earlier names of types and fields;
+//! this text keeps those names, so that an unchanged snapshot shows unchanged decisions.
 
 use super::*;
 
@@ -38,7 +38,8 @@
     }
 }
 
-/// Withdrawals with one field a line; the text of anything else differs from the snapshots.
+/// Withdrawals with one field per line. Other actions are printed under their current names, so that a
+/// snapshot of withdrawals fails on them.
 pub fn trace_withdrawals(actions: &[Action]) -> String {
     let mut trace = "[\n".to_owned();
     for action in actions {
