--- a/crates/rowanmill-cells/src/plan.rs
+++ b/crates/rowanmill-cells/src/plan.rs
@@ -98,7 +98,7 @@
 
     fn is_halted(&self, replica: &LedgerReplica, job: &TrackedJob) -> bool {
         match replica.jobs.get(&job.id) {
-            Some(open) => open.record.cancelled || open.record.owner != self.cell,
+            Some(current) => current.record.cancelled || current.record.owner != self.cell,
             // The job has ended, unless the replica has not read its acceptance yet.
             None => replica.revision >= job.ownership.revision,
         }
@@ -290,15 +290,15 @@
     fn plan_withdrawals(&self, replica: &LedgerReplica, tracked: &[TrackedJob]) -> Vec<Action> {
         let mut actions = Vec::new();
         for job in tracked {
-            let open = replica.jobs.get(&job.id);
-            let is_owned = open.is_some_and(|open| open.record.owner == self.cell);
+            let current = replica.jobs.get(&job.id);
+            let is_owned = current.is_some_and(|current| current.record.owner == self.cell);
             if job.is_stopping || is_owned || replica.is_unreadable(&job.id) {
                 continue;
             }
             if self.is_halted(replica, job) {
                 actions.push(Action::Withdraw {
                     id: job.id.clone(),
-                    ownership: open.map_or(job.ownership, ownership_of),
+                    ownership: current.map_or(job.ownership, ownership_of),
                     condition: WithdrawalCondition::Always,
                 });
             }
--- a/crates/rowanmill-cells/src/plan/dependencies.rs
+++ b/crates/rowanmill-cells/src/plan/dependencies.rs
@@ -20,8 +20,8 @@
     pub(super) fn of(replica: &LedgerReplica, job: &LedgerJob) -> Self {
         let mut state = Self::Completed;
         for id in &job.depends_on {
-            if let Some(open) = replica.jobs.get(id) {
-                if open.record.cancelled {
+            if let Some(dependency) = replica.jobs.get(id) {
+                if dependency.record.cancelled {
                     return Self::Cancelled;
                 }
                 state = Self::Pending;
--- a/crates/rowanmill-cells/src/record.rs
+++ b/crates/rowanmill-cells/src/record.rs
@@ -1,20 +1,21 @@
 //! Keys and records of the ledger.
 //!
-//! | key | record | written by |
+//! | Key | Record | Written by |
 //! | --- | --- | --- |
-//! | `c/l/j/JOB` | an open job: its owner, epoch and description | any cell, with its revision as the precondition |
+//! | `c/l/j/JOB` | an open job: its owner, epoch and description | any cell, with the record's revision as precondition |
 //! | `c/l/n/CELL` | a cell's presence, attached to its lease | the cell's leader |
-//! | `c/l/g/CELL` | how often the cell registered; rises with each registration | the cell's leader |
+//! | `c/l/g/CELL` | the number of the cell's registrations | the cell's leader |
 //! | `c/l/d/CELL` | an operator's request to drain the cell | the client |
-//! | `c/e/JOB` | a job's final state, kept for good | the job's owner |
+//! | `c/e/JOB` | a job's final state, never deleted | the job's owner |
 //!
-//! The JSON names are stored data and must not change: renamed fields keep them by `serde(rename)`.
+//! The names in the JSON are stored data and must not change. A field with another name in the code keeps its
+//! JSON name by `serde(rename)`.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Prefix of the keys that every cell watches. Final states have another one, so that the memory of a
-/// replica stays bounded.
+/// Prefix of the keys that every cell watches. Final states have another prefix, so that they do not
+/// accumulate in the memory of every replica.
 pub const LIVE_PREFIX: &str = "c/l/";
 
 /// Key of an open job.
@@ -27,12 +28,12 @@
     format!("{LIVE_PREFIX}n/{cell}")
 }
 
-/// Key of a cell's count of registrations.
+/// Key of the number of a cell's registrations.
 pub fn generation_key(cell: &str) -> String {
     format!("{LIVE_PREFIX}g/{cell}")
 }
 
-/// Key of the request to drain a cell.
+/// Key of an operator's request to drain a cell.
 pub fn drain_key(cell: &str) -> String {
     format!("{LIVE_PREFIX}d/{cell}")
 }
@@ -42,30 +43,31 @@
     format!("c/e/{id}")
 }
 
-/// Fields of a job's description, by their names on the wire.
+/// Field of a job's description with the CPUs of each task.
 const CPUS_FIELD: &str = "cpus";
+/// Field of a job's description with the number of tasks.
 const TASKS_FIELD: &str = "sacks";
 
-/// Epoch of a job that has been with the cell that accepted it from the start.
+/// Epoch of a job from its acceptance until its owner changes or reclaims it.
 pub const FIRST_EPOCH: u64 = 1;
 
-/// What a live key, one under [`LIVE_PREFIX`], is the key of.
+/// The kind of record that a key under [`LIVE_PREFIX`] belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LiveKey<'a> {
     /// An open job.
     Job(&'a str),
     /// A cell's presence.
     Presence(&'a str),
-    /// A cell's count of registrations.
+    /// The number of a cell's registrations.
     Generation(&'a str),
-    /// A request to drain a cell.
+    /// An operator's request to drain a cell.
     Drain(&'a str),
-    /// Nothing that this version knows.
+    /// A kind of record that this version does not know.
     Unknown,
 }
 
 impl<'a> LiveKey<'a> {
-    /// `None` for a key that is not under the prefix.
+    /// Parses a key; `None` if it is not under the prefix.
     pub fn parse(key: &'a str) -> Option<Self> {
         let rest = key.strip_prefix(LIVE_PREFIX)?;
         Some(match rest.split_once('/') {
@@ -83,17 +85,17 @@
 pub struct LedgerJob {
     /// The cell that runs it.
     pub owner: String,
-    /// Ownership epoch. Rises with each change of owner, and when the owner reclaims the job.
+    /// Ownership epoch. It is incremented with each change of owner and when the owner reclaims the job.
     pub epoch: u64,
-    /// The cell that accepted it, and so can run it.
+    /// The cell that accepted it, and that can therefore run it.
     pub home: String,
-    /// Its user requested its cancellation, and the request was confirmed.
+    /// It is cancelled, by its user or because a job that it depends on was cancelled.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub cancelled: bool,
-    /// How often it changed cells because it waited.
+    /// Number of times that it was handed over to another cell because it waited or its cell was drained.
     #[serde(rename = "moves", default)]
     pub spill_count: u32,
-    /// Cells that declined it because they cannot run it.
+    /// Cells that declined it because they could not run it.
     #[serde(rename = "declined", default, skip_serializing_if = "Vec::is_empty")]
     pub declined_by: Vec<String>,
     /// Jobs that must complete before it starts.
@@ -106,7 +108,7 @@
 }
 
 impl LedgerJob {
-    /// A new job that `cell` accepts, under the first epoch.
+    /// The record of a new job that `cell` accepts, with the first epoch.
     pub fn accepted_by(
         cell: &str,
         accepted_ms: u64,
@@ -126,7 +128,7 @@
         }
     }
 
-    /// The record after `cell` became the owner.
+    /// The record with `cell` as the owner and the next epoch.
     pub fn with_owner(&self, cell: &str) -> Self {
         Self {
             owner: cell.to_owned(),
@@ -135,13 +137,13 @@
         }
     }
 
-    /// The record under a new epoch of the same owner. A handover that was sent before, and is carried
-    /// out late, then fails on its precondition.
+    /// The record with the same owner and the next epoch. A handover that was sent earlier and is applied
+    /// after this change fails on its precondition.
     pub fn reclaimed(&self) -> Self {
         self.with_owner(&self.owner)
     }
 
-    /// CPUs that its tasks use together, by its description; 0 if that does not say, or says no amount.
+    /// CPUs that its tasks request in total; 0 if the description has no valid number for them.
     pub fn requested_cpus(&self) -> f64 {
         let number = |field: &str| self.description.get(field).and_then(Value::as_f64);
         let cpus = number(CPUS_FIELD).zip(number(TASKS_FIELD));
@@ -149,7 +151,7 @@
         if cpus.is_finite() { cpus.max(0.0) } else { 0.0 }
     }
 
-    /// The record of a job that its user cancelled.
+    /// The record marked as cancelled.
     pub fn into_cancelled(mut self) -> Self {
         self.cancelled = true;
         self
@@ -162,11 +164,11 @@
 pub enum FinalState {
     /// All its tasks completed.
     Done,
-    /// It was cancelled by its user, or because a job that it depends on was.
+    /// It was cancelled, by its user or because a job that it depends on was cancelled.
     Cancelled,
 }
 
-/// The version of a job's record in the ledger by which a cell's own record was written.
+/// The version of a job's record in the ledger from which a cell's own record of the job was written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnershipVersion {
     /// Ownership epoch of that record.
@@ -176,22 +178,22 @@
     pub revision: u64,
 }
 
-/// The capacity that a cell last published.
+/// The capacity that a cell publishes.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct CapacitySummary {
     /// When it was computed, in milliseconds since the Unix epoch.
     #[serde(rename = "at_ms")]
     pub computed_ms: u64,
-    /// Number of tasks that wait for a machine. A job that the cell owns and that is not in its records, or
-    /// is leaving them, counts as one.
+    /// Number of tasks that wait for a machine. An owned job that is not in the cell's own records, or that
+    /// is leaving them, counts as one task.
     #[serde(rename = "waiting")]
     pub waiting_tasks: u64,
     /// CPUs of the cell's machines that no task uses.
     pub free_cpus: f64,
-    /// The cell's cloud has not recently refused a rental.
+    /// Whether the cell may rent machines: its cloud has not recently refused a rental.
     pub can_rent: bool,
-    /// The jobs that the cell owns are counted as of this revision of the ledger; absent from summaries of
-    /// versions that do not say.
+    /// Revision of the ledger as of which the cell's jobs are counted. Earlier versions of the software do
+    /// not write it.
     #[serde(rename = "as_of", default, skip_serializing_if = "Option::is_none")]
     pub ledger_revision: Option<u64>,
 }
@@ -201,9 +203,9 @@
 pub struct CellPresence {
     /// The controller that registered the cell.
     pub controller: String,
-    /// The incarnation of that controller's process.
+    /// Identifier of that controller's process, which changes with each start.
     pub incarnation: u64,
-    /// The cell's capacity.
+    /// The capacity that the cell publishes.
     #[serde(default)]
     pub summary: CapacitySummary,
 }
@@ -216,7 +218,7 @@
     pub requested_ms: u64,
 }
 
-/// A cell's registrations.
+/// The number of a cell's registrations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Generation {
     /// Number of registrations so far.
--- a/crates/rowanmill-cells/src/replica.rs
+++ b/crates/rowanmill-cells/src/replica.rs
@@ -1,7 +1,7 @@
-//! A copy of the ledger's live records, kept up to date by watching its log.
+//! An in-memory copy of the ledger's live records, kept up to date by watching the ledger's log.
 //!
-//! It holds what was read, and decides nothing. Records that cannot be read are counted and otherwise
-//! ignored.
+//! The replica stores what was read and makes no decisions. Malformed records are counted, and a job whose
+//! record is malformed is only remembered as unreadable.
 
 mod final_states;
 mod recent_changes;
@@ -19,21 +19,21 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// A record with the revision of its last change.
+/// A record and the revision of its last change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Versioned<T> {
     /// The record.
     pub record: T,
-    /// The ledger's revision that it was written at.
+    /// The ledger's revision at which it was written.
     pub revision: u64,
 }
 
 /// The ledger's records of one cell.
 #[derive(Debug, Clone, Default)]
 pub struct CellState {
-    /// Its presence, while its lease holds.
+    /// Its presence, which exists while its lease is valid.
     pub presence: Option<Versioned<CellPresence>>,
-    /// Its registrations so far.
+    /// The number of its registrations so far.
     pub generation: Option<Versioned<Generation>>,
     /// When its absence was read; `None` while it is present.
     pub absent_since: Option<Instant>,
@@ -43,19 +43,18 @@
     pub drain: Option<DrainRequest>,
 }
 
-/// The replica.
+/// A copy of the ledger's live records.
 #[derive(Debug, Default)]
 pub struct LedgerReplica {
-    /// All changes up to this revision are applied.
+    /// The ledger's revision up to which all changes have been applied.
     pub revision: u64,
     /// Open jobs.
     pub jobs: BTreeMap<String, Versioned<LedgerJob>>,
-    /// Cells of the operators' file. Records under other names are counted as malformed and change
-    /// nothing.
+    /// The cells of the operators' file. Records of other cells are counted as malformed and ignored.
     pub cells: BTreeMap<String, CellState>,
-    /// Number of records that could not be read, or that belong to no known cell.
+    /// Number of records that could not be parsed or that belong to an unknown cell.
     pub malformed_records: u64,
-    /// Open jobs whose record cannot be read: they are known to exist, and nothing else is known of them.
+    /// Open jobs whose record is malformed, with its revision. Only their existence is known.
     unreadable: BTreeMap<String, u64>,
     /// When the cancellation of an open job was first read.
     cancelled_at: BTreeMap<String, Instant>,
@@ -75,8 +74,8 @@
         }
     }
 
-    /// Replaces all live records by those of a listing. A cell that is not in it counts as absent from
-    /// `now` on.
+    /// Replaces all live records by those of a listing. A cell without a presence in the listing counts as
+    /// absent from `now` on.
     pub fn reload_from_snapshot(&mut self, pairs: Vec<KeyValue>, revision: u64, now: Instant) {
         self.jobs.clear();
         self.unreadable.clear();
@@ -94,8 +93,8 @@
         self.revision = revision;
     }
 
-    /// Applies changes that were read from the log up to `revision`. Answers may overlap: a change that is
-    /// already applied is skipped.
+    /// Applies changes that were read from the log, which is complete up to `revision`. Responses may
+    /// overlap: a change that has been applied before is skipped.
     pub fn apply_changes(&mut self, log: Vec<WatchEvent>, revision: u64, now: Instant) {
         for change in log {
             if change.revision <= self.revision {
@@ -115,8 +114,8 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// The jobs that changed after `revision` and that `cell` must not run by the records held here.
-    /// `None` if not all those changes are in memory.
+    /// The jobs that changed after `revision` and that `cell` must not run according to this replica. `None`
+    /// if some of those changes are no longer in memory.
     pub fn revoked_since(&self, cell: &str, revision: u64) -> Option<Vec<String>> {
         let may_run = |id: &str| {
             let job = self.jobs.get(id);
@@ -129,19 +128,19 @@
 
     /// Applies a job's record that this process wrote, as soon as the write is acknowledged.
     pub fn apply_own_write(&mut self, id: &str, record: LedgerJob, revision: u64, now: Instant) {
-        // The log may have brought the job's end already.
+        // The log may already have delivered a later change, such as the job's end.
         if revision <= self.revision || self.final_state(id).is_some() {
             return;
         }
-        let held = self.jobs.get(id).map_or(0, |held| held.revision);
-        if revision > held {
-            // Others may ask for the change before the log brings it.
+        let known_revision = self.jobs.get(id).map_or(0, |known| known.revision);
+        if revision > known_revision {
+            // Other controllers may ask for this change before the log delivers it.
             self.recent_changes.record_own_write(id, revision);
             self.insert_job(id, record, revision, now);
         }
     }
 
-    /// Applies one record, unless a newer one is held.
+    /// Applies one record. A job's record is skipped if the replica has the same or a newer one.
     fn apply_put(&mut self, key: &str, data: &str, revision: u64, now: Instant) {
         let Some(live_key) = LiveKey::parse(key) else {
             return;
@@ -173,7 +172,7 @@
         if self
             .jobs
             .get(id)
-            .is_some_and(|held| held.revision >= revision)
+            .is_some_and(|known| known.revision >= revision)
         {
             return;
         }
@@ -184,7 +183,7 @@
                 self.insert_job(id, record, revision, now);
             }
             Some(_) => {
-                // The absence of an owner that the file does not name could never be detected.
+                // The replica could never detect the absence of an owner that is not in the operators' file.
                 self.malformed_records += 1;
                 self.mark_unreadable(id, revision);
             }
@@ -196,8 +195,8 @@
         if record.cancelled {
             self.cancelled_at.entry(id.to_owned()).or_insert(now);
         }
-        let held = Versioned { record, revision };
-        self.jobs.insert(id.to_owned(), held);
+        let versioned = Versioned { record, revision };
+        self.jobs.insert(id.to_owned(), versioned);
     }
 
     fn mark_unreadable(&mut self, id: &str, revision: u64) {
@@ -205,7 +204,8 @@
         self.unreadable.insert(id.to_owned(), revision);
     }
 
-    /// A record of a cell, and the cell; `None` if either cannot be had, which is counted.
+    /// Parses a record of a cell and finds the cell's state. `None`, with the record counted as malformed, if
+    /// the record cannot be parsed or the cell is unknown.
     fn parse_cell_record<T: for<'de> Deserialize<'de>>(
         &mut self,
         key: &str,
@@ -236,7 +236,7 @@
                 if self
                     .jobs
                     .get(id)
-                    .is_some_and(|held| held.revision < revision)
+                    .is_some_and(|known| known.revision < revision)
                 {
                     self.jobs.remove(id);
                     self.cancelled_at.remove(id);
@@ -258,43 +258,44 @@
         }
     }
 
-    /// Whether an open job is cancelled and no controller can start it by an earlier read any more.
+    /// Whether an open job is cancelled and its cancellation was read so long ago that no controller can
+    /// still start the job by an earlier read.
     pub fn is_cancellation_effective(&self, id: &str, now: Instant) -> bool {
         let read_at = self.cancelled_at.get(id);
         read_at.is_some_and(|at| now.saturating_duration_since(*at) >= CANCELLATION_EFFECT_DELAY)
     }
 
-    /// Whether the job has an open record that cannot be read.
+    /// Whether the job has an open record that is malformed.
     pub fn is_unreadable(&self, id: &str) -> bool {
         self.unreadable.contains_key(id)
     }
 
-    /// How a job ended, if that is in memory.
+    /// A job's final state, if it is in memory.
     pub fn final_state(&self, id: &str) -> Option<FinalState> {
         self.final_states.get(id)
     }
 
-    /// Records how a job ended. A final state never changes.
+    /// Adds a job's final state and removes its open record. A final state never changes.
     pub fn record_final_state(&mut self, id: &str, final_state: FinalState) {
         self.jobs.remove(id);
         self.cancelled_at.remove(id);
         self.final_states.insert(id, final_state);
     }
 
-    /// Whether a cell's lease holds, by the last read.
+    /// Whether a cell's lease was valid at the last read.
     pub fn is_present(&self, cell: &str) -> bool {
         let cell = self.cells.get(cell);
         cell.is_some_and(|cell| cell.presence.is_some())
     }
 
-    /// Whether an operator has requested that a cell be drained.
+    /// Whether an operator has requested to drain the cell.
     pub fn is_draining(&self, cell: &str) -> bool {
         let cell = self.cells.get(cell);
         cell.is_some_and(|cell| cell.drain.is_some())
     }
 
-    /// The preconditions under which a cell counts as absent: it is not present now, and has not been
-    /// since its absence was read.
+    /// The preconditions under which a cell counts as absent: it is not present, and it has not registered
+    /// again since its absence was read.
     pub fn absence_preconditions(&self, cell: &str) -> [Precondition; 2] {
         let state = self.cells.get(cell);
         let generation = state.and_then(|state| state.generation.as_ref());
--- a/crates/rowanmill-cells/src/replica/final_states.rs
+++ b/crates/rowanmill-cells/src/replica/final_states.rs
@@ -1,17 +1,18 @@
-//! Final states of jobs in memory. The oldest are dropped, and read from the ledger again when needed.
+//! An in-memory cache of jobs' final states. The oldest entries are evicted and read from the ledger again
+//! when they are needed.
 
 use crate::record::FinalState;
 use std::collections::{HashMap, VecDeque};
 
-/// Final states that are kept.
+/// Capacity of the cache.
 const MAX_FINAL_STATES: usize = 20_000;
 
 /// Bounded cache of final states, which never change once written.
 #[derive(Debug, Default)]
 pub(super) struct FinalStateCache {
     states: HashMap<String, FinalState>,
-    /// The same jobs, in the order in which they were inserted.
-    order: VecDeque<String>,
+    /// The jobs in `states`, in the order of insertion.
+    insertion_order: VecDeque<String>,
 }
 
 impl FinalStateCache {
@@ -20,14 +21,14 @@
         self.states.get(id).copied()
     }
 
-    /// Inserts a job's final state, and drops the oldest if there are too many.
+    /// Inserts a job's final state, and evicts the oldest entry if the cache is full.
     pub(super) fn insert(&mut self, id: &str, state: FinalState) {
         if self.states.insert(id.to_owned(), state).is_some() {
             return;
         }
-        self.order.push_back(id.to_owned());
-        if self.order.len() > MAX_FINAL_STATES
-            && let Some(oldest) = self.order.pop_front()
+        self.insertion_order.push_back(id.to_owned());
+        if self.insertion_order.len() > MAX_FINAL_STATES
+            && let Some(oldest) = self.insertion_order.pop_front()
         {
             self.states.remove(&oldest);
         }
--- a/crates/rowanmill-cells/src/replica/recent_changes.rs
+++ b/crates/rowanmill-cells/src/replica/recent_changes.rs
@@ -1,20 +1,20 @@
-//! Which jobs changed recently, for controllers that cannot read the ledger themselves.
+//! The jobs that changed recently. Controllers that cannot read the ledger ask others for them.
 
 use std::collections::VecDeque;
 
-/// Changes that are kept: as many as the ledger's own log keeps.
+/// Number of changes that are kept, which is as many as the ledger's own log keeps.
 const MAX_CHANGES: usize = 10_000;
 
-/// The last changes of jobs, by revision.
+/// The latest changes of jobs, with their revisions.
 #[derive(Debug, Default)]
 pub(super) struct RecentChanges {
     changes: VecDeque<(u64, String)>,
-    /// All changes of jobs after this revision are in `changes`.
+    /// Revision after which `changes` contains all changes of jobs.
     complete_after: u64,
 }
 
 impl RecentChanges {
-    /// Starts again, with nothing known of the changes up to `revision`.
+    /// Discards all changes. Those up to `revision` are unknown afterwards.
     pub(super) fn reset(&mut self, revision: u64) {
         self.changes.clear();
         self.complete_after = revision;
@@ -30,12 +30,12 @@
         }
     }
 
-    /// Adds a change that this process wrote and that the log will bring again.
+    /// Adds a change that this process wrote. The log will deliver it once more.
     pub(super) fn record_own_write(&mut self, id: &str, revision: u64) {
         self.changes.push_back((revision, id.to_owned()));
     }
 
-    /// The jobs that changed after `revision`; `None` if older changes were already dropped.
+    /// The jobs that changed after `revision`. `None` if some of these changes are no longer kept.
     pub(super) fn since(&self, revision: u64) -> Option<impl Iterator<Item = &str>> {
         if revision < self.complete_after {
             return None;
--- a/crates/rowanmill-cells/src/replica/tests.rs
+++ b/crates/rowanmill-cells/src/replica/tests.rs
@@ -28,10 +28,10 @@
     json!({"controller": "m-0", "incarnation": 1})
 }
 
-/// A record that cannot be read, or that names a cell which the file does not, is counted and changes
-/// nothing else. Its job is taken neither for another cell's nor for an unknown one.
+/// A malformed record, or one of a cell that is not in the operators' file, is counted and otherwise ignored.
+/// Its job is marked unreadable, so that it is treated neither as another cell's job nor as unknown.
 #[test]
-fn malformed_records_change_nothing() {
+fn malformed_records_are_counted_and_ignored() {
     let now = Instant::now();
     let mut replica = LedgerReplica::new(["a", "b"]);
     replica.apply_changes(vec![log_entry("c/l/j/job-1", job("a", 1), 3)], 3, now);
@@ -51,28 +51,30 @@
     assert!(!replica.is_unreadable("job-1"));
 }
 
-/// A cell is absent from when that was read, and its return, however short, restarts the wait.
+/// The absence of a cell is timed from when it was read, and starts anew whenever the cell was present in
+/// between, however briefly.
 #[test]
-fn absence_restarts_after_a_return() {
+fn absence_is_timed_anew_after_each_return() {
     let start = Instant::now();
     let at = |s: u64| start + Duration::from_secs(s);
     let mut replica = LedgerReplica::new(["a", "b"]);
     replica.reload_from_snapshot(Vec::new(), 0, start);
     assert_eq!(replica.cells["a"].absent_since, Some(start));
-    let gone = |revision| log_entry("c/l/n/a", Value::Null, revision);
+    let absence = |revision| log_entry("c/l/n/a", Value::Null, revision);
     replica.apply_changes(vec![log_entry("c/l/n/a", presence(), 1)], 1, at(1));
     assert_eq!(replica.cells["a"].absent_since, None);
-    replica.apply_changes(vec![gone(2)], 2, at(10));
+    replica.apply_changes(vec![absence(2)], 2, at(10));
     assert_eq!(replica.cells["a"].absent_since, Some(at(10)));
-    // Back and gone again between two reads.
-    let back_and_gone = vec![log_entry("c/l/n/a", presence(), 3), gone(4)];
-    replica.apply_changes(back_and_gone, 4, at(20));
+    // The cell returns and leaves again between two reads.
+    let return_and_absence = vec![log_entry("c/l/n/a", presence(), 3), absence(4)];
+    replica.apply_changes(return_and_absence, 4, at(20));
     assert_eq!(replica.cells["a"].absent_since, Some(at(20)));
 }
 
-/// An acknowledged write of this process, where the log has brought the job's end in the meantime.
+/// The acknowledgement of an own write may arrive after the log has delivered the job's end. It must not open
+/// the job again.
 #[test]
-fn own_write_never_revives_an_ended_job() {
+fn late_acknowledgement_of_an_own_write_does_not_reopen_an_ended_job() {
     let now = Instant::now();
     let mut replica = LedgerReplica::new(["a", "b"]);
     let record: LedgerJob = serde_json::from_value(job("a", 1)).unwrap();
@@ -86,10 +88,10 @@
     assert!(replica.jobs.is_empty());
 }
 
-/// What one controller attests to another that lacks the last changes; nothing if it does not have them
-/// all.
+/// A controller attests to another which jobs were revoked by the changes that the other has not read. It
+/// attests nothing if it does not have all of these changes.
 #[test]
-fn revoked_jobs_since_a_revision() {
+fn revoked_jobs_since_a_revision_need_all_later_changes() {
     let now = Instant::now();
     let mut replica = LedgerReplica::new(["a", "b"]);
     replica.reload_from_snapshot(Vec::new(), 2, now);
@@ -107,8 +109,8 @@
     assert_eq!(replica.revoked_since("a", 6), Some(Vec::new()));
 }
 
-/// A cancellation that was just read may be unknown to a controller that starts tasks by an earlier read.
-/// One that is read again after a new listing counts as just read.
+/// Just after a cancellation was read, another controller may still start the job by an earlier read. A
+/// cancellation that is read anew from a listing counts as just read.
 #[test]
 fn cancellation_takes_effect_after_a_delay() {
     let start = Instant::now();
--- a/crates/rowanmill-cells/src/transaction.rs
+++ b/crates/rowanmill-cells/src/transaction.rs
@@ -1,6 +1,6 @@
-//! Transactions on the ledger. Each carries preconditions that make a late or repeated one harmless.
+//! Builds the transactions on the ledger; [`crate::service`] sends them.
 //!
-//! This module builds transactions; [`crate::service`] sends them.
+//! Each transaction has preconditions under which it fails, without an effect, if it arrives late or twice.
 
 use crate::plan::{Action, HandoverReason};
 use crate::record::{
@@ -13,24 +13,25 @@
 /// Preconditions and operations of one transaction.
 #[derive(Debug, Clone, Default)]
 pub struct Transaction {
-    /// The keys' revisions under which the operations are carried out.
+    /// Revisions that the keys must have for the operations to be applied.
     pub preconditions: Vec<Precondition>,
-    /// The operations, all of them or none.
+    /// The operations. Either all of them are applied or none.
     pub operations: Vec<Operation>,
 }
 
-/// The precondition that a key's record is the one that was read, or that there is none if none was read.
-pub fn unchanged<T>(key: String, held: Option<&Versioned<T>>) -> Precondition {
-    match held {
-        Some(held) => Precondition {
+/// The precondition that a key's record has not changed since it was read, or that the key is still absent
+/// if no record was read.
+pub fn unchanged<T>(key: String, last_read: Option<&Versioned<T>>) -> Precondition {
+    match last_read {
+        Some(last_read) => Precondition {
             key,
-            revision: held.revision,
+            revision: last_read.revision,
         },
         None => Precondition::absent(key),
     }
 }
 
-/// The precondition that a job's record is the one of this revision.
+/// The precondition that a job's record still has this revision.
 fn job_unchanged(id: &str, revision: u64) -> Precondition {
     Precondition {
         key: job_key(id),
@@ -38,8 +39,8 @@
     }
 }
 
-/// Publishes a job, with the precondition that it is neither among the open jobs nor among the ended ones.
-/// One of the two records exists from the first acceptance on, so that a late repeat fails.
+/// Publishes a new job, with the precondition that it has neither an open record nor a final state. One of
+/// the two exists from the first acceptance on, so a late repetition of the request fails.
 pub fn publish(id: &str, job: &LedgerJob) -> Transaction {
     Transaction {
         preconditions: vec![
@@ -50,7 +51,7 @@
     }
 }
 
-/// Replaces the record of an open job: changes its owner or epoch, or cancels it.
+/// Replaces the record of an open job, in order to change its owner or epoch or to cancel it.
 pub fn update_job(id: &str, revision: u64, job: &LedgerJob) -> Transaction {
     Transaction {
         preconditions: vec![job_unchanged(id, revision)],
@@ -58,8 +59,8 @@
     }
 }
 
-/// Ends an open job. It fails if the job changed its owner or was cancelled since, as both change its
-/// revision.
+/// Ends an open job. The transaction fails if the job has changed its owner or has been cancelled since
+/// `revision`, because both change the record's revision.
 pub fn finish(id: &str, revision: u64, final_state: FinalState) -> Transaction {
     Transaction {
         preconditions: vec![job_unchanged(id, revision)],
@@ -70,24 +71,24 @@
     }
 }
 
-/// Registers a cell on a lease. The generation rises with it: a takeover that was sent while the cell was
-/// absent, and is carried out after the cell returned and left again, fails on that.
+/// Registers a cell under a lease and increments its generation. If a takeover that was sent while the cell
+/// was absent is applied after the cell has returned and left again, the changed generation makes it fail.
 pub fn register(
     replica: &LedgerReplica,
     cell: &str,
     presence: &CellPresence,
     lease: u64,
 ) -> Transaction {
-    let known = replica.cells.get(cell);
-    let previous = known.and_then(|known| known.presence.as_ref());
-    let generation = known.and_then(|known| known.generation.as_ref());
+    let state = replica.cells.get(cell);
+    let presence_read = state.and_then(|state| state.presence.as_ref());
+    let generation_read = state.and_then(|state| state.generation.as_ref());
     let next = Generation {
-        count: generation.map_or(0, |held| held.record.count) + 1,
+        count: generation_read.map_or(0, |read| read.record.count) + 1,
     };
     Transaction {
         preconditions: vec![
-            unchanged(presence_key(cell), previous),
-            unchanged(generation_key(cell), generation),
+            unchanged(presence_key(cell), presence_read),
+            unchanged(generation_key(cell), generation_read),
         ],
         operations: vec![
             Operation::put(presence_key(cell), presence).with_lease(lease),
@@ -96,34 +97,34 @@
     }
 }
 
-/// Updates the presence, and with it the published capacity, of a registered cell.
+/// Updates the presence of a registered cell, and with it the capacity that the cell publishes.
 pub fn update_presence(
     cell: &str,
-    held: &Versioned<CellPresence>,
+    last_read: &Versioned<CellPresence>,
     presence: &CellPresence,
     lease: u64,
 ) -> Transaction {
     Transaction {
-        preconditions: vec![unchanged(presence_key(cell), Some(held))],
+        preconditions: vec![unchanged(presence_key(cell), Some(last_read))],
         operations: vec![Operation::put(presence_key(cell), presence).with_lease(lease)],
     }
 }
 
-/// A transaction that an [`Action`] requires, and the ledger's records once it is committed.
+/// The transaction that an [`Action`] requires, and its effect on the ledger's records.
 #[derive(Debug, Clone, Default)]
 pub struct LedgerChange {
     /// The transaction to send.
     pub transaction: Transaction,
-    /// Open jobs with the records that they have then.
+    /// Open jobs whose records it changes, with their new records.
     pub updated_jobs: Vec<(String, LedgerJob)>,
-    /// The job that it ends.
+    /// The job that it ends, with its final state.
     pub ended_job: Option<(String, FinalState)>,
 }
 
 impl LedgerChange {
-    /// The change that an action of `cell` requires by the replica's records. `None` if the action is
-    /// about the cell's own records alone, or if the job is no longer open. `max_operations` is the
-    /// ledger's limit on the operations of a transaction.
+    /// The change that an action of `cell` requires, given the records in the replica. `None` if the action
+    /// changes only the cell's own records or if the job is no longer open. `max_operations` is the ledger's
+    /// limit on the number of operations in a transaction.
     pub fn for_action(
         replica: &LedgerReplica,
         cell: &str,
@@ -136,21 +137,25 @@
                 Some(Self::finish(id, open_job(id)?, *final_state))
             }
             Action::CancelInLedger { id } => {
-                let held = open_job(id)?;
-                Some(Self::update(id, held, held.record.clone().into_cancelled()))
+                let current = open_job(id)?;
+                Some(Self::update(
+                    id,
+                    current,
+                    current.record.clone().into_cancelled(),
+                ))
             }
             Action::Reclaim { id } => {
-                let held = open_job(id)?;
-                Some(Self::update(id, held, held.record.reclaimed()))
+                let current = open_job(id)?;
+                Some(Self::update(id, current, current.record.reclaimed()))
             }
             Action::HandOver { id, to, reason } => {
-                let held = open_job(id)?;
-                let mut record = held.record.with_owner(to);
+                let current = open_job(id)?;
+                let mut record = current.record.with_owner(to);
                 match reason {
                     HandoverReason::Waited => record.spill_count += 1,
                     HandoverReason::Declined => record.declined_by.push(cell.to_owned()),
                 }
-                Some(Self::update(id, held, record))
+                Some(Self::update(id, current, record))
             }
             Action::TakeOver { from, ids } => {
                 Some(Self::take_over(replica, cell, from, ids, max_operations))
@@ -163,29 +168,30 @@
         }
     }
 
-    fn update(id: &str, held: &Versioned<LedgerJob>, record: LedgerJob) -> Self {
+    fn update(id: &str, current: &Versioned<LedgerJob>, record: LedgerJob) -> Self {
         Self {
-            transaction: update_job(id, held.revision, &record),
+            transaction: update_job(id, current.revision, &record),
             updated_jobs: vec![(id.to_owned(), record)],
             ended_job: None,
         }
     }
 
-    fn finish(id: &str, held: &Versioned<LedgerJob>, reached: FinalState) -> Self {
-        // A cancellation that is already in the ledger takes precedence over an end that is not.
-        let final_state = if held.record.cancelled {
+    fn finish(id: &str, current: &Versioned<LedgerJob>, reached: FinalState) -> Self {
+        // A cancellation that is already in the ledger takes precedence over a completion that is not.
+        let final_state = if current.record.cancelled {
             FinalState::Cancelled
         } else {
             reached
         };
         Self {
-            transaction: finish(id, held.revision, final_state),
+            transaction: finish(id, current.revision, final_state),
             updated_jobs: Vec::new(),
             ended_job: Some((id.to_owned(), final_state)),
         }
     }
 
-    /// Takes over as many jobs of an absent cell as fit a transaction; the rest follow in the next round.
+    /// Takes over as many jobs of an absent cell as fit into one transaction. The next round takes over the
+    /// others.
     fn take_over(
         replica: &LedgerReplica,
         cell: &str,
@@ -197,10 +203,10 @@
         change.transaction.preconditions = replica.absence_preconditions(from).to_vec();
         let mut bytes = 0;
         for id in ids {
-            let Some(held) = replica.jobs.get(id).filter(|job| job.record.owner == from) else {
+            let Some(current) = replica.jobs.get(id).filter(|job| job.record.owner == from) else {
                 continue;
             };
-            let record = held.record.with_owner(cell);
+            let record = current.record.with_owner(cell);
             let operation = Operation::put(job_key(id), &record);
             bytes += operation.bytes();
             let is_full =
@@ -211,7 +217,7 @@
             let transaction = &mut change.transaction;
             transaction
                 .preconditions
-                .push(job_unchanged(id, held.revision));
+                .push(job_unchanged(id, current.revision));
             transaction.operations.push(operation);
             change.updated_jobs.push((id.clone(), record));
         }
@@ -219,6 +225,6 @@
     }
 }
 
-/// Most bytes of a transaction's operations. The service takes requests of 64 KiB; the preconditions and
-/// the encoding take the rest.
+/// Limit on the bytes of a transaction's operations. The state service accepts requests of up to 64 KiB; the
+/// rest is left for the preconditions and the encoding.
 const MAX_OPERATION_BYTES: usize = 44 << 10;
