--- a/crates/rowanmill-cells/src/service.rs
+++ b/crates/rowanmill-cells/src/service.rs
@@ -1,8 +1,9 @@
-//! A controller's part in the cells: the I/O around the state machine.
+//! The I/O by which a controller takes part in the cells.
 //!
-//! [`CellCoordinator`] holds the replica of the ledger and the planner. Its tasks watch the ledger, keep
-//! the cell's lease, and carry out what is planned; its methods answer what users' requests and workers'
-//! heartbeats need to know. It decides nothing that [`crate::plan`] or [`crate::contact`] decides.
+//! [`CellCoordinator`] contains the replica of the ledger and the planner. Its background tasks watch the
+//! ledger, renew the cell's lease and execute the planned actions. Its methods answer the queries that arise
+//! from users' requests and workers' heartbeats. The decisions are made in [`crate::plan`] and
+//! [`crate::contact`].
 
 mod outcome;
 mod presence;
@@ -27,27 +28,27 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify, oneshot};
 
-/// An endless task of a controller, not started yet.
+/// An endless task of a controller that has not been spawned yet.
 pub type BackgroundTask = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// Pause before a request to the ledger is repeated.
+/// Delay before a request to the ledger is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// A controller's view of the ledger, and of its own part in it.
+/// What a controller knows of the ledger and of its cell's lease there.
 #[derive(Debug, Default)]
 struct LedgerView {
     replica: LedgerReplica,
     contact: LedgerContact,
-    /// The replica holds a whole listing, and all changes since.
+    /// The replica has a complete listing of the live records and follows their changes.
     is_loaded: bool,
-    /// The cell's lease, if this controller holds it.
+    /// The cell's lease, if this controller created it and it has not expired.
     lease: Option<u64>,
     presence_published_at: Option<Instant>,
 }
 
-/// One controller's part in the cells.
+/// Coordinates one controller of a cell with the ledger.
 ///
-/// Where both locks are taken, `view` is taken before `planner`.
+/// Code that needs both locks takes `view` before `planner`.
 pub struct CellCoordinator {
     config: CellsConfig,
     cell: String,
@@ -58,12 +59,13 @@
     planner: Mutex<Planner>,
     barrier_waiters: Mutex<Vec<oneshot::Sender<bool>>>,
     barrier_requested: Notify,
-    /// Something changed that the planner should look at.
+    /// Notified when a change requires a reconcile round.
     round_requested: Notify,
 }
 
 impl CellCoordinator {
-    /// The part of the controller of this name, in its process's `incarnation`, in the cell `cell`.
+    /// The coordinator of the controller named `controller`, in the cell named `cell`. `incarnation`
+    /// identifies the controller's process.
     pub fn new(config: CellsConfig, cell: &str, controller: &str, incarnation: u64) -> Self {
         let names = config.cells.iter().map(|cell| cell.name.as_str());
         let share = ledger_share(&config);
@@ -84,7 +86,7 @@
         }
     }
 
-    /// The controller's tasks, not started yet, with names for the log. None ends.
+    /// The controller's background tasks, not spawned yet, with their names for the log. They never end.
     pub fn background_tasks<S: Scheduler>(
         self: &Arc<Self>,
         scheduler: &Arc<S>,
@@ -116,7 +118,7 @@
         self.config.other_controllers(own)
     }
 
-    /// The last contact with the ledger.
+    /// The controller's last contact with the ledger.
     pub fn contact(&self) -> LedgerContact {
         self.view().contact.clone()
     }
@@ -138,7 +140,8 @@
         self.view().contact.responded_within(limit, now)
     }
 
-    /// Which of these jobs of the cell's records it must not run, by the ledger or by attestations.
+    /// The jobs among `tracked` that the cell must not run, according to the ledger or to attestations of
+    /// other controllers.
     pub fn halted_among(&self, tracked: &[TrackedJob]) -> BTreeSet<String> {
         let view = self.view();
         let planner = self.planner.lock().unwrap();
@@ -150,19 +153,19 @@
         halted
     }
 
-    /// Whether an open record or the final state of the job is in memory.
+    /// Whether the job's open record or its final state is in memory.
     pub fn is_cached(&self, id: &str) -> bool {
         let view = self.view();
         view.replica.jobs.contains_key(id) || view.replica.final_state(id).is_some()
     }
 
-    /// How a job ended, if that is in memory. It never changes.
+    /// A job's final state, if it is in memory. It never changes.
     pub fn final_state(&self, id: &str) -> Option<FinalState> {
         self.view().replica.final_state(id)
     }
 
-    /// Requests a reconcile round, because the cell's own records or the ledger changed.
-    pub fn wake_up(&self) {
+    /// Requests a reconcile round after a change of the cell's own records or of the ledger.
+    pub fn request_round(&self) {
         self.round_requested.notify_one();
     }
 
@@ -174,7 +177,7 @@
         self.view().replica.jobs.get(id).cloned()
     }
 
-    /// Sends a transaction; returns the ledger's revision of its changes.
+    /// Commits a transaction, and returns the ledger's revision after it.
     async fn commit(&self, transaction: &Transaction) -> Result<u64, TransactionError> {
         let Transaction {
             preconditions,
@@ -186,8 +189,9 @@
     }
 }
 
-/// The controller's share of the ledger's limits. Requests are view by all controllers. Nearly all writes
-/// are acceptances and the leader's: each cell's controllers share its part of them.
+/// The controller's share of the ledger's rate limits. Requests are divided among all controllers, because
+/// all of them send requests. Writes are divided among the cells only: nearly all of a cell's writes are
+/// acceptances of jobs and writes of its leader, for which its controllers share one part.
 fn ledger_share(config: &CellsConfig) -> ServiceQuota {
     let cells = config.cells.iter();
     let controllers: usize = cells.map(|cell| cell.controllers.len()).sum();
--- a/crates/rowanmill-cells/src/service/outcome.rs
+++ b/crates/rowanmill-cells/src/service/outcome.rs
@@ -1,21 +1,21 @@
-//! Answers of the ledger as the controller's request handlers see them.
+//! Results of requests to the ledger, as the controller's request handlers receive them.
 
 use crate::record::{FinalState, OwnershipVersion};
 
 /// Result of publishing a job.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PublishOutcome {
-    /// It is in the ledger, at this version.
+    /// It is in the ledger, with this version of its record.
     Accepted(OwnershipVersion),
-    /// It was there before, open or ended.
+    /// The ledger already had it, as open or as ended.
     AlreadyKnown,
     /// This controller's share of the ledger's writes is used up for now.
     RateLimited,
-    /// It may or may not be in the ledger: the job must not be accepted.
+    /// It may or may not be in the ledger, so it must not be accepted.
     Unavailable,
 }
 
-/// State of a job in the ledger, by a read that was sent after the query.
+/// State of a job in the ledger, by a read that was sent after the state was queried.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LedgerJobState {
     /// It is open.
@@ -23,12 +23,12 @@
         /// This cell owns it.
         owned_here: bool,
     },
-    /// Its user cancelled it, and a controller may not have read that yet.
+    /// It is cancelled, and some controller may not have read the cancellation yet.
     Cancelling {
         /// This cell owns it.
         owned_here: bool,
     },
-    /// Its user cancelled it, and no controller can start it any more. It has not ended yet.
+    /// It is cancelled, and no controller can start it any more. It has not ended yet.
     Cancelled,
     /// It ended.
     Ended(FinalState),
@@ -43,12 +43,12 @@
 pub enum CancelOutcome {
     /// The cancellation is in the ledger, and no controller can start the job any more.
     Confirmed,
-    /// The cancellation is in the ledger, and a controller may not have read it yet.
+    /// The cancellation is in the ledger, and some controller may not have read it yet.
     Recorded {
         /// This cell owns the job.
         owned_here: bool,
     },
-    /// The job had ended.
+    /// The job had already ended.
     AlreadyEnded(FinalState),
     /// The ledger never had the job.
     Unknown,
@@ -59,7 +59,7 @@
 /// A controller's attestation that it has lost contact with the ledger.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LedgerLossAttestation {
-    /// It has read the ledger's records, and has no contact with the ledger now.
+    /// The controller has loaded the ledger's records and has lost contact with the ledger since.
     pub is_disconnected: bool,
     /// Jobs that changed after the revision of the query and that the querying cell must not run.
     pub revoked_jobs: Vec<String>,
--- a/crates/rowanmill-cells/src/service/presence.rs
+++ b/crates/rowanmill-cells/src/service/presence.rs
@@ -1,4 +1,4 @@
-//! The cell's lease in the ledger, and the capacity that it publishes with its presence.
+//! Maintains the cell's lease and presence in the ledger, and publishes the cell's capacity with the presence.
 
 use super::CellCoordinator;
 use crate::record::{CapacitySummary, CellPresence};
@@ -11,9 +11,10 @@
 
 /// Interval at which a cell publishes its capacity.
 const PUBLISH_INTERVAL: Duration = Duration::from_secs(3);
-/// Renewals of the cell's lease within its length, so that some may fail.
+/// Number of renewals within the length of the cell's lease, so that the lease survives some failed ones.
 const RENEWALS_PER_LEASE: u32 = 6;
-/// Renewals within [`PUBLISH_INTERVAL`], so that a publication is late by a third of it at most.
+/// Number of renewals within [`PUBLISH_INTERVAL`]. The capacity is published after a renewal, at most a third
+/// of the interval late.
 const RENEWALS_PER_PUBLICATION: u32 = 3;
 
 /// Keeps the cell present while this controller is its leader.
@@ -36,10 +37,11 @@
 }
 
 impl CellCoordinator {
-    /// Renews the cell's lease, or creates one; `None` if it has none now or the ledger gave no answer.
+    /// Renews the cell's lease, or creates one if this controller has none. `None` if the lease has expired or
+    /// the request failed.
     async fn renew_lease(&self) -> Option<u64> {
-        let held = self.view().lease;
-        let lease = match held {
+        let current = self.view().lease;
+        let lease = match current {
             Some(lease) => match self.ledger.extend_lease(lease).await {
                 Ok(()) => lease,
                 Err(ReadError::LeaseExpired) => {
@@ -58,7 +60,7 @@
         Some(lease)
     }
 
-    /// Registers the cell, or publishes its capacity when that is due.
+    /// Registers the cell if this process has not done so, or publishes its capacity when that is due.
     async fn publish_presence<S: Scheduler>(&self, scheduler: &S, lease: u64) {
         let presence = CellPresence {
             controller: self.controller.clone(),
@@ -75,10 +77,11 @@
         }
     }
 
-    /// The cell's capacity, with the ledger's jobs that are not in the cell's records.
+    /// The cell's capacity, with owned jobs outside of the cell's own records counted as waiting tasks.
     fn capacity_summary<S: Scheduler>(&self, scheduler: &S) -> CapacitySummary {
-        // In this order a job that enters the records in between is counted twice rather than not at all, and
-        // one that becomes the cell's after the revision was read is not passed over by other cells.
+        // The order of these reads matters. A job that is written to the cell's own records in between is
+        // counted twice rather than not at all. For a job that becomes the cell's after the revision was
+        // read, other cells subtract its CPUs from the summary.
         let ledger_revision = self.view().replica.revision;
         let owned = self.owned_job_states(scheduler);
         let summary = scheduler.capacity_summary();
@@ -97,17 +100,18 @@
     fn presence_transaction(&self, presence: &CellPresence, lease: u64) -> Option<Transaction> {
         let view = self.view();
         let cell = view.replica.cells.get(&self.cell);
-        let held = cell.and_then(|cell| cell.presence.as_ref());
-        let is_own = |held: &&Versioned<CellPresence>| {
-            held.record.controller == self.controller && held.record.incarnation == self.incarnation
+        let current = cell.and_then(|cell| cell.presence.as_ref());
+        let is_own = |current: &&Versioned<CellPresence>| {
+            current.record.controller == self.controller
+                && current.record.incarnation == self.incarnation
         };
         let is_recent = view
             .presence_published_at
             .is_some_and(|at| at.elapsed() < PUBLISH_INTERVAL);
-        match held.filter(is_own) {
+        match current.filter(is_own) {
             Some(_) if is_recent => None,
-            Some(held) => Some(transaction::update_presence(
-                &self.cell, held, presence, lease,
+            Some(current) => Some(transaction::update_presence(
+                &self.cell, current, presence, lease,
             )),
             None => {
                 tracing::info!(cell = self.cell, "registering cell");
--- a/crates/rowanmill-cells/src/service/reconcile.rs
+++ b/crates/rowanmill-cells/src/service/reconcile.rs
@@ -1,7 +1,7 @@
-//! The leader's reconcile loop: brings the ledger and the cell's own records to agree.
+//! The leader's reconcile loop, which keeps the ledger and the cell's own records consistent.
 //!
-//! It reads the states, has [`Planner`](crate::plan::Planner) decide, and carries out the actions. An
-//! action that gets no definite answer is not retried here: the next round plans again by the state then.
+//! Each round reads the states, lets [`Planner`](crate::plan::Planner) choose the actions and executes them.
+//! An action without a definite result is not retried: the next round plans anew by the state at that time.
 
 use super::CellCoordinator;
 use crate::plan::{Action, LocalJobs};
@@ -14,35 +14,35 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// A round begins after this time even if nothing requested one.
+/// Interval after which a round begins even if none was requested.
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(200);
-/// Pause after a round, so that requests for the next one are taken together.
+/// Pause after a round, so that one round serves the requests that arrive in this time.
 const PAUSE_AFTER_ROUND: Duration = Duration::from_millis(50);
-/// Jobs that are put into the cell's records at the same time.
+/// Limit on the jobs that are written to the cell's records at the same time.
 const MAX_CONCURRENT_ADOPTIONS: usize = 16;
 
-/// Runs one round after another for as long as this controller is the leader and has a recent read.
+/// Runs reconcile rounds whenever this controller is the leader and has read the ledger recently.
 pub(super) async fn reconcile<S: Scheduler>(coordinator: Arc<CellCoordinator>, scheduler: Arc<S>) {
     loop {
         let requested = coordinator.round_requested.notified();
-        // A round begins either way: requested, or by the interval.
+        // A timeout is not an error: the round then begins because of the interval.
         let _ = tokio::time::timeout(RECONCILE_INTERVAL, requested).await;
         let now = Instant::now();
         if !coordinator.view().is_loaded {
             continue;
         }
         coordinator.update_halted(&*scheduler);
-        // Without a recent read another cell may own by now what this one takes for its own.
+        // If the last read is not recent, another cell may have become the owner of this cell's jobs.
         if !scheduler.is_leader() || !coordinator.permits_starts(now) {
             continue;
         }
         let actions = coordinator.plan_round(&*scheduler, now);
-        carry_out(&coordinator, &scheduler, actions).await;
+        execute_actions(&coordinator, &scheduler, actions).await;
         tokio::time::sleep(PAUSE_AFTER_ROUND).await;
     }
 }
 
-async fn carry_out<S: Scheduler>(
+async fn execute_actions<S: Scheduler>(
     coordinator: &Arc<CellCoordinator>,
     scheduler: &Arc<S>,
     actions: Vec<Action>,
@@ -56,7 +56,7 @@
             let (coordinator, scheduler) = (coordinator.clone(), scheduler.clone());
             adoptions.spawn(async move { coordinator.adopt(&*scheduler, &id).await });
         } else {
-            coordinator.carry_out_action(&**scheduler, action).await;
+            coordinator.execute_action(&**scheduler, action).await;
         }
     }
     while adoptions.join_next().await.is_some() {}
@@ -74,7 +74,7 @@
         planner.plan(&view.replica, &local_jobs, now, &runnable)
     }
 
-    /// The jobs that the ledger says this cell owns, with their states in the cell's own records.
+    /// The jobs that this cell owns according to the ledger, with their states in the cell's own records.
     pub(super) fn owned_job_states<S: Scheduler>(
         &self,
         scheduler: &S,
@@ -100,18 +100,18 @@
                 .map(|(id, job)| (id.clone(), job.clone()))
                 .collect()
         };
-        // Without the locks: the scheduler takes its own.
+        // The locks are released before this call, because the scheduler takes locks of its own.
         let runnable = candidates
             .into_iter()
             .filter(|(_, job)| scheduler.can_run(job));
         runnable.map(|(id, _)| id).collect()
     }
 
-    async fn carry_out_action<S: Scheduler>(&self, scheduler: &S, action: Action) {
+    async fn execute_action<S: Scheduler>(&self, scheduler: &S, action: Action) {
         match action {
             Action::Adopt { id } => self.adopt(scheduler, &id).await,
             Action::Cancel { id } => {
-                // Without a definite answer the next round plans it again.
+                // On failure the next round plans the cancellation again.
                 let _ = scheduler.cancel(&id).await;
             }
             Action::Withdraw {
@@ -119,7 +119,7 @@
                 ownership,
                 condition,
             } => {
-                // Without a definite answer the next round plans it again.
+                // On failure the next round plans the withdrawal again.
                 let _ = scheduler.withdraw(&id, ownership, condition).await;
             }
             Action::Relinquish { id, epoch } => {
@@ -129,7 +129,7 @@
                 }
             }
             Action::ReadFinalState { id } => {
-                // Without an answer the next round plans it again.
+                // On failure the next round plans the read again.
                 let _ = self.read_final_state(&id).await;
             }
             Action::Finish { .. }
@@ -140,31 +140,31 @@
         }
     }
 
-    /// Puts an owned job into the cell's records.
+    /// Writes an owned job to the cell's records.
     async fn adopt<S: Scheduler>(&self, scheduler: &S, id: &str) {
-        let Some(held) = self.open_job(id) else {
+        let Some(current) = self.open_job(id) else {
             return;
         };
-        let outcome = scheduler.adopt(id, &held.record, held.revision).await;
+        let outcome = scheduler.adopt(id, &current.record, current.revision).await;
         let Ok(outcome) = outcome else {
             return;
         };
         let mut planner = self.planner.lock().unwrap();
         match outcome {
             AdoptionOutcome::Adopted => {
-                let LedgerJob { epoch, home, .. } = &held.record;
+                let LedgerJob { epoch, home, .. } = &current.record;
                 tracing::debug!(job = id, epoch, home, "job adopted");
             }
             AdoptionOutcome::AlreadyEnded => {}
             AdoptionOutcome::Relinquished { epoch } => planner.record_relinquished(id, epoch),
             AdoptionOutcome::Ineligible { reason } => {
                 tracing::info!(job = id, reason, "job declined");
-                planner.record_ineligible(id, held.record.epoch, Instant::now());
+                planner.record_ineligible(id, current.record.epoch, Instant::now());
             }
         }
     }
 
-    /// Makes the change of the ledger that an action requires.
+    /// Commits the change of the ledger that an action requires.
     async fn change_ledger(&self, action: &Action) {
         let max_operations = self.config.ledger.txn_ops;
         let change = {
@@ -198,8 +198,8 @@
     }
 }
 
-/// Logs the capacity summary of the cell that a job is handed over to: its content, how long ago it was read,
-/// and the ledger's revisions of it and of the job.
+/// Logs the capacity summary of the cell that a job is handed over to, with the summary's age since it was
+/// read and the ledger's revisions of the summary and of the job.
 fn log_handover(replica: &LedgerReplica, action: &Action, now: Instant) {
     let Action::HandOver { id, to, reason } = action else {
         return;
--- a/crates/rowanmill-cells/src/service/requests.rs
+++ b/crates/rowanmill-cells/src/service/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of users: publishing a job, its state, and its cancellation.
+//! Serves requests of users: publishes a job, queries its state and cancels it.
 
 use super::{CancelOutcome, CellCoordinator, LedgerJobState, PublishOutcome, RETRY_DELAY};
 use crate::contact::CANCELLATION_EFFECT_DELAY;
@@ -7,11 +7,12 @@
 use rowanmill_state::{ReadError, TransactionError, WritePriority};
 use std::time::Instant;
 
-/// How often a cancellation is repeated when the job changes at the same time.
+/// Number of times that a cancellation is attempted if the job's record changes at the same time.
 const MAX_CANCEL_ATTEMPTS: usize = 4;
 
 impl CellCoordinator {
-    /// Publishes a job that this cell accepts. Only a job that is in the ledger may be accepted.
+    /// Publishes a job that this cell is about to accept. A cell may accept a job only once the job is in the
+    /// ledger.
     pub async fn publish(&self, id: &str, job: &LedgerJob) -> PublishOutcome {
         if self.ledger.available_writes(WritePriority::UserFacing) == 0 {
             return PublishOutcome::RateLimited;
@@ -31,7 +32,7 @@
         }
     }
 
-    /// State of a job in the ledger, by nothing older than this call.
+    /// State of a job in the ledger at the time of this call or later.
     pub async fn job_state(&self, id: &str) -> LedgerJobState {
         if let Some(final_state) = self.final_state(id) {
             return LedgerJobState::Ended(final_state);
@@ -49,26 +50,26 @@
         }
     }
 
-    /// State of a job by the replica; `None` if only the record of its final state can tell.
+    /// State of a job according to the replica; `None` if the record of its final state has to be read.
     fn replicated_job_state(&self, id: &str) -> Option<LedgerJobState> {
         let view = self.view();
-        let Some(held) = view.replica.jobs.get(id) else {
-            let is_contradicted =
+        let Some(current) = view.replica.jobs.get(id) else {
+            let is_indeterminate =
                 view.replica.is_unreadable(id) || view.contact.halted.contains(id);
-            return is_contradicted.then_some(LedgerJobState::Indeterminate);
+            return is_indeterminate.then_some(LedgerJobState::Indeterminate);
         };
-        let owned_here = held.record.owner == self.cell;
+        let owned_here = current.record.owner == self.cell;
         let is_effective = view.replica.is_cancellation_effective(id, Instant::now());
         Some(if is_effective {
             LedgerJobState::Cancelled
-        } else if held.record.cancelled {
+        } else if current.record.cancelled {
             LedgerJobState::Cancelling { owned_here }
         } else {
             LedgerJobState::Open { owned_here }
         })
     }
 
-    /// Cancels a job, whichever cell owns it.
+    /// Cancels a job. Any cell may own it.
     pub async fn cancel(&self, id: &str) -> CancelOutcome {
         for _ in 0..MAX_CANCEL_ATTEMPTS {
             match self.job_state(id).await {
@@ -81,17 +82,17 @@
                 LedgerJobState::Cancelled => return CancelOutcome::Confirmed,
                 LedgerJobState::Open { .. } => {}
             }
-            let Some(held) = self.open_job(id) else {
+            let Some(current) = self.open_job(id) else {
                 continue;
             };
-            let record = held.record.clone().into_cancelled();
-            match self.update_job(id, held.revision, record).await {
+            let record = current.record.clone().into_cancelled();
+            match self.update_job(id, current.revision, record).await {
                 Ok(()) => {
-                    self.wake_up();
-                    let owned_here = held.record.owner == self.cell;
+                    self.request_round();
+                    let owned_here = current.record.owner == self.cell;
                     return CancelOutcome::Recorded { owned_here };
                 }
-                // The record changed in the meantime: the job may have ended, or changed its owner.
+                // The record changed in the meantime: the job may have ended or changed its owner.
                 Err(TransactionError::Conflict(_)) => {}
                 Err(_) => return CancelOutcome::Indeterminate,
             }
@@ -99,8 +100,8 @@
         CancelOutcome::Indeterminate
     }
 
-    /// Waits until a recorded cancellation may be confirmed, because the job has ended or no controller
-    /// can start it any more. False if that is not known within the time that a user waits.
+    /// Waits until a recorded cancellation may be confirmed, because the job ended as cancelled or no
+    /// controller can start it any more. Returns false if neither is established before the deadline.
     pub async fn await_cancellation(&self, id: &str) -> bool {
         let deadline = Instant::now() + CANCELLATION_EFFECT_DELAY + RETRY_DELAY;
         while Instant::now() < deadline {
--- a/crates/rowanmill-cells/src/service/watch.rs
+++ b/crates/rowanmill-cells/src/service/watch.rs
@@ -1,4 +1,5 @@
-//! Reads of the ledger: watching its log, read barriers, and attestations in place of a read.
+//! Reads the ledger: watches its log, serves read barriers, and obtains attestations of other controllers in
+//! place of a read.
 
 use super::{CellCoordinator, LedgerLossAttestation, LedgerView, RETRY_DELAY};
 use crate::record::LIVE_PREFIX;
@@ -8,20 +9,20 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Longest time that the ledger holds a watch request for a change.
-const MAX_HOLD: Duration = Duration::from_secs(1);
-/// Shortest such time, whatever the operators' file says of renewals.
-const MIN_HOLD: Duration = Duration::from_millis(100);
-/// Watch requests that end within the time in which renewals are permitted, so that one that fails leaves
-/// time for others.
-const HOLDS_PER_RENEWAL_LIMIT: u32 = 3;
-/// Time without an answer after which a controller attests that it has lost contact. One that had contact
-/// more recently may be confirming a change that it has not read itself yet.
+/// Longest time for which a watch request waits for a change.
+const MAX_WATCH_HOLD: Duration = Duration::from_secs(1);
+/// Shortest such time. It applies if the operators' file permits renewals for a very short time only.
+const MIN_WATCH_HOLD: Duration = Duration::from_millis(100);
+/// Number of watch requests that fit into the time for which renewals are permitted after a read, so that a
+/// failed one can be repeated in this time.
+const WATCHES_PER_RENEWAL_LIMIT: u32 = 3;
+/// Time without a response after which a controller attests that it has lost contact with the ledger. A
+/// controller that had contact more recently may be about to confirm a change that its replica lacks.
 const DISCONNECTED_AFTER: Duration = Duration::from_millis(2500);
 
 impl CellCoordinator {
-    /// Waits for a read of the ledger that was sent after this call, or for the attestations of all other
-    /// controllers. False if there is neither. One read serves all who wait.
+    /// Waits for a read of the ledger that was sent after this call, or for attestations of all other
+    /// controllers in place of the read. Returns false if both fail. One read serves all waiting callers.
     pub async fn read_barrier(&self) -> bool {
         let (send, receive) = oneshot::channel();
         self.barrier_waiters.lock().unwrap().push(send);
@@ -29,14 +30,15 @@
         receive.await.unwrap_or(false)
     }
 
-    /// What this controller attests to one of `cell` that has read the ledger up to `revision`.
+    /// The attestation of this controller for a controller of `cell` that has read the ledger up to
+    /// `revision`.
     pub fn attest_ledger_loss(&self, cell: &str, revision: u64) -> LedgerLossAttestation {
         let view = self.view();
         let Some(mut revoked_jobs) = view.replica.revoked_since(cell, revision) else {
             return LedgerLossAttestation::default();
         };
-        // What others attested to this controller is passed on: who confirmed it may be out of the
-        // querying controller's reach.
+        // Includes what other controllers attested to this one: the querying controller may be unable to
+        // reach the controller that confirmed a change.
         revoked_jobs.extend(view.contact.halted.iter().cloned());
         LedgerLossAttestation {
             is_disconnected: view.has_lost_ledger(),
@@ -44,37 +46,37 @@
         }
     }
 
-    /// Reads the log once, waiting up to `hold` for a change.
+    /// Reads the log once. The ledger waits up to `hold` for a change.
     async fn read_log<S: Scheduler>(&self, scheduler: &S, hold: Duration) -> Result<(), ReadError> {
         let from = self.view().replica.revision;
         let sent = Instant::now();
         let body = self.ledger.watch(LIVE_PREFIX, from, hold).await?;
-        let followed = WatchResponse::decode(&body)?;
-        let has_changes = !followed.events.is_empty();
+        let response = WatchResponse::decode(&body)?;
+        let has_changes = !response.events.is_empty();
         {
             let mut view = self.view();
             let LedgerView {
                 replica, contact, ..
             } = &mut *view;
-            replica.apply_changes(followed.events, followed.revision, Instant::now());
+            replica.apply_changes(response.events, response.revision, Instant::now());
             contact.last_response_at = contact.last_response_at.max(Some(sent));
         }
         self.update_halted(scheduler);
         {
             let mut view = self.view();
-            // The read counts only once what it forbids is in force.
+            // The read counts only after the jobs that it revokes have been halted.
             if view.replica.is_present(&self.cell) {
                 view.contact.last_read_at = view.contact.last_read_at.max(Some(sent));
                 view.contact.last_attestation_at = None;
             }
         }
         if has_changes {
-            self.wake_up();
+            self.request_round();
         }
         Ok(())
     }
 
-    /// Updates which jobs of the cell's records must not run.
+    /// Updates the set of jobs in the cell's own records that must not run.
     pub(super) fn update_halted<S: Scheduler>(&self, scheduler: &S) {
         let tracked = scheduler.tracked_jobs();
         let mut view = self.view();
@@ -95,7 +97,8 @@
         self.read_log(scheduler, Duration::ZERO).await
     }
 
-    /// Obtains the attestations of all other controllers in place of a read. False if one is missing.
+    /// Obtains attestations of all other controllers in place of a read. Returns false if this controller has
+    /// contact with the ledger or an attestation is missing.
     async fn obtain_attestations<S: Scheduler>(&self, scheduler: &S) -> bool {
         let revision = {
             let view = self.view();
@@ -111,7 +114,7 @@
         };
         let mut view = self.view();
         if view.replica.revision != revision {
-            return false; // it has contact again
+            return false; // contact with the ledger was restored in the meantime
         }
         if !revoked_jobs.is_empty() {
             let mut halted = (*view.contact.halted).clone();
@@ -125,7 +128,7 @@
 }
 
 impl LedgerView {
-    /// Whether the records were loaded, and the ledger has not answered since for too long.
+    /// Whether the records have been loaded, but the ledger has not responded for [`DISCONNECTED_AFTER`].
     fn has_lost_ledger(&self) -> bool {
         let has_contact = self
             .contact
@@ -134,13 +137,13 @@
     }
 }
 
-/// Loads the ledger's records, then watches its log; loads again when the log was compacted.
+/// Loads the ledger's records, then watches its log. Loads them again if the log was compacted.
 pub(super) async fn watch_ledger<S: Scheduler>(
     coordinator: Arc<CellCoordinator>,
     scheduler: Arc<S>,
 ) {
     let renewal_limit = coordinator.config.renew_without_ledger();
-    let hold = (renewal_limit / HOLDS_PER_RENEWAL_LIMIT).clamp(MIN_HOLD, MAX_HOLD);
+    let hold = (renewal_limit / WATCHES_PER_RENEWAL_LIMIT).clamp(MIN_WATCH_HOLD, MAX_WATCH_HOLD);
     loop {
         if coordinator.load(&*scheduler).await.is_err() {
             tokio::time::sleep(RETRY_DELAY).await;
@@ -170,7 +173,7 @@
     }
 }
 
-/// Serves read barriers: one read for all who wait when it is sent.
+/// Serves read barriers. One read serves all callers that wait when it is sent.
 pub(super) async fn serve_read_barriers<S: Scheduler>(
     coordinator: Arc<CellCoordinator>,
     scheduler: Arc<S>,
@@ -189,7 +192,7 @@
                 .is_ok()
                 || coordinator.obtain_attestations(&*scheduler).await);
         for waiter in waiters {
-            // A waiter that was dropped has no use for the answer.
+            // Sending fails if the caller no longer waits.
             let _ = waiter.send(has_read);
         }
         tokio::time::sleep(coordinator.ledger.read_barrier_interval()).await;
