--- a/crates/rowanmill-cells/src/config.rs
+++ b/crates/rowanmill-cells/src/config.rs
@@ -1,7 +1,7 @@
-//! The operators' file: the cells, the ledger, the lengths of leases, and when jobs spill. The controllers
-//! of every cell are started with the same file.
+//! The operators' file, which defines the cells, the ledger, the lengths of leases, and when jobs spill. The
+//! controllers of all cells are started with the same file.
 //!
-//! The names of the fields are those of the file and must not change.
+//! The fields have the names that the file uses, and these must not change.
 
 mod validation;
 
@@ -21,34 +21,36 @@
     pub controllers: Vec<SocketAddr>,
 }
 
-/// The ledger and its limits.
+/// The ledger and the limits of its service.
 #[derive(Debug, Clone, Deserialize)]
 pub struct LedgerConfig {
     /// Address of its service.
     pub addr: SocketAddr,
-    /// Requests that it takes a second.
+    /// Requests that it accepts per second.
     pub rps: f64,
-    /// Puts and deletes that it takes a second.
+    /// Puts and deletes that it accepts per second.
     pub write_rps: f64,
     /// Largest value, in KiB.
     pub value_kb: f64,
-    /// Most puts and deletes of a transaction.
+    /// Largest number of puts and deletes in a transaction.
     pub txn_ops: usize,
 }
 
 /// When waiting jobs go to another cell.
 #[derive(Debug, Clone, Deserialize)]
 pub struct SpillConfig {
-    /// Seconds that a job must have waited, with no task started, to go elsewhere; absent: none does.
+    /// Seconds for which a job must have waited, with no task started, before it spills. If absent, waiting
+    /// jobs do not spill.
     #[serde(default)]
     pub after_s: Option<f64>,
-    /// Most jobs that are leaving a cell at a time.
+    /// Largest number of jobs that leave a cell at a time.
     #[serde(default = "default_at_once")]
     pub at_once: usize,
-    /// How often a job may change cells because it waited.
+    /// Number of times that a job spills after the usual wait; before each further spill it waits longer. With
+    /// 0, jobs leave only a cell that is being drained.
     #[serde(default = "default_moves")]
     pub moves: u32,
-    /// Path of a script that chooses the cell, relative to the file's directory.
+    /// Path of a script that chooses the receiving cell, relative to the directory of this file.
     #[serde(default)]
     pub ranking: Option<PathBuf>,
 }
@@ -79,27 +81,27 @@
     pub cells: Vec<CellConfig>,
     /// The ledger.
     pub ledger: LedgerConfig,
-    /// Seconds that a cell counts as present after its leader last renewed its lease.
+    /// Seconds for which a cell counts as present after its leader last renewed its lease.
     pub cell_lease_s: f64,
-    /// Seconds that a controller may renew workers' leases after its last read of the ledger.
+    /// Seconds for which a controller may renew workers' leases after its last read of the ledger.
     pub renew_without_ledger_s: f64,
-    /// Seconds from the end of a cell's lease until its jobs are taken over.
+    /// Seconds from the end of a cell's lease until other cells take over its jobs.
     pub takeover_after_s: f64,
     /// When jobs spill.
     #[serde(default)]
     pub spill: SpillConfig,
-    /// How cells are ranked, with the script if the file names one.
+    /// How the receiving cell is chosen, by the script if the file names one.
     #[serde(skip)]
     pub ranking: Ranking,
 }
 
-/// Settings of one cell that the file is checked against.
+/// Settings of one cell against which the file is validated.
 #[derive(Debug, Clone, Copy)]
 pub struct WorkerTiming {
     /// Length of a worker's lease.
     pub lease: Duration,
-    /// How long a controller may renew workers' leases without its state service: the time that `cancel_s`
-    /// leaves.
+    /// How long a controller may renew workers' leases without contact with its state service. `cancel_s`
+    /// limits this time.
     pub disconnected_lease_limit: Duration,
     /// Address of the cell's own state service.
     pub state_service: SocketAddr,
@@ -112,10 +114,10 @@
     const KIND: &'static str = "cells";
 
     fn validate(&self) -> Result<(), InvalidField> {
-        self.validate_by_itself()
+        self.validate_fields()
     }
 
-    /// Reads the script that ranks the cells.
+    /// Reads the script that chooses the receiving cell.
     fn load_referenced(&mut self, folder: &Path) -> Result<(), InvalidField> {
         if let Some(script) = &self.spill.ranking {
             let script = load_script(&folder.join(script))?;
@@ -136,12 +138,12 @@
         Duration::from_secs_f64(self.renew_without_ledger_s)
     }
 
-    /// How long after the end of a cell's lease its jobs are taken over.
+    /// Time from the end of a cell's lease until other cells take over its jobs.
     pub fn takeover_after(&self) -> Duration {
         Duration::from_secs_f64(self.takeover_after_s)
     }
 
-    /// Largest value of the ledger, in bytes.
+    /// Largest value in the ledger, in bytes.
     pub fn value_bytes(&self) -> usize {
         (self.ledger.value_kb * KIB) as usize
     }
@@ -154,9 +156,9 @@
 }
 
 fn load_script(path: &Path) -> Result<Script, InvalidField> {
-    let refused = |reason: String| InvalidField::new("spill.ranking", reason);
-    let text = std::fs::read_to_string(path).map_err(|error| refused(error.to_string()))?;
-    Script::parse(&text).map_err(|error| refused(error.to_string()))
+    let invalid = |reason: String| InvalidField::new("spill.ranking", reason);
+    let text = std::fs::read_to_string(path).map_err(|error| invalid(error.to_string()))?;
+    Script::parse(&text).map_err(|error| invalid(error.to_string()))
 }
 
 #[cfg(test)]
--- a/crates/rowanmill-cells/src/config/tests.rs
+++ b/crates/rowanmill-cells/src/config/tests.rs
@@ -29,7 +29,8 @@
     checked.map_err(|problem| CellsConfig::error("cells.json", problem))
 }
 
-/// A value that would let two cells run a job, or that makes no sense, is refused by the name of its field.
+/// A value that is invalid, or that would let two cells run the same job, is rejected with the name of its
+/// field.
 #[test]
 fn invalid_files_are_refused_by_field_name() {
     assert!(check(&valid_file()).is_ok());
--- a/crates/rowanmill-cells/src/config/validation.rs
+++ b/crates/rowanmill-cells/src/config/validation.rs
@@ -1,22 +1,24 @@
-//! Checks of the operators' file: what would let two cells run a job, or makes no sense, is refused by the
-//! name of its field.
+//! Validates the operators' file. A value that is invalid, or that would let two cells run the same job, is
+//! rejected with the name of its field.
 
 use super::{CellsConfig, LedgerConfig, SpillConfig, WorkerTiming};
 use rowanmill_config::InvalidField;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Shortest duration that the file may give, in seconds.
+/// Shortest duration that the file may set, in seconds.
 const MIN_DURATION_S: f64 = 0.1;
-/// Longest such duration, in seconds.
+/// Longest duration that the file may set, in seconds.
 const MAX_DURATION_S: f64 = 600.0;
-/// Most characters of a cell's name.
+/// Largest number of characters in a cell's name.
 const MAX_NAME_CHARS: usize = 40;
-/// Least limit on the operations of a transaction. Ends of jobs and registrations take two each.
+/// Smallest permitted limit on the operations of a transaction. Ending a job and registering a cell take two
+/// operations each.
 const MIN_TXN_OPS: usize = 4;
-/// Steady clocks drift apart by at most 0.05 %; this allows twice that.
+/// Factor that allows for clock drift between machines. Monotonic clocks drift apart by at most 0.05 %; the
+/// factor allows for twice that.
 const CLOCK_DRIFT: f64 = 1.001;
-/// Time between the end of a worker's lease and the end of its tasks, in seconds.
+/// Time from the end of a worker's lease until its tasks have ended, in seconds.
 const LEASE_END_MARGIN_S: f64 = 1.0;
 
 fn refuse(field: &'static str, reason: impl Into<String>) -> Result<(), InvalidField> {
@@ -24,8 +26,8 @@
 }
 
 impl CellsConfig {
-    /// Checks the file by itself.
-    pub(super) fn validate_by_itself(&self) -> Result<(), InvalidField> {
+    /// Validates the file without the settings of any cell.
+    pub(super) fn validate_fields(&self) -> Result<(), InvalidField> {
         self.validate_names()?;
         self.validate_addresses()?;
         self.validate_durations()?;
@@ -35,18 +37,20 @@
 
     fn validate_names(&self) -> Result<(), InvalidField> {
         if self.cells.len() < 2 {
-            return refuse("cells", "names fewer than two cells");
+            return refuse("cells", "lists fewer than two cells");
         }
         let mut names: Vec<&str> = Vec::new();
         for cell in &self.cells {
             let name = cell.name.as_str();
             if !is_valid_name(name) {
-                let reason =
-                    format!("`{name}` is no name: 1 to {MAX_NAME_CHARS} of a to z, 0 to 9 and `-`");
+                let reason = format!(
+                    "`{name}` is not a valid name: must be 1 to {MAX_NAME_CHARS} characters of a to z, \
+                     0 to 9 and `-`"
+                );
                 return refuse("cells.name", reason);
             }
             if names.contains(&name) {
-                return refuse("cells.name", format!("`{name}` is there twice"));
+                return refuse("cells.name", format!("`{name}` is listed twice"));
             }
             names.push(name);
         }
@@ -57,7 +61,10 @@
         let mut cell_by_address: BTreeMap<SocketAddr, &str> = BTreeMap::new();
         for cell in &self.cells {
             if cell.controllers.is_empty() {
-                return refuse("cells.controllers", format!("`{}` has none", cell.name));
+                return refuse(
+                    "cells.controllers",
+                    format!("`{}` has no controllers", cell.name),
+                );
             }
             for addr in &cell.controllers {
                 let Some(other) = cell_by_address.insert(*addr, &cell.name) else {
@@ -67,7 +74,7 @@
                     format!("{addr} is listed twice for `{other}`")
                 } else {
                     format!(
-                        "{addr} is listed for `{other}` and `{}`: a cell would point at itself",
+                        "{addr} is listed for `{other}` and `{}`: a controller belongs to one cell",
                         cell.name
                     )
                 };
@@ -75,7 +82,10 @@
             }
         }
         if let Some(cell) = cell_by_address.get(&self.ledger.addr) {
-            let reason = format!("{} is a controller of `{cell}`", self.ledger.addr);
+            let reason = format!(
+                "{} is the address of a controller of `{cell}`",
+                self.ledger.addr
+            );
             return refuse("ledger.addr", reason);
         }
         Ok(())
@@ -100,33 +110,34 @@
         Ok(())
     }
 
-    /// Checks the file against the settings of the cell of this name.
+    /// Validates the file against the settings of the cell of this name.
     pub fn check_cell(&self, cell: &str, timing: &WorkerTiming) -> Result<(), InvalidField> {
         if !self.cells.iter().any(|listed| listed.name == cell) {
             return refuse("cells", format!("no cell is named `{cell}`"));
         }
         if timing.state_service == self.ledger.addr {
-            let reason = "is the cell's own state service: what is lost with the cell must not be \
-                          lost with the ledger";
+            let reason =
+                "is the cell's own state service: the ledger must survive the loss of the cell";
             return refuse("ledger.addr", reason);
         }
         let worker_lease_s = timing.lease.as_secs_f64();
         if self.cell_lease_s < worker_lease_s {
-            // A cell whose controllers were away for less than a worker's lease has lost no work.
+            // If a cell's controllers are down for less than a worker's lease, the cell loses no work, so it
+            // must still count as present.
             let reason = format!("is shorter than the workers' lease of {worker_lease_s} s");
             return refuse("cell_lease_s", reason);
         }
         let limit_s = timing.disconnected_lease_limit.as_secs_f64();
         if self.renew_without_ledger_s > limit_s {
-            // A task would outlive a cancellation that another cell confirmed by more than `cancel_s`.
-            let reason = format!("is over the {limit_s:.3} s that `cancel_s` leaves");
+            // A task could run for more than `cancel_s` after another cell confirmed its cancellation.
+            let reason = format!("exceeds the {limit_s:.3} s that `cancel_s` permits");
             return refuse("renew_without_ledger_s", reason);
         }
         let longest_run_s = self.renew_without_ledger_s + worker_lease_s;
         let least = longest_run_s * CLOCK_DRIFT + LEASE_END_MARGIN_S;
         if self.takeover_after_s < least {
             let reason = format!(
-                "must be at least {least:.3} s: until then a worker's lease may be renewed and last"
+                "must be at least {least:.3} s: until then a worker's lease may be renewed and remain valid"
             );
             return refuse("takeover_after_s", reason);
         }
@@ -135,8 +146,8 @@
 }
 
 fn is_valid_name(name: &str) -> bool {
-    let is_plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-    !name.is_empty() && name.len() <= MAX_NAME_CHARS && name.chars().all(is_plain)
+    let is_permitted = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
+    !name.is_empty() && name.len() <= MAX_NAME_CHARS && name.chars().all(is_permitted)
 }
 
 impl LedgerConfig {
--- a/crates/rowanmill-cells/src/contact/tests.rs
+++ b/crates/rowanmill-cells/src/contact/tests.rs
@@ -2,9 +2,10 @@
 
 const LIMIT: Duration = Duration::from_secs(10);
 
-/// A controller starts and renews for a bounded time after a read, and attestations count as one.
+/// A controller may start tasks and renew leases for a limited time after a read. Attestations count as a
+/// read.
 #[test]
-fn read_permits_starts_and_renewals_for_a_bounded_time() {
+fn read_permits_starts_and_renewals_for_a_limited_time() {
     let start = Instant::now();
     let at = |s: u64| start + Duration::from_secs(s);
     let mut contact = LedgerContact::default();
@@ -18,7 +19,7 @@
     assert!(!contact.permits_renewals(LIMIT, at(20)));
 }
 
-/// A controller that never read that its cell is present has nothing to renew, whatever others attest.
+/// Attestations permit nothing to a controller that has never read that its cell is present.
 #[test]
 fn attestations_without_a_read_permit_nothing() {
     let now = Instant::now();
--- a/crates/rowanmill-cells/src/lib.rs
+++ b/crates/rowanmill-cells/src/lib.rs
@@ -1,20 +1,20 @@
-//! Cells that share work. Each cell is a whole scheduler with its own controllers, machines, cloud and
-//! state service. A *ledger*, one more state service, holds for each job the cell that owns it, an
-//! ownership epoch and at last its final state. `docs/cells.md` weighs the alternatives and describes the
-//! sequences of events.
+//! Sharing of jobs between cells. Each cell is a complete scheduler with its own controllers, machines, cloud
+//! and state service. A further state service, the *ledger*, stores for each job the cell that owns it, an
+//! ownership epoch and, once it has ended, its final state. `docs/cells.md` compares the alternatives to this
+//! design and describes the sequences of events.
 //!
-//! | module | its job |
+//! | Module | Purpose |
 //! | --- | --- |
-//! | [`config`] | reads and checks the operators' file |
-//! | [`record`] | keys and records of the ledger |
-//! | [`replica`] | a copy of the live records |
-//! | [`contact`] | limits what may be done by the last read of the ledger |
-//! | [`plan`] | decides: a state machine over the replica, the cell's own records and the time |
-//! | [`ranking`] | which cell a job goes to |
-//! | [`transaction`] | builds the ledger's transactions, with their preconditions |
-//! | [`service`] | the I/O around these |
+//! | [`config`] | reads and validates the operators' file |
+//! | [`record`] | the ledger's keys and records |
+//! | [`replica`] | an in-memory copy of the ledger's live records |
+//! | [`contact`] | limits for how long a controller may act on its last read of the ledger |
+//! | [`plan`] | decides on the actions of a cell's leader, from the replica, the cell's own records and the time |
+//! | [`ranking`] | chooses the cell that a job goes to |
+//! | [`transaction`] | builds the transactions on the ledger, with their preconditions |
+//! | [`service`] | the I/O around the other modules |
 //! | [`scheduler`] | the interface to the cell's own scheduler |
-//! | [`report`] | what the client shows of cells and jobs |
+//! | [`report`] | the client's reports on cells and jobs |
 #![deny(missing_docs)]
 
 pub mod config;
--- a/crates/rowanmill-cells/src/ranking.rs
+++ b/crates/rowanmill-cells/src/ranking.rs
@@ -1,69 +1,70 @@
-//! Which cell a job goes to: the one with most capacity, or the one that an operator's script names.
+//! Chooses the cell that a job goes to: the one with the most capacity, or the one that an operator's script
+//! names.
 //!
-//! The script is in Rhai and has a function `choose(job, cells)`. It gets the job's description, as its user
-//! submitted it, and the cells that could take the job, and returns the name of one of them. It runs for a
-//! bounded number of operations and has access to nothing else. When it fails, does not end or names no
-//! cell, that is logged and the built-in order applies.
+//! The script is written in Rhai and defines a function `choose(job, cells)`. The function receives the job's
+//! description, as its user submitted it, and the cells that could take the job, and returns the name of one
+//! of them. It may execute a limited number of operations and has access to nothing else. If it fails, exceeds
+//! a limit or does not return the name of such a cell, that is logged and the built-in order applies.
 
 use rhai::{AST, Dynamic, Engine, Scope};
 use serde::Serialize;
 use serde_json::Value;
 use std::sync::Arc;
 
-/// A cell that could take a job. Scripts see these fields under these names.
+/// A cell that could take a job. Scripts access the fields by these names.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Candidate {
     /// Its name.
     pub name: String,
     /// CPUs of its machines that no task uses.
     pub free_cpus: f64,
-    /// Its cloud has not recently refused a rental.
+    /// Whether the cell may rent machines: its cloud has not recently refused a rental.
     pub can_rent: bool,
 }
 
-/// CPUs that a cell which may rent counts for beyond its free ones; more than any cell has. Any such cell
-/// comes before one that may not rent, and of two of them the one with more free CPUs comes first, since a
-/// rented machine has to boot.
+/// CPUs that are added to the score of a cell that may rent machines. The number exceeds the CPUs of any
+/// cell, so that such a cell precedes every cell that may not rent. Of two cells that may rent, the one with
+/// more free CPUs comes first, because a rented machine has to boot.
 const RENTABLE_CPUS: f64 = 1_000_000.0;
 
 impl Candidate {
-    /// The score of the built-in order, in CPUs.
+    /// The score by which the built-in order compares cells, in CPUs.
     pub fn capacity_score(&self) -> f64 {
         let rentable = if self.can_rent { RENTABLE_CPUS } else { 0.0 };
         self.free_cpus + rentable
     }
 }
 
-/// Name of the script's function.
+/// Name of the function that a script defines.
 const FUNCTION: &str = "choose";
-/// Number of its arguments.
+/// Number of arguments of that function.
 const ARGUMENTS: usize = 2;
-/// Most operations of a run.
+/// Largest number of operations in one run of a script.
 const MAX_OPERATIONS: u64 = 50_000;
-/// Deepest nesting of calls.
+/// Largest depth of nested calls in a script.
 const MAX_CALL_DEPTH: usize = 16;
-/// Largest string, in bytes.
+/// Largest string in a script, in bytes.
 const MAX_STRING_BYTES: usize = 64 << 10;
-/// Most elements of an array or a map.
+/// Largest number of elements of an array or a map in a script.
 const MAX_ELEMENTS: usize = 10_000;
-/// Most characters of a returned value that an error shows.
-const MAX_SHOWN_CHARS: usize = 80;
+/// Largest number of characters of an invalid return value that the error contains.
+const MAX_ERROR_VALUE_CHARS: usize = 80;
 
-/// What is wrong with a script, or with a run of it.
+/// An error in a script, or in a run of it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ScriptError {
-    /// It is not a script.
+    /// It cannot be parsed.
     #[error("{0}")]
     Malformed(String),
-    /// It has no function of that name with two arguments.
+    /// It does not define the function `choose` with two arguments.
     #[error("has no function `choose(job, cells)`")]
     NoFunction,
     /// It failed, or exceeded a limit.
     #[error("failed: {0}")]
     Failed(String),
     /// It returned something that is not the name of a candidate.
-    #[error("named no cell: {0}")]
-    NoCell(String),
+    #[error("returned a value that is not the name of a candidate cell: {0}")]
+    NotACandidate(String),
 }
 
 /// An operator's script.
@@ -80,14 +81,15 @@
 }
 
 impl Script {
-    /// Reads and checks a script.
+    /// Parses a script and checks that it defines the function.
     pub fn parse(text: &str) -> Result<Self, ScriptError> {
         let engine = bounded_engine();
         let program = engine
             .compile(text)
             .map_err(|error| ScriptError::Malformed(error.to_string()))?;
-        let is_choose =
-            |f: rhai::ScriptFnMetadata| f.name == FUNCTION && f.params.len() == ARGUMENTS;
+        let is_choose = |function: rhai::ScriptFnMetadata| {
+            function.name == FUNCTION && function.params.len() == ARGUMENTS
+        };
         if !program.iter_functions().any(is_choose) {
             return Err(ScriptError::NoFunction);
         }
@@ -110,13 +112,13 @@
         if cells.iter().any(|cell| cell.name == name) {
             Ok(name)
         } else {
-            let shown = name.chars().take(MAX_SHOWN_CHARS).collect();
-            Err(ScriptError::NoCell(shown))
+            let truncated = name.chars().take(MAX_ERROR_VALUE_CHARS).collect();
+            Err(ScriptError::NotACandidate(truncated))
         }
     }
 }
 
-/// An engine that stops a script which runs too long or uses too much memory.
+/// An engine that aborts a script that runs too long or uses too much memory.
 fn bounded_engine() -> Engine {
     let mut engine = Engine::new();
     engine.set_max_operations(MAX_OPERATIONS);
@@ -127,19 +129,19 @@
     engine
 }
 
-/// The order in which cells are chosen.
+/// The rule by which a cell is chosen.
 #[derive(Debug, Clone, Default)]
 pub struct Ranking {
     script: Option<Script>,
 }
 
 impl Ranking {
-    /// A ranking by an operator's script, or by the built-in order.
+    /// A ranking by the operator's script, or by the built-in order if there is none.
     pub fn new(script: Option<Script>) -> Self {
         Self { script }
     }
 
-    /// The name of the cell that should have a job; `None` if there is no candidate.
+    /// The name of the cell that a job should go to; `None` if there is no candidate.
     pub fn choose(&self, job: &Value, cells: &[Candidate]) -> Option<String> {
         let built_in = cells
             .iter()
--- a/crates/rowanmill-cells/src/ranking/tests.rs
+++ b/crates/rowanmill-cells/src/ranking/tests.rs
@@ -43,7 +43,7 @@
     assert_eq!(choose(least).as_deref(), Some("hanoi"));
 }
 
-/// However a script fails, a cell is chosen within a bounded time.
+/// A cell is chosen within a limited time, in whichever way a script fails.
 #[test]
 fn failing_script_falls_back_to_the_built_in_order() {
     let failing = [
@@ -69,13 +69,13 @@
         Script::parse("let x = 1;").unwrap_err(),
         ScriptError::NoFunction
     );
-    let one = Script::parse("fn choose(job) { \"hue\" }");
-    assert_eq!(one.unwrap_err(), ScriptError::NoFunction);
-    let broken = Script::parse("fn choose(job, cells) { \"hue }");
-    assert!(matches!(broken, Err(ScriptError::Malformed(_))));
+    let one_argument = Script::parse("fn choose(job) { \"hue\" }");
+    assert_eq!(one_argument.unwrap_err(), ScriptError::NoFunction);
+    let malformed = Script::parse("fn choose(job, cells) { \"hue }");
+    assert!(matches!(malformed, Err(ScriptError::Malformed(_))));
 }
 
-/// The examples of the operators' page, as printed there.
+/// Runs the example scripts of `docs/operations.md`.
 #[test]
 fn documented_scripts_run() {
     let page = include_str!("../../../../docs/operations.md");
@@ -84,7 +84,10 @@
         .skip(1)
         .filter_map(|rest| rest.split("```").next())
         .collect();
-    assert!(!blocks.is_empty(), "the page has its example");
+    assert!(
+        !blocks.is_empty(),
+        "operations.md contains an example script"
+    );
     for block in blocks {
         assert_eq!(choose(block).as_deref(), Some("danang"), "{block}");
     }
--- a/crates/rowanmill-cells/src/record.rs
+++ b/crates/rowanmill-cells/src/record.rs
@@ -2,7 +2,7 @@
 //!
 //! | Key | Record | Written by |
 //! | --- | --- | --- |
-//! | `c/l/j/JOB` | an open job: its owner, epoch and description | any cell, with the record's revision as precondition |
+//! | `c/l/j/JOB` | an open job: its owner, epoch and description | any cell, with its revision as precondition |
 //! | `c/l/n/CELL` | a cell's presence, attached to its lease | the cell's leader |
 //! | `c/l/g/CELL` | the number of the cell's registrations | the cell's leader |
 //! | `c/l/d/CELL` | an operator's request to drain the cell | the client |
--- a/crates/rowanmill-cells/src/report.rs
+++ b/crates/rowanmill-cells/src/report.rs
@@ -1,7 +1,7 @@
-//! What the client shows of cells and jobs, as text for people and as JSON in a versioned format.
+//! The client's reports on cells and jobs, as text for people and as JSON in a versioned format.
 //!
-//! It is built from the ledger alone, so that there is an answer whichever controller leads, and while a
-//! cell is lost. The names of the fields are those of the JSON.
+//! The reports are built from the ledger alone, so that they do not depend on any controller and are
+//! available while a cell is lost. The fields have the names that the JSON uses.
 
 mod text;
 
@@ -10,7 +10,7 @@
 use serde::Serialize;
 use std::fmt;
 
-/// Version of the JSON. It rises when a field is removed or changes its meaning.
+/// Version of the JSON. It is incremented when a field is removed or changes its meaning.
 pub const FORMAT: u32 = 1;
 
 /// State of one cell.
@@ -18,21 +18,21 @@
 pub struct CellReport {
     /// Its name.
     pub cell: String,
-    /// Its lease holds.
+    /// Whether its lease is valid.
     pub present: bool,
-    /// An operator drains it.
+    /// Whether an operator has requested to drain it.
     pub draining: bool,
-    /// The controller that keeps its lease.
+    /// The controller that registered it and renews its lease.
     pub controller: Option<String>,
-    /// How often it registered.
+    /// Number of its registrations.
     pub registrations: u64,
-    /// Open jobs that it owns.
+    /// Number of open jobs that it owns.
     pub jobs: usize,
-    /// Those of them that are cancelled and have not ended yet.
+    /// Number of these jobs that are cancelled and have not ended yet.
     pub cancelled: usize,
-    /// Those of them that other cells accepted.
+    /// Number of these jobs that other cells accepted.
     pub foreign: usize,
-    /// Tasks that wait there.
+    /// Number of tasks that wait there.
     pub waiting: Option<u64>,
     /// CPUs of its machines that no task uses.
     pub free_cpus: Option<f64>,
@@ -47,7 +47,7 @@
     pub revision: u64,
     /// The cells of the operators' file.
     pub cells: Vec<CellReport>,
-    /// Records that cannot be read, or that belong to no cell of the file.
+    /// Number of records that are malformed or belong to a cell that is not in the file.
     pub malformed: u64,
 }
 
@@ -61,9 +61,9 @@
     Cancelling,
     /// All its tasks completed.
     Done,
-    /// It ended cancelled.
+    /// It ended as cancelled.
     Cancelled,
-    /// The ledger has no record of it that can be read.
+    /// The ledger has no record of it, or a malformed one.
     Unknown,
 }
 
@@ -91,7 +91,7 @@
     }
 }
 
-/// State of a job, and what explains it.
+/// State of a job, with an explanation.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Explanation {
     /// [`FORMAT`].
@@ -102,23 +102,23 @@
     pub state: ReportedState,
     /// The cell that owns it.
     pub owner: Option<String>,
-    /// Whether that cell's lease holds.
+    /// Whether that cell's lease is valid.
     pub owner_present: Option<bool>,
     /// The ownership epoch.
     pub epoch: Option<u64>,
     /// The cell that accepted it.
     pub home: Option<String>,
-    /// How often it changed cells because it waited.
+    /// Number of times that it was handed over to another cell because it waited or its cell was drained.
     pub moves: Option<u32>,
-    /// Cells that cannot run it, or could not when it came to them.
+    /// Cells that declined it because they could not run it at the time.
     pub declined: Vec<String>,
-    /// Jobs that it depends on and that are open.
+    /// Open jobs that it depends on.
     pub awaits: Vec<String>,
-    /// The same as sentences.
+    /// The explanation as sentences.
     pub reasons: Vec<String>,
 }
 
-/// The state of all cells.
+/// Reports the state of all cells.
 pub fn report_cells(replica: &LedgerReplica) -> CellsReport {
     let cells = replica.cells.keys().map(|name| report_cell(replica, name));
     CellsReport {
@@ -131,9 +131,9 @@
 
 fn report_cell(replica: &LedgerReplica, name: &str) -> CellReport {
     let state = &replica.cells[name];
-    let presence = state.presence.as_ref().map(|held| &held.record);
+    let presence = state.presence.as_ref().map(|presence| &presence.record);
     let owned = || {
-        let jobs = replica.jobs.values().map(|held| &held.record);
+        let jobs = replica.jobs.values().map(|job| &job.record);
         jobs.filter(|job| job.owner == name)
     };
     let generation = state.generation.as_ref();
@@ -142,7 +142,7 @@
         present: presence.is_some(),
         draining: state.drain.is_some(),
         controller: presence.map(|presence| presence.controller.clone()),
-        registrations: generation.map_or(0, |held| held.record.count),
+        registrations: generation.map_or(0, |generation| generation.record.count),
         jobs: owned().count(),
         cancelled: owned().filter(|job| job.cancelled).count(),
         foreign: owned().filter(|job| job.home != name).count(),
@@ -151,16 +151,16 @@
     }
 }
 
-/// The state of a job, which ended with `final_state` if the ledger has one.
+/// Explains the state of a job. `final_state` is its final state in the ledger, if it has one.
 pub fn explain(replica: &LedgerReplica, id: &str, final_state: Option<FinalState>) -> Explanation {
-    let open_record = replica.jobs.get(id).map(|held| &held.record);
+    let open_record = replica.jobs.get(id).map(|job| &job.record);
     let state = ReportedState::of(open_record, final_state);
-    // The live records were read before the final state: that overrides an open record.
+    // The final state was read after the live records, so it takes precedence over an open record.
     let job = open_record.filter(|_| final_state.is_none());
     let open_dependencies = job.map(|job| open_dependencies(replica, job));
     let reasons = match job {
         Some(job) => reasons_of_open(replica, job),
-        None => vec![reason_of_other(replica, id, state)],
+        None => vec![reason_of_not_open(replica, id, state)],
     };
     Explanation {
         format: FORMAT,
@@ -185,8 +185,8 @@
         .collect()
 }
 
-/// The one reason of a job that has no open record.
-fn reason_of_other(replica: &LedgerReplica, id: &str, state: ReportedState) -> String {
+/// The reason for the state of a job that is not open.
+fn reason_of_not_open(replica: &LedgerReplica, id: &str, state: ReportedState) -> String {
     match state {
         ReportedState::Unknown if replica.is_unreadable(id) => {
             "its record cannot be read".to_owned()
--- a/crates/rowanmill-cells/src/report/tests.rs
+++ b/crates/rowanmill-cells/src/report/tests.rs
@@ -45,7 +45,7 @@
     replica
 }
 
-/// Scripts depend on the JSON: while its version is 1, this snapshot stays.
+/// Scripts parse the JSON: this snapshot must not change while the format version is 1.
 #[test]
 fn cells_report_format_is_stable() {
     let report = report_cells(&replica());
--- a/crates/rowanmill-cells/src/report/text.rs
+++ b/crates/rowanmill-cells/src/report/text.rs
@@ -1,11 +1,11 @@
-//! The reports as text for people.
+//! Formats the reports as text for people.
 
 use super::{CellReport, CellsReport, Explanation};
 use std::fmt;
 
 const TABLE_HEADER: &str =
     "cell            state      jobs  foreign  cancelled  waiting  free cpus  controller";
-/// Shown for what is not known.
+/// Printed in place of an unknown value.
 const NO_VALUE: &str = "-";
 
 impl fmt::Display for CellsReport {
--- a/crates/rowanmill-cells/src/scheduler.rs
+++ b/crates/rowanmill-cells/src/scheduler.rs
@@ -1,6 +1,6 @@
-//! The interface between the cells and the scheduler of their own cell.
+//! The interface to the scheduler of a controller's own cell.
 //!
-//! [`Scheduler`] is implemented by the controller. Nothing here reads or writes the ledger.
+//! The controller implements [`Scheduler`]. Nothing in this module reads or writes the ledger.
 
 use crate::record::{CapacitySummary, LedgerJob, OwnershipVersion};
 
@@ -9,19 +9,19 @@
 pub enum LocalJobState {
     /// No record of it is in memory. It may have ended before this process started.
     Absent,
-    /// It may run.
+    /// Its tasks may be started and run.
     Open {
-        /// At least one of its tasks was started.
+        /// Whether at least one of its tasks has been started.
         has_started: bool,
-        /// Milliseconds for which this cell could have run it: since the cell adopted it or, if the cell
-        /// accepted it itself, since its tasks could first start.
+        /// Milliseconds for which this cell could have run it. They count from its adoption or, if the cell
+        /// accepted it itself, from when its tasks could first start.
         age_ms: u64,
-        /// Another cell accepted it, and all machines that it may use are protected.
+        /// Whether another cell accepted it and all machines that it may use are protected.
         excluded_by_protection: bool,
     },
-    /// No task of it is started any more, and running ones are being stopped.
+    /// No more of its tasks are started, and running ones are being stopped.
     Cancelling,
-    /// As `Cancelling`, but because the job is leaving the cell.
+    /// Like `Cancelling`, but because the job is leaving the cell.
     Withdrawn,
     /// All its tasks completed here.
     Completed,
@@ -32,29 +32,29 @@
 /// A job of the cell's own records that has a record in the ledger.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TrackedJob {
-    /// The job's name.
+    /// The job's identifier.
     pub id: String,
-    /// The ledger's record that the cell's own record was written by.
+    /// The version of the ledger's record from which the cell's own record was written.
     pub ownership: OwnershipVersion,
-    /// No task of it is started any more.
+    /// Whether no more of its tasks are started. Running ones may still be being stopped.
     pub is_stopping: bool,
 }
 
-/// Result of putting an owned job into the cell's records.
+/// Result of writing an owned job to the cell's records.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdoptionOutcome {
     /// It is in the records, or was already.
     Adopted,
-    /// The records say that it ended.
+    /// According to the records it has ended.
     AlreadyEnded,
-    /// The cell relinquished it under this epoch: a handover may have been sent.
+    /// The cell has relinquished it under this epoch, so a handover may already have been sent.
     Relinquished {
         /// Epoch of the ledger's record when it was relinquished.
         epoch: u64,
     },
     /// The cell cannot run it.
     Ineligible {
-        /// Explanation for the log.
+        /// The reason, for the log.
         reason: String,
     },
 }
@@ -62,30 +62,31 @@
 /// Condition under which a job is withdrawn from the cell's records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WithdrawalCondition {
-    /// Whether any of its tasks has started or not.
+    /// Even if some of its tasks have started.
     Always,
     /// Only if none of its tasks has started.
     NotStarted,
 }
 
-/// The cell's state service gave no definite answer. The call may be repeated.
+/// The call has no definite result, for example because the cell's state service gave no answer. It may be
+/// repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the cell's state service gave no answer")]
 pub struct Unavailable;
 
-/// The scheduler of one cell, as one of its controllers reaches it.
+/// The scheduler of one cell, as seen by one of its controllers.
 pub trait Scheduler: Send + Sync + 'static {
     /// Whether this controller is the cell's leader.
     fn is_leader(&self) -> bool;
-    /// State of each of these jobs, in the same order.
+    /// The states of these jobs, in the same order.
     fn local_job_states(&self, ids: &[String]) -> Vec<LocalJobState>;
-    /// All open jobs of the cell's records that have a record in the ledger.
+    /// All open jobs in the cell's records that have a record in the ledger.
     fn tracked_jobs(&self) -> Vec<TrackedJob>;
-    /// The capacity that the cell publishes to the others.
+    /// The capacity that the cell publishes to the other cells.
     fn capacity_summary(&self) -> CapacitySummary;
     /// Whether the cell could run the job.
     fn can_run(&self, job: &LedgerJob) -> bool;
-    /// Puts a job, as the ledger holds it at `revision`, into the cell's records. The write has the
+    /// Writes a job to the cell's records. `job` is the ledger's record at `revision`. The write has the
     /// precondition that the cell has not relinquished the job in the meantime.
     fn adopt(
         &self,
@@ -93,25 +94,26 @@
         job: &LedgerJob,
         revision: u64,
     ) -> impl Future<Output = Result<AdoptionOutcome, Unavailable>> + Send;
-    /// Records that the cell relinquishes a job that is not in its records, so that no other controller
-    /// of the cell puts it there. Returns whether that record is in force.
+    /// Records that the cell relinquishes a job that is not in its records, so that no other controller of the
+    /// cell adopts it under this epoch. Returns whether the relinquishment is recorded.
     fn relinquish(
         &self,
         id: &str,
         epoch: u64,
     ) -> impl Future<Output = Result<bool, Unavailable>> + Send;
-    /// Records that a job is cancelled.
+    /// Marks a job as cancelled in the cell's records.
     fn cancel(&self, id: &str) -> impl Future<Output = Result<(), Unavailable>> + Send;
-    /// Records that a job leaves the cell, with the ledger's record that this follows from.
+    /// Marks a job as leaving the cell, in the cell's records. `ownership` is the version of the ledger's
+    /// record because of which it leaves.
     fn withdraw(
         &self,
         id: &str,
         ownership: OwnershipVersion,
         condition: WithdrawalCondition,
     ) -> impl Future<Output = Result<(), Unavailable>> + Send;
-    /// Asks the other controllers of all cells which changes of the ledger after `revision` they have
-    /// read. `None` unless each of them answers that it has lost contact with the ledger; otherwise the
-    /// jobs that `cell` must not run.
+    /// Queries the other controllers of all cells for the changes of the ledger after `revision` that they
+    /// have read. Returns the jobs that `cell` must not run, or `None` unless every controller attests that
+    /// it has lost contact with the ledger.
     fn collect_attestations(
         &self,
         cell: &str,
