--- a/crates/rowanmill-cells/src/plan.rs
+++ b/crates/rowanmill-cells/src/plan.rs
@@ -37,7 +37,7 @@
     since: Instant,
 }
 
-/// The state machine of one controller.
+/// The planner of one controller, with what it remembers between rounds.
 #[derive(Debug)]
 pub struct Planner {
     cell: String,
@@ -286,7 +286,7 @@
         }
     }
 
-    /// Withdraws jobs from the cell's records that another cell owns now or that have ended.
+    /// Plans the withdrawal of jobs in the cell's records that another cell owns now or that have ended.
     fn plan_withdrawals(&self, replica: &LedgerReplica, tracked: &[TrackedJob]) -> Vec<Action> {
         let mut actions = Vec::new();
         for job in tracked {
--- a/crates/rowanmill-cells/src/plan/handover.rs
+++ b/crates/rowanmill-cells/src/plan/handover.rs
@@ -9,8 +9,8 @@
 /// Largest age at which a capacity summary is used, counted from when it was read. It is five times the
 /// interval at which cells publish their summaries.
 pub(super) const MAX_SUMMARY_AGE: Duration = Duration::from_secs(15);
-/// Factor on the wait of a job that has spilled `moves` times. It waits [`MAX_SUMMARY_AGE`] in addition, so
-/// that every summary by which its next cell is chosen was read after its last move.
+/// Factor on the wait of a job that has spilled `moves` times. Such a job waits [`MAX_SUMMARY_AGE`] in
+/// addition, so that every summary by which its next cell is chosen was read after its last move.
 const SLOWED_WAIT_FACTOR: u32 = 2;
 
 /// The free capacity of the other cells as this cell knows it in one round.
--- a/crates/rowanmill-cells/src/record.rs
+++ b/crates/rowanmill-cells/src/record.rs
@@ -48,7 +48,7 @@
 /// Field of a job's description with the number of tasks.
 const TASKS_FIELD: &str = "sacks";
 
-/// Epoch of a job from its acceptance until its owner changes or reclaims it.
+/// Epoch of a newly accepted job. Each change of owner and each reclaim raises a job's epoch.
 pub const FIRST_EPOCH: u64 = 1;
 
 /// The kind of record that a key under [`LIVE_PREFIX`] belongs to.
@@ -203,7 +203,7 @@
 pub struct CellPresence {
     /// The controller that registered the cell.
     pub controller: String,
-    /// Identifier of that controller's process, which changes with each start.
+    /// Random identifier of that controller's process, chosen at its start.
     pub incarnation: u64,
     /// The capacity that the cell publishes.
     #[serde(default)]
--- a/crates/rowanmill-cells/src/replica.rs
+++ b/crates/rowanmill-cells/src/replica.rs
@@ -1,7 +1,7 @@
 //! An in-memory copy of the ledger's live records, kept up to date by watching the ledger's log.
 //!
-//! The replica stores what was read and makes no decisions. Malformed records are counted, and a job whose
-//! record is malformed is only remembered as unreadable.
+//! The replica stores what was read and makes no decisions. Malformed records are counted and not applied. A
+//! job whose record is malformed is marked unreadable.
 
 mod final_states;
 mod recent_changes;
--- a/crates/rowanmill-cells/src/replica/tests.rs
+++ b/crates/rowanmill-cells/src/replica/tests.rs
@@ -28,8 +28,8 @@
     json!({"controller": "m-0", "incarnation": 1})
 }
 
-/// A malformed record, or one of a cell that is not in the operators' file, is counted and otherwise ignored.
-/// Its job is marked unreadable, so that it is treated neither as another cell's job nor as unknown.
+/// A malformed record, or one that names a cell outside of the operators' file, is counted and not applied. A
+/// job with such a record is marked unreadable, so that it counts neither as another cell's nor as unknown.
 #[test]
 fn malformed_records_are_counted_and_ignored() {
     let now = Instant::now();
