--- a/src/placement/forecast.rs
+++ b/src/placement/forecast.rs
@@ -9,7 +9,7 @@
 use super::index::{MachineIndex, StartTimesId, TaskTimes};
 use super::queue::Queues;
 use super::quota_headroom::QuotaHeadroom;
-use super::{END_TOLERANCE, JobSnapshot, MachineSnapshot, SLACK, TasksByZone};
+use super::{END_TOLERANCE, JobSnapshot, MachineSnapshot, ROUNDING_TOLERANCE, TasksByZone};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashSet};
 use std::sync::Arc;
@@ -216,7 +216,7 @@
     }
 
     fn rank(&self, job: usize, placement: &TaskPlacement) -> PlacementRank {
-        let tolerance = (self.jobs[job].duration * END_TOLERANCE).max(SLACK);
+        let tolerance = (self.jobs[job].duration * END_TOLERANCE).max(ROUNDING_TOLERANCE);
         let price = self.machines.price(placement.machine);
         let price = (price + self.machines.emptiness(placement.machine)) * 1e6;
         PlacementRank {
@@ -272,7 +272,7 @@
         if machine.cpus_per_gpu == 0.0 || view.resources.gpus > 0.0 {
             self.forecast.machines_needed.insert(machine.name.clone());
         }
-        if start <= SLACK {
+        if start <= ROUNDING_TOLERANCE {
             *progress.zones.entry(machine.zone).or_default() += 1;
         }
         let late = placement.is_late(view);
--- a/src/placement/forecast/beyond_headroom.rs
+++ b/src/placement/forecast/beyond_headroom.rs
@@ -11,7 +11,7 @@
 use super::super::batch_order;
 use super::super::quota_headroom::QuotaHeadroom;
 use super::super::quota_timeline::QuotaTimeline;
-use super::{Forecaster, MAX_TASKS_PER_JOB, PlacementRank, SLACK, TaskPlacement};
+use super::{Forecaster, MAX_TASKS_PER_JOB, PlacementRank, ROUNDING_TOLERANCE, TaskPlacement};
 use crate::placement::index::StartTimesId;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -126,7 +126,7 @@
                 running.with_machines += u32::from(placed.start <= up_at && placed.end > up_at);
             }
             let waits_for_machine = |placed: TaskPlacement| {
-                placed.is_late(view) && placed.start > quota_start.max(up_at) + SLACK
+                placed.is_late(view) && placed.start > quota_start.max(up_at) + ROUNDING_TOLERANCE
             };
             helped += u32::from(placement.is_none_or(waits_for_machine));
         }
--- a/src/placement/gang.rs
+++ b/src/placement/gang.rs
@@ -2,7 +2,7 @@
 //! together, as soon as the last of them can.
 
 use super::index::MachineIndex;
-use super::{JobSnapshot, SLACK};
+use super::{JobSnapshot, ROUNDING_TOLERANCE};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
@@ -179,7 +179,7 @@
             };
             let zone_slots = zones.entry(machines.zone(machine)).or_default();
             zone_slots.any_time.insert(ranked, max_slots);
-            if start <= SLACK {
+            if start <= ROUNDING_TOLERANCE {
                 zone_slots.at_once.insert(ranked, max_slots);
             }
         }
--- a/src/placement/index/tests.rs
+++ b/src/placement/index/tests.rs
@@ -1,6 +1,6 @@
 use super::super::gang::gang_slots;
 use super::super::tests::{job, machine};
-use super::super::{FreeSlot, JobSnapshot, MachineSnapshot, SLACK, TasksByZone};
+use super::super::{FreeSlot, JobSnapshot, MachineSnapshot, ROUNDING_TOLERANCE, TasksByZone};
 use super::*;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -25,7 +25,11 @@
         let mut best: Option<Found> = None;
         for zone in zones {
             let places = ordered_places(job, size, machines, zone);
-            let free: Vec<_> = places.iter().copied().filter(|p| p.1 <= SLACK).collect();
+            let free: Vec<_> = places
+                .iter()
+                .copied()
+                .filter(|p| p.1 <= ROUNDING_TOLERANCE)
+                .collect();
             let at_once = take(job, size, machines, &free);
             let patience = if at_once.is_some() {
                 job.duration * 0.25
@@ -187,8 +191,9 @@
             ..Resources::default()
         };
         let id = index.start_times(&resources, 1)[0];
-        let expected =
-            |at: f64, available: f64| (resources.cpus <= available + SLACK).then_some(at);
+        let expected = |at: f64, available: f64| {
+            (resources.cpus <= available + ROUNDING_TOLERANCE).then_some(at)
+        };
         assert_eq!(index.start(id, 0), expected(0.0, 16.0));
         assert_eq!(index.start(id, 1), expected(5.0, 8.0));
         assert!(index.start_times.len() <= MAX_MEMOIZED_REQUESTS);
--- a/src/placement/machine.rs
+++ b/src/placement/machine.rs
@@ -2,7 +2,7 @@
 //! seconds from the moment of the snapshot.
 
 use super::job::{JobSnapshot, PoolId};
-use super::resources::{Resources, SLACK};
+use super::resources::{ROUNDING_TOLERANCE, Resources};
 use std::sync::Arc;
 
 /// Capacity with the time at which it becomes free.
@@ -72,7 +72,11 @@
     /// Capacity that is free from `at` on if nothing more is placed here.
     pub(super) fn free_at(&self, at: f64) -> Resources {
         let mut free = Resources::default();
-        for slot in self.free_slots.iter().take_while(|s| s.at <= at + SLACK) {
+        for slot in self
+            .free_slots
+            .iter()
+            .take_while(|s| s.at <= at + ROUNDING_TOLERANCE)
+        {
             free.add(&slot.available);
         }
         free
@@ -82,7 +86,13 @@
     pub(super) fn emptiness(&self) -> f64 {
         let free = self.free_at(0.0);
         let all = self.free_at(f64::INFINITY);
-        let fraction = |free: f64, all: f64| if all > SLACK { free / all } else { 0.0 };
+        let fraction = |free: f64, all: f64| {
+            if all > ROUNDING_TOLERANCE {
+                free / all
+            } else {
+                0.0
+            }
+        };
         (fraction(free.cpus, all.cpus) + fraction(free.gpus, all.gpus)) * EMPTINESS_WEIGHT
     }
 
@@ -94,7 +104,8 @@
         } else {
             0.0
         };
-        resources.fits(available) && resources.cpus + kept_cpus <= available.cpus + SLACK
+        resources.fits(available)
+            && resources.cpus + kept_cpus <= available.cpus + ROUNDING_TOLERANCE
     }
 
     /// The earliest time at which a task fits in addition to all reservations; `None` if it never does.
@@ -133,7 +144,7 @@
     pub(super) fn occupy(&mut self, resources: &Resources, start: f64, end: f64) {
         let mut wanted = *resources;
         for slot in self.free_slots.iter_mut().rev() {
-            if slot.at <= start + SLACK {
+            if slot.at <= start + ROUNDING_TOLERANCE {
                 wanted.consume_from(&mut slot.available);
             }
         }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -43,7 +43,7 @@
 pub use resources::{Resources, capacity_of};
 
 use machine::MIN_FETCH_GB_PER_S;
-use resources::SLACK;
+use resources::ROUNDING_TOLERANCE;
 
 /// Completion times that differ by less than this fraction of the run time count as equal, since
 /// estimates are not exact to the second. Among equal ones the cheapest machine is preferred, then the
--- a/src/placement/packing/candidates.rs
+++ b/src/placement/packing/candidates.rs
@@ -2,7 +2,7 @@
 //! paper).
 
 use super::Packer;
-use crate::placement::{END_TOLERANCE, SLACK};
+use crate::placement::{END_TOLERANCE, ROUNDING_TOLERANCE};
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
@@ -66,7 +66,7 @@
     pub(super) fn candidates(&mut self, job: usize) -> Candidates {
         let found = self.find_candidates(job);
         let earliest_end = found.iter().map(|c| c.end).fold(f64::INFINITY, f64::min);
-        let tolerance = (self.jobs[job].duration * END_TOLERANCE).max(SLACK);
+        let tolerance = (self.jobs[job].duration * END_TOLERANCE).max(ROUNDING_TOLERANCE);
         let ranked = found.into_iter().map(|candidate| RankedCandidate {
             end_class: ((candidate.end - earliest_end) / tolerance) as u64,
             price: self.machines.price(candidate.machine)
--- a/src/placement/packing/mod.rs
+++ b/src/placement/packing/mod.rs
@@ -8,7 +8,7 @@
 use super::index::MachineIndex;
 use super::queue::Queues;
 use super::quota_headroom::QuotaHeadroom;
-use super::{JobSnapshot, MachineSnapshot, Resources, SLACK, Start, TasksByZone};
+use super::{JobSnapshot, MachineSnapshot, ROUNDING_TOLERANCE, Resources, Start, TasksByZone};
 use candidates::Candidate;
 use std::collections::HashSet;
 
@@ -141,7 +141,8 @@
         let least_cpus = requested_cpus.fold(f64::INFINITY, f64::min);
         let free: Vec<Resources> = machines.iter().map(|m| m.free_at(0.0)).collect();
         let mut machines = MachineIndex::new(machines);
-        machines.open(|m| free[m].cpus + SLACK >= least_cpus && free[m].memory_gb > 0.0);
+        machines
+            .open(|m| free[m].cpus + ROUNDING_TOLERANCE >= least_cpus && free[m].memory_gb > 0.0);
         Self {
             jobs,
             progress: jobs.iter().map(PackingProgress::new).collect(),
@@ -160,7 +161,7 @@
     fn close_full_machines(&mut self) {
         let (free, least_cpus) = (&self.free, self.least_cpus);
         self.machines
-            .retain_open(|m| free[m].cpus + SLACK >= least_cpus);
+            .retain_open(|m| free[m].cpus + ROUNDING_TOLERANCE >= least_cpus);
     }
 
     /// Number of the job's tasks that were not started yet and may still be.
--- a/src/placement/packing/reserving.rs
+++ b/src/placement/packing/reserving.rs
@@ -4,7 +4,7 @@
 use super::candidates::Candidate;
 use super::{Packer, Unplaced};
 use crate::placement::gang::{GangSlot, gang_slots};
-use crate::placement::{JobSnapshot, Milestone, Reservation, SLACK};
+use crate::placement::{JobSnapshot, Milestone, ROUNDING_TOLERANCE, Reservation};
 
 /// Largest fraction of the machines that may be reserved at a time for work that waits for capacity.
 const MAX_RESERVED_FRACTION: f64 = 0.5;
@@ -66,7 +66,7 @@
         }
         let placement = self.find_placement(job, size);
         let start = placement.as_ref().map(|placement| placement.start);
-        let starts_now = !exceeds_quota && start.is_some_and(|start| start <= SLACK);
+        let starts_now = !exceeds_quota && start.is_some_and(|start| start <= ROUNDING_TOLERANCE);
         if !starts_now {
             self.close_headroom_if_blocked(job, size, exceeds_quota, start);
         }
--- a/src/placement/quota_headroom.rs
+++ b/src/placement/quota_headroom.rs
@@ -3,7 +3,7 @@
 //! machines were rented for tasks that their quota kept waiting.
 
 use super::quota_timeline::QuotaTimeline;
-use super::{FreeSlot, JobSnapshot, Resources, SLACK};
+use super::{FreeSlot, JobSnapshot, ROUNDING_TOLERANCE, Resources};
 
 /// The headroom of all limited teams during one packing or forecast.
 #[derive(Debug, Clone, Default)]
@@ -87,7 +87,9 @@
             .iter()
             .filter(|(available, requested)| available.is_finite() && *requested > 0.0);
         let tasks = limiting.map(|(available, requested)| {
-            ((available + SLACK) / requested).floor().max(0.0) as usize
+            ((available + ROUNDING_TOLERANCE) / requested)
+                .floor()
+                .max(0.0) as usize
         });
         tasks.min().unwrap_or(usize::MAX)
     }
--- a/src/placement/resources.rs
+++ b/src/placement/resources.rs
@@ -4,7 +4,7 @@
 use crate::jobs::JobSpec;
 
 /// Tolerance for rounding when amounts and times are compared.
-pub(super) const SLACK: f64 = 1e-6;
+pub(super) const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// Amounts of a machine's resources: what a task requests, or what is free.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
@@ -20,9 +20,9 @@
 impl Resources {
     /// Whether every amount is available.
     pub fn fits(&self, available: &Resources) -> bool {
-        self.cpus <= available.cpus + SLACK
-            && self.gpus <= available.gpus + SLACK
-            && self.memory_gb <= available.memory_gb + SLACK
+        self.cpus <= available.cpus + ROUNDING_TOLERANCE
+            && self.gpus <= available.gpus + ROUNDING_TOLERANCE
+            && self.memory_gb <= available.memory_gb + ROUNDING_TOLERANCE
     }
 
     /// Adds each amount of `other`.
@@ -64,7 +64,9 @@
 
     /// Whether nothing is left of any resource.
     pub(super) fn is_empty(&self) -> bool {
-        self.cpus <= SLACK && self.gpus <= SLACK && self.memory_gb <= SLACK
+        self.cpus <= ROUNDING_TOLERANCE
+            && self.gpus <= ROUNDING_TOLERANCE
+            && self.memory_gb <= ROUNDING_TOLERANCE
     }
 
     /// Moves as much as possible from `available` against this request; what remains is still wanted.
--- a/src/placement/snapshot_cache.rs
+++ b/src/placement/snapshot_cache.rs
@@ -5,7 +5,7 @@
 use super::job_progress::JobProgress;
 use super::machine_snapshot::{CachedMachine, MachineSnapshotBuilder};
 use super::quota_headroom::QuotaHeadroom;
-use super::{JobSnapshot, MachineSnapshot, NameTable, SLACK};
+use super::{JobSnapshot, MachineSnapshot, NameTable, ROUNDING_TOLERANCE};
 use crate::cloud::MachineType;
 use crate::membership::assignment::Member;
 use crate::node::Core;
@@ -195,7 +195,8 @@
         let of_type = machines.filter(|(_, machine)| machine.machine_type() == type_id);
         let mut candidates: Vec<(&String, &CachedMachine)> = of_type.collect();
         let spare = candidates.len() as f64 - needed * SPARE_FACTOR - SPARE_MARGIN;
-        candidates.retain(|(_, machine)| machine.free_gpus() >= machine_type.gpus - SLACK);
+        candidates
+            .retain(|(_, machine)| machine.free_gpus() >= machine_type.gpus - ROUNDING_TOLERANCE);
         let before = &self.spare_gpu_machines;
         candidates.sort_by_key(|(name, machine)| (!before.contains(*name), !machine.is_spot()));
         let names = candidates.into_iter().map(|(name, _)| name.clone());
--- a/src/placement/team_usage.rs
+++ b/src/placement/team_usage.rs
@@ -3,7 +3,7 @@
 
 use super::machine_tasks::{spec_of, tasks_on};
 use super::quota_headroom::QuotaHeadroom;
-use super::{Resources, SLACK};
+use super::{ROUNDING_TOLERANCE, Resources};
 use crate::jobs::TaskRecord;
 use crate::node::{Core, Node};
 use crate::settings::Team;
@@ -47,7 +47,8 @@
 
 /// Whether a team uses more than its guarantee: its tasks may be preempted for teams within theirs.
 pub(super) fn exceeds_guarantee(team: &Team, usage: &Resources) -> bool {
-    usage.cpus > team.guaranteed_cpus + SLACK || usage.gpus > team.guaranteed_gpus + SLACK
+    usage.cpus > team.guaranteed_cpus + ROUNDING_TOLERANCE
+        || usage.gpus > team.guaranteed_gpus + ROUNDING_TOLERANCE
 }
 
 /// For each team with a guarantee, whether all its unfinished jobs fit into it together.
