--- a/src/placement/job_progress.rs
+++ b/src/placement/job_progress.rs
@@ -31,7 +31,7 @@
     /// Name of the cheapest of them; empty if there is none.
     pub pool: String,
     /// The next one that its tasks may run on.
-    pub fallback_pool: Option<FallbackPool>,
+    pub fallback_machine_type: Option<FallbackMachineType>,
     /// The image of its tasks.
     pub image: u32,
     /// The only zone that it may run in.
@@ -46,7 +46,7 @@
 
 /// A machine type for work that its pool has no machines for.
 #[derive(Debug, Clone)]
-pub struct FallbackPool {
+pub struct FallbackMachineType {
     /// Name of the machine type.
     pub name: String,
     /// The largest fraction of a resource of such a machine that a task requests.
@@ -100,8 +100,8 @@
     fn set_requirements(&mut self, core: &Core, names: &mut NameTable, spec: &JobSpec) {
         let machine_types = eligible_machine_types(core, spec);
         self.machine_types = machine_types.iter().map(|t| names.intern(t)).collect();
-        self.fallback_pool = machine_types.get(1).and_then(|name| {
-            Some(FallbackPool {
+        self.fallback_machine_type = machine_types.get(1).and_then(|name| {
+            Some(FallbackMachineType {
                 name: name.clone(),
                 dominant_share: dominant_share(core, spec, name)?,
             })
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -36,7 +36,7 @@
 mod team_usage;
 
 pub use job::{JobSnapshot, Milestone, PoolId, TasksByZone};
-pub use job_progress::FallbackPool;
+pub use job_progress::FallbackMachineType;
 pub use machine::{FreeSlot, MachineSnapshot, Reservation};
 pub use name_table::NameTable;
 pub use queue::batch_order;
--- a/src/renting/forecast.rs
+++ b/src/renting/forecast.rs
@@ -185,7 +185,7 @@
             permitted: permitted[index],
             forecast: placement.jobs[index],
             beyond_headroom: placement.beyond_headroom[index],
-            substitute: progress.and_then(|job| job.fallback_pool.as_ref()),
+            substitute: progress.and_then(|job| job.fallback_machine_type.as_ref()),
         };
         work.log_if_limited();
         work.add_to(demand.entry(name.clone()).or_default());
--- a/src/renting/forecast/waiting_work.rs
+++ b/src/renting/forecast/waiting_work.rs
@@ -2,7 +2,7 @@
 
 use crate::cloud::MachineType;
 use crate::placement::forecast::{BeyondHeadroom, JobForecast};
-use crate::placement::{FallbackPool, JobSnapshot, capacity_of};
+use crate::placement::{FallbackMachineType, JobSnapshot, capacity_of};
 use crate::renting::summary::DemandForecast;
 
 /// The waiting tasks of a job, with their forecast.
@@ -16,7 +16,7 @@
     /// Tasks beyond the limit's current headroom that wait for machines.
     pub beyond_headroom: BeyondHeadroom,
     /// The next machine type that the tasks may run on, and the fraction of such a machine that each task fills.
-    pub substitute: Option<&'a FallbackPool>,
+    pub substitute: Option<&'a FallbackMachineType>,
 }
 
 impl WaitingWork<'_> {
