--- a/src/placement/job_progress.rs
+++ b/src/placement/job_progress.rs
@@ -29,7 +29,7 @@
     /// Machine types that its tasks may run on, cheapest first.
     pub machine_types: Vec<u32>,
     /// Name of the cheapest of them; empty if there is none.
-    pub pool: String,
+    pub cheapest_machine_type: String,
     /// The next one that its tasks may run on.
     pub fallback_machine_type: Option<FallbackMachineType>,
     /// The image of its tasks.
@@ -106,8 +106,9 @@
                 dominant_share: dominant_share(core, spec, name)?,
             })
         });
-        self.pool = machine_types.into_iter().next().unwrap_or_default();
-        self.dominant_share = dominant_share(core, spec, &self.pool).unwrap_or(0.0);
+        self.cheapest_machine_type = machine_types.into_iter().next().unwrap_or_default();
+        self.dominant_share =
+            dominant_share(core, spec, &self.cheapest_machine_type).unwrap_or(0.0);
         self.large = self.dominant_share > LARGE_DOMINANT_SHARE;
         self.needs_gpus = spec.gpus > 0.0;
         self.image = names.intern(&spec.image);
--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -17,7 +17,7 @@
 /// The expected boot time over the catalogue's.
 pub(super) const BOOT_TIME_FACTOR: f64 = 1.1;
 
-/// The machines of this controller and its jobs with waiting tasks, at one moment. `pools`,
+/// The machines of this controller and its jobs with waiting tasks, at one moment. `cheapest_machine_types`,
 /// `preemption_requests` and `unplaceable` are indexed like `jobs`.
 #[derive(Debug)]
 pub struct ClusterSnapshot {
@@ -26,7 +26,7 @@
     /// Machines that may be placed on.
     pub machines: Vec<MachineSnapshot>,
     /// Per job: the cheapest machine type that it may run on.
-    pub pools: Vec<String>,
+    pub cheapest_machine_types: Vec<String>,
     /// Per job: what it may preempt.
     pub preemption_requests: Vec<PreemptionRequest>,
     /// What limited teams may still start.
@@ -44,7 +44,7 @@
             guaranteed: job.snapshot.guaranteed,
         });
         self.jobs.push(job.snapshot);
-        self.pools.push(job.pool);
+        self.cheapest_machine_types.push(job.cheapest_machine_type);
         self.unplaceable.push(job.is_unplaceable);
     }
 }
@@ -72,7 +72,7 @@
     let mut snapshot = ClusterSnapshot {
         jobs: Vec::new(),
         machines: core.snapshots.machines_at(now, missed_heartbeats_s),
-        pools: Vec::new(),
+        cheapest_machine_types: Vec::new(),
         preemption_requests: Vec::new(),
         headroom: QuotaHeadroom::default(),
         unplaceable: Vec::new(),
@@ -121,7 +121,7 @@
 struct WaitingJob {
     snapshot: JobSnapshot,
     /// The cheapest machine type that it may run on.
-    pool: String,
+    cheapest_machine_type: String,
     is_unplaceable: bool,
 }
 
@@ -145,7 +145,7 @@
     /// A job that may start tasks now. None if no task waits, no machine type is eligible, it backs off
     /// after failures, its team is no longer in the settings, or tasks of its gang's last attempt remain.
     fn waiting_job(&self, id: &str, progress: &JobProgress) -> Option<WaitingJob> {
-        if progress.waiting.is_empty() || progress.pool.is_empty() {
+        if progress.waiting.is_empty() || progress.cheapest_machine_type.is_empty() {
             return None;
         }
         let record = &self.core.replica.jobs.get(id)?.record;
@@ -164,7 +164,7 @@
         }
         Some(WaitingJob {
             snapshot,
-            pool: progress.pool.clone(),
+            cheapest_machine_type: progress.cheapest_machine_type.clone(),
             is_unplaceable,
         })
     }
@@ -184,7 +184,7 @@
         }
         let schedule = self.schedule(record, progress);
         let within_guarantee = self.within_guarantee.get(spec.team.as_str());
-        let machine_type = self.core.machine_type(&progress.pool);
+        let machine_type = self.core.machine_type(&progress.cheapest_machine_type);
         let failures = self.core.failures.get(&spec.id);
         Some(JobSnapshot {
             id: spec.id.clone(),
--- a/src/placement/snapshot_cache.rs
+++ b/src/placement/snapshot_cache.rs
@@ -188,7 +188,7 @@
         let needed: f64 = self
             .jobs
             .values()
-            .filter(|p| p.needs_gpus && p.pool == machine_type.name)
+            .filter(|p| p.needs_gpus && p.cheapest_machine_type == machine_type.name)
             .map(|p| (p.waiting.len() as f64 + f64::from(p.placed)) * p.dominant_share)
             .sum();
         let machines = self.machines.iter();
--- a/src/renting/forecast.rs
+++ b/src/renting/forecast.rs
@@ -154,7 +154,7 @@
     for (index, job) in snapshot.jobs.iter().enumerate() {
         if !snapshot.unplaceable[index] {
             let queued = startup_count.saturating_sub(job.started);
-            let machine_type = snapshot.pools[index].clone();
+            let machine_type = snapshot.cheapest_machine_types[index].clone();
             *queues.entry(machine_type).or_default() += queued.min(permitted[index]);
         }
     }
@@ -173,7 +173,7 @@
     let mut demand = completed_work(core, &queues);
     add_running_work(core, &mut demand);
     for (index, job) in snapshot.jobs.iter().enumerate() {
-        let name = &snapshot.pools[index];
+        let name = &snapshot.cheapest_machine_types[index];
         let known = core.machine_type(name);
         let Some(machine_type) = known.filter(|_| !snapshot.unplaceable[index]) else {
             continue;
@@ -218,7 +218,7 @@
 
 fn add_running_work(core: &Core, demand: &mut BTreeMap<String, DemandForecast>) {
     for job in core.snapshots.jobs.values().filter(|job| job.placed > 0) {
-        let forecast = demand.entry(job.pool.clone()).or_default();
+        let forecast = demand.entry(job.cheapest_machine_type.clone()).or_default();
         forecast.running += f64::from(job.placed) * job.dominant_share;
     }
 }
