--- a/src/placement/packing/mod.rs
+++ b/src/placement/packing/mod.rs
@@ -244,9 +244,9 @@
     /// reserved for another job of the team.
     fn close_headroom_if_overdue(&mut self, job: usize) {
         let snapshot = &self.jobs[job];
-        let is_overdue = self
-            .headroom
-            .is_overdue(snapshot, 1, self.reservation_delay_s);
+        let is_overdue =
+            self.headroom
+                .is_due_for_reservation(snapshot, 1, self.reservation_delay_s);
         let is_reserved = self.headroom.is_reserved_for_other(snapshot);
         if is_overdue && !is_reserved && self.candidates(job).next().is_some() {
             self.headroom.close(snapshot.team);
--- a/src/placement/packing/reserving.rs
+++ b/src/placement/packing/reserving.rs
@@ -128,7 +128,7 @@
     /// are rented for work that exceeds its team's quota.
     fn quota_precedes_machines(&self, job: &JobSnapshot, size: usize) -> bool {
         let delay = self.reservation_delay_s * QUOTA_BEFORE_MACHINES_FACTOR;
-        self.headroom.is_overdue(job, size, delay)
+        self.headroom.is_due_for_reservation(job, size, delay)
     }
 
     /// Whether machines may be reserved for a job that exceeds its team's headroom: for one job per team,
@@ -136,7 +136,7 @@
     fn may_look_ahead_for(&mut self, job: &JobSnapshot, size: usize) -> bool {
         if !self
             .headroom
-            .is_overdue(job, size, self.reservation_delay_s)
+            .is_due_for_reservation(job, size, self.reservation_delay_s)
         {
             return false;
         }
--- a/src/placement/quota_headroom.rs
+++ b/src/placement/quota_headroom.rs
@@ -105,7 +105,7 @@
     /// Whether a job has waited for long enough to have quota that becomes free reserved for it: smaller
     /// work would otherwise take it piece by piece for ever. What needs the whole limit must have waited
     /// for `delay_s`, and what needs a share of it for that share of the time.
-    pub fn is_overdue(&self, job: &JobSnapshot, tasks: usize, delay_s: f64) -> bool {
+    pub fn is_due_for_reservation(&self, job: &JobSnapshot, tasks: usize, delay_s: f64) -> bool {
         let Some(team) = job.team else {
             return false;
         };
