--- a/src/placement/forecast.rs
+++ b/src/placement/forecast.rs
@@ -1,5 +1,6 @@
-//! Predicts misses: maps every waiting task to the machine where it would end first, however long it
-//! waits there (the paper's equation 1). Run once a period; nothing is started by it.
+//! Predicts missed due times: assigns every waiting task to the machine where it would end first, however
+//! long it would wait there (the paper's equation 1). A forecast is made at least once per scaling period. It
+//! starts no tasks.
 
 mod beyond_headroom;
 
@@ -14,69 +15,71 @@
 use std::collections::{BTreeMap, BinaryHeap, HashSet};
 use std::sync::Arc;
 
-/// Counts of a job's waiting tasks.
+/// The waiting tasks of one job, by their expected outcome.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct JobForecast {
-    /// Tasks that the team's quota permits.
+    /// Tasks that the team's quota permits now.
     pub tasks: u32,
-    /// Of these, tasks that are expected to be late.
+    /// Of `tasks`, those that are expected to miss their due time.
     pub late: u32,
-    /// Of the late ones, tasks that a machine rented now would start sooner.
+    /// Of `late`, tasks that would start sooner on a machine rented now.
     pub helped: u32,
 }
 
 impl JobForecast {
-    fn add(&mut self, tasks: usize, misses: Misses) {
+    fn add(&mut self, tasks: usize, lateness: Lateness) {
         let tasks = tasks as u32;
         self.tasks += tasks;
-        self.late += if misses.late { tasks } else { 0 };
-        self.helped += if misses.helped { tasks } else { 0 };
+        self.late += if lateness.late { tasks } else { 0 };
+        self.helped += if lateness.helped { tasks } else { 0 };
     }
 }
 
-/// What is expected of all waiting tasks.
+/// The expected outcome of all waiting tasks.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct Forecast {
-    /// Per job of the snapshot, its counts.
+    /// Counts for each job of the snapshot.
     pub jobs: Vec<JobForecast>,
-    /// Per job of the snapshot, what machines keep waiting beyond its team's headroom of now.
+    /// For each job of the snapshot, the tasks beyond its team's current headroom that wait for machines and
+    /// not for quota.
     pub beyond_headroom: Vec<BeyondHeadroom>,
-    /// Names of the machines to which work was mapped that needs their type: work without GPUs does not
-    /// count on a machine with GPUs.
+    /// Names of the machines that were assigned work that needs their type. A machine with GPUs that only
+    /// gets work without GPUs is not among them, unless it is a spare GPU machine.
     pub machines_needed: HashSet<Arc<str>>,
-    /// Cost of the forecast, in machines looked at.
+    /// Machines that were examined: a measure of the forecast's cost.
     pub machines_examined: u64,
 }
 
-/// Tasks of one job that are mapped one by one; of a larger job the rest is taken to fare as the
-/// last of them did.
+/// Most tasks of one job that are assigned individually. The remaining tasks of a larger job count as late,
+/// and as helped by a new machine, if the last assigned one is late.
 const MAX_TASKS_PER_JOB: usize = 1000;
 
-/// Waiting gangs that are mapped one by one; the rest, which are due later, are taken to fare as the
-/// last of them did. Each looks at all machines: with some hundreds waiting on a thousand machines
-/// one forecast delayed heartbeats for most of a second.
+/// Most waiting gangs that are assigned individually. The remaining gangs, which come later in the batch
+/// queue, get the outcome of the last assigned one. Each assignment examines all machines: with some hundreds of waiting
+/// gangs and a thousand machines, one forecast delayed heartbeats for most of a second.
 const MAX_GANGS: usize = 100;
 
-/// Whether tasks miss their due time.
+/// Whether tasks miss their due time, and whether a new machine would help.
 #[derive(Debug, Clone, Copy)]
-struct Misses {
+struct Lateness {
     late: bool,
-    /// A machine rented now would start them sooner.
+    /// They are late and would start sooner on a machine rented now.
     helped: bool,
 }
 
-impl Misses {
-    /// Of tasks that no machine can take.
+impl Lateness {
+    /// The outcome of tasks that no machine can run.
     const UNPLACEABLE: Self = Self {
         late: true,
         helped: true,
     };
-    const NONE: Self = Self {
+    const ON_TIME: Self = Self {
         late: false,
         helped: false,
     };
 }
 
+/// How far the assignment of one job's tasks has come.
 struct JobProgress {
     /// Index into the job's waiting tasks.
     next_task: usize,
@@ -94,7 +97,7 @@
     }
 }
 
-/// A task on a machine. Times are seconds from now.
+/// The machine and expected times of a task. Times are seconds from now.
 #[derive(Debug, Clone, Copy)]
 struct TaskPlacement {
     machine: usize,
@@ -109,12 +112,13 @@
     }
 }
 
-/// The order among placements of a task: ends in steps that count as equal, then the cheaper and fuller
-/// machine.
+/// Sort key among the possible placements of a task: the earliest end first and, among ends that count as
+/// equal, the cheapest machine. Among equal prices, the fullest machine comes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PlacementRank {
+    /// The end divided by the tolerance within which ends count as equal.
     end_class: u64,
-    /// In millionths.
+    /// The hourly price plus the machine's emptiness, in millionths.
     price: u64,
     machine: usize,
 }
@@ -123,19 +127,21 @@
 struct Forecaster<'a> {
     jobs: &'a [JobSnapshot],
     progress: Vec<JobProgress>,
-    /// What limited teams may still start: what their quota keeps waiting takes no machine, is not late
-    /// for want of one, and rents none.
+    /// What limited teams may still start. Tasks that wait for quota are not assigned to machines and do not
+    /// count as late, so that no machines are rented for them.
     headroom: QuotaHeadroom,
     machines: MachineIndex<'a>,
     forecast: Forecast,
+    /// Gangs that were assigned individually, up to `MAX_GANGS`.
     gangs_placed: usize,
-    last_gang: Misses,
-    /// Where the tasks of each job that took a limited team's headroom are; `None` for one that no machine can
-    /// take.
+    /// The outcome of the last of these gangs.
+    last_gang_lateness: Lateness,
+    /// By job: the placements of its tasks that use a limited team's headroom; `None` for a task that no
+    /// machine can run.
     limited_tasks: BTreeMap<usize, Vec<Option<TaskPlacement>>>,
 }
 
-/// Maps all waiting tasks. The first `startup_count` tasks of each job are startup tasks.
+/// Makes the forecast of all waiting tasks. The first `startup_count` tasks of each job are startup tasks.
 pub fn forecast(
     jobs: &[JobSnapshot],
     machines: &[MachineSnapshot],
@@ -154,7 +160,7 @@
             ..Forecast::default()
         },
         gangs_placed: 0,
-        last_gang: Misses::NONE,
+        last_gang_lateness: Lateness::ON_TIME,
         limited_tasks: BTreeMap::new(),
     };
     let mut queues = Queues::new(jobs);
@@ -175,26 +181,26 @@
             forecaster.place_array(head);
         }
     }
-    forecaster.map_beyond_headroom(headroom);
+    forecaster.assign_beyond_headroom(headroom);
     forecaster.forecast
 }
 
 impl Forecaster<'_> {
-    /// Tasks of the job that were not mapped yet and that the team's quota permits.
+    /// Tasks of the job that are not assigned yet and that the team's quota permits.
     fn remaining(&self, job: usize) -> usize {
-        let view = &self.jobs[job];
-        let remaining = view.waiting.len() - self.progress[job].next_task;
-        remaining.min(self.headroom.tasks(view))
+        let job_snapshot = &self.jobs[job];
+        let remaining = job_snapshot.waiting.len() - self.progress[job].next_task;
+        remaining.min(self.headroom.tasks(job_snapshot))
     }
 
-    /// Whether a startup task of the job is yet to be mapped.
+    /// Whether a startup task of the job is not assigned yet.
     fn has_startup_task(&self, job: usize, startup_count: u32) -> bool {
         self.remaining(job) > 0
             && self.progress[job].started < startup_count
             && !self.jobs[job].gang
     }
 
-    /// When one task of a job could start on each machine.
+    /// The times at which one task of the job could start on each machine.
     fn start_times(&mut self, job: usize) -> StartTimesId {
         self.machines.start_times(&self.jobs[job].resources, 1)[0]
     }
@@ -231,7 +237,7 @@
         self.jobs[job].may_add_in_zone(&self.progress[job].zones, zone)
     }
 
-    /// Where the job's next task would end first.
+    /// The placement with which the job's next task would end first.
     fn best_placement(&mut self, job: usize) -> Option<TaskPlacement> {
         let start_times = self.start_times(job);
         let mut machines_examined = 0;
@@ -253,37 +259,37 @@
         best.map(|(_, placement)| placement)
     }
 
-    /// Maps the job's next task.
+    /// Assigns the job's next task to a machine.
     fn place(&mut self, job: usize, placement: &TaskPlacement) {
-        let view = &self.jobs[job];
+        let job_snapshot = &self.jobs[job];
         let progress = &mut self.progress[job];
         progress.next_task += 1;
         progress.started += 1;
-        self.headroom.take(view, 1);
-        if view.team.is_some() {
+        self.headroom.take(job_snapshot, 1);
+        if job_snapshot.team.is_some() {
             let tasks = self.limited_tasks.entry(job).or_default();
             tasks.push(Some(*placement));
         }
         let (index, start) = (placement.machine, placement.start);
         self.machines
-            .occupy(index, &view.resources, start, placement.end);
-        self.machines.use_image(index, view.image);
+            .occupy(index, &job_snapshot.resources, start, placement.end);
+        self.machines.use_image(index, job_snapshot.image);
         let machine = &self.machines.machines()[index];
-        if machine.cpus_per_gpu == 0.0 || view.resources.gpus > 0.0 {
+        if machine.cpus_per_gpu == 0.0 || job_snapshot.resources.gpus > 0.0 {
             self.forecast.machines_needed.insert(machine.name.clone());
         }
         if start <= ROUNDING_TOLERANCE {
             *progress.zones.entry(machine.zone).or_default() += 1;
         }
-        let late = placement.is_late(view);
-        let misses = Misses {
+        let late = placement.is_late(job_snapshot);
+        let lateness = Lateness {
             late,
-            helped: late && start > view.provisioning_s,
+            helped: late && start > job_snapshot.provisioning_s,
         };
-        self.forecast.jobs[job].add(1, misses);
+        self.forecast.jobs[job].add(1, lateness);
     }
 
-    /// Maps all that is left of an array: the machines in a heap, by where a task would end first.
+    /// Assigns the remaining tasks of an array. A heap orders the machines by the rank of the next task there.
     fn place_array(&mut self, job: usize) {
         let start_times = self.start_times(job);
         let mut heap = BinaryHeap::from(self.ranked_machines(job, start_times));
@@ -291,7 +297,7 @@
         let mut is_last_late = true;
         while self.remaining(job) > 0 && placed < MAX_TASKS_PER_JOB {
             let Some(Reverse(PlacementRank { machine, .. })) = heap.pop() else {
-                self.note_unplaceable(job);
+                self.record_unplaceable(job);
                 break;
             };
             if !self.may_add_in_zone(job, machine) {
@@ -310,9 +316,10 @@
                 heap.push(Reverse(self.rank(job, &next)));
             }
         }
-        self.count_rest(job, is_last_late);
+        self.count_remaining(job, is_last_late);
     }
 
+    /// The machines that the job may use, each with the rank of the job's next task there.
     fn ranked_machines(
         &mut self,
         job: usize,
@@ -333,28 +340,28 @@
         ranked
     }
 
-    /// Maps a gang as a whole; one that exceeds its team's quota is passed over.
+    /// Assigns all tasks of a gang together. A gang that exceeds its team's headroom is skipped.
     fn place_gang(&mut self, job: usize) {
-        let view = &self.jobs[job];
-        let size = view.waiting.len();
-        if self.headroom.tasks(view) < size {
+        let job_snapshot = &self.jobs[job];
+        let size = job_snapshot.waiting.len();
+        if self.headroom.tasks(job_snapshot) < size {
             self.progress[job].next_task = size;
             return;
         }
         if self.gangs_placed >= MAX_GANGS {
-            self.headroom.take(view, size);
-            self.forecast.jobs[job].add(size, self.last_gang);
+            self.headroom.take(job_snapshot, size);
+            self.forecast.jobs[job].add(size, self.last_gang_lateness);
             self.progress[job].next_task = size;
             return;
         }
         self.gangs_placed += 1;
         let examined = &mut self.forecast.machines_examined;
-        let Some(slots) = gang_slots(view, size, &mut self.machines, examined) else {
-            self.last_gang = Misses::UNPLACEABLE;
-            self.count_rest(job, true);
+        let Some(slots) = gang_slots(job_snapshot, size, &mut self.machines, examined) else {
+            self.last_gang_lateness = Lateness::UNPLACEABLE;
+            self.count_remaining(job, true);
             return;
         };
-        // The tasks start together and end together.
+        // All tasks of a gang start and end at the same time.
         let start = slots.iter().map(|slot| slot.start).fold(0.0, f64::max);
         let end = slots.iter().map(|slot| slot.end).fold(0.0, f64::max);
         for slot in slots {
@@ -367,45 +374,48 @@
             self.place(job, &placement);
         }
         let counts = &self.forecast.jobs[job];
-        self.last_gang = Misses {
+        self.last_gang_lateness = Lateness {
             late: counts.late > 0,
             helped: counts.helped > 0,
         };
     }
 
-    /// Counts the job's remaining tasks without mapping them.
-    fn count_rest(&mut self, job: usize, late: bool) {
-        let rest = self.remaining(job);
-        self.headroom.take(&self.jobs[job], rest);
-        let misses = Misses { late, helped: late };
-        self.forecast.jobs[job].add(rest, misses);
-        self.progress[job].next_task += rest;
+    /// Counts the job's remaining tasks without assigning them to machines.
+    fn count_remaining(&mut self, job: usize, late: bool) {
+        let remaining_tasks = self.remaining(job);
+        self.headroom.take(&self.jobs[job], remaining_tasks);
+        let lateness = Lateness { late, helped: late };
+        self.forecast.jobs[job].add(remaining_tasks, lateness);
+        self.progress[job].next_task += remaining_tasks;
     }
 
-    /// Notes that no machine can take the rest of an array for which there is headroom.
-    fn note_unplaceable(&mut self, job: usize) {
+    /// Records that no machine can run the remaining tasks of a limited team's array that its headroom permits.
+    fn record_unplaceable(&mut self, job: usize) {
         if self.jobs[job].team.is_some() {
-            let rest = self.remaining(job);
+            let remaining_tasks = self.remaining(job);
             let tasks = self.limited_tasks.entry(job).or_default();
-            tasks.extend(std::iter::repeat_n(None, rest));
+            tasks.extend(std::iter::repeat_n(None, remaining_tasks));
         }
     }
 
-    /// The paper's guard: a startup task goes ahead only if the batch head would still be in time.
+    /// Whether a startup task may be assigned before the head of the batch queue: only if the head would still
+    /// be in time (the paper's condition), or has no placement in any case.
     fn startup_may_pass(&mut self, startup: usize, placement: &TaskPlacement, head: usize) -> bool {
-        let Some(undisturbed) = self.best_placement(head) else {
+        let Some(head_placement) = self.best_placement(head) else {
             return true;
         };
-        if undisturbed.machine != placement.machine {
-            return !undisturbed.is_late(&self.jobs[head]);
+        if head_placement.machine != placement.machine {
+            return !head_placement.is_late(&self.jobs[head]);
         }
         let resources = self.jobs[startup].resources;
         let (machine, start, end) = (placement.machine, placement.start, placement.end);
         let free_slots = self
             .machines
-            .occupy_for_now(machine, &resources, start, end);
-        let delayed = self.best_placement(head);
+            .occupy_temporarily(machine, &resources, start, end);
+        let head_placement_after_startup = self.best_placement(head);
         self.machines.restore(machine, free_slots);
-        delayed.is_some_and(|delayed| !delayed.is_late(&self.jobs[head]))
+        head_placement_after_startup.is_some_and(|head_placement_after_startup| {
+            !head_placement_after_startup.is_late(&self.jobs[head])
+        })
     }
 }
--- a/src/placement/forecast/beyond_headroom/tests.rs
+++ b/src/placement/forecast/beyond_headroom/tests.rs
@@ -1,4 +1,5 @@
-//! Both sides of a limit: what machines keep waiting is seen, and what quota keeps waiting rents nothing.
+//! Tasks of limited teams beyond the headroom: those that wait for machines are counted, and those that wait for
+//! quota are not.
 
 use super::super::forecast;
 use super::*;
@@ -17,7 +18,8 @@
     }
 }
 
-/// A team's headroom of CPUs under its limit of 12, with what its running tasks release.
+/// The headroom of a team with a limit of 12 CPUs. `releases` are the times at which its running tasks end, with
+/// their CPUs.
 fn headroom(available: f64, releases: &[(f64, f64)]) -> QuotaHeadroom {
     let mut headroom = QuotaHeadroom::default();
     headroom.add(cpus(available), cpus(12.0));
@@ -31,7 +33,7 @@
     headroom
 }
 
-/// A late job of the limited team with tasks of one CPU.
+/// A late job of the limited team whose tasks request one CPU each.
 fn limited_job(tasks: u32, duration: f64) -> JobSnapshot {
     JobSnapshot {
         team: Some(0),
@@ -50,14 +52,14 @@
     forecast(&[job], machines, headroom, STARTUP_COUNT).beyond_headroom[0]
 }
 
-/// A machine of four CPUs that run tasks of the team until then.
+/// A machine with four CPUs, which tasks of the team use until `at`.
 fn busy_until(name: &str, at: f64) -> MachineSnapshot {
     machine(name, at, 4.0)
 }
 
-/// 600 short tasks, a limit of 12 and one machine of 4: eight more could run if there were machines.
+/// With 600 short tasks, a limit of 12 CPUs and one machine with 4, eight more tasks could run on more machines.
 #[test]
-fn tasks_that_lack_machines_are_seen_beyond_the_headroom() {
+fn tasks_beyond_the_headroom_that_lack_machines_are_counted() {
     let machines = [busy_until("m", 5.0)];
     let found = beyond(
         limited_job(600, 10.0),
@@ -68,10 +70,10 @@
     assert!(found.helped > 20, "{found:?}");
 }
 
-/// With machines for the whole limit, quota alone keeps the rest waiting, however much that is. The same holds
-/// where the missing machines boot, and where nothing of the limit is left.
+/// With machines for the whole limit, all other tasks wait for quota, however many there are. The same holds if
+/// one of these machines is still booting, and if the whole limit is in use.
 #[test]
-fn tasks_that_lack_quota_need_no_machine() {
+fn tasks_that_lack_quota_are_not_counted() {
     let running = [(5.0, 4.0), (5.0, 4.0)];
     let two_busy = [busy_until("m", 5.0), busy_until("n", 5.0)];
     let idle = machine("o", 0.0, 4.0);
@@ -87,9 +89,9 @@
     assert_eq!(found, BeyondHeadroom::default());
 }
 
-/// The limit bounds what is counted, and so does the work: no more than waits.
+/// Unused quota counts for no more tasks than the limit permits, and for no more than wait.
 #[test]
-fn no_more_is_counted_than_the_limit_and_the_work_allow() {
+fn unused_quota_is_bounded_by_the_limit_and_by_the_waiting_tasks() {
     let found = beyond(limited_job(600, 10.0), &[], &headroom(12.0, &[]));
     assert_eq!(found.unused_quota_tasks, 12);
     let few = beyond(
@@ -100,9 +102,10 @@
     assert!(few.unused_quota_tasks <= 5, "{few:?}");
 }
 
-/// A gang that exceeds the headroom waits for quota as a whole, and a team without a limit is not looked at.
+/// Nothing is counted for a gang that exceeds the headroom, which waits for quota as a whole, nor for a team without
+/// a limit.
 #[test]
-fn gangs_and_unlimited_teams_are_left_to_the_headroom() {
+fn gangs_and_unlimited_teams_have_nothing_beyond_the_headroom() {
     let gang = JobSnapshot {
         gang: true,
         ..limited_job(10, 10.0)
@@ -122,9 +125,9 @@
     );
 }
 
-/// GPUs that the limit has, and machines do not.
+/// With a limit of 4 GPUs and a single machine with one GPU, three more tasks could run on more machines.
 #[test]
-fn a_limit_of_gpus_counts_likewise() {
+fn tasks_that_lack_gpu_machines_are_counted() {
     let gpus = |gpus: f64| Resources {
         cpus: f64::INFINITY,
         gpus,
@@ -146,8 +149,8 @@
     assert!(found.helped > 0);
 }
 
-/// Hundreds of teams with several jobs of thousands of tasks cost no more than the bounds on jobs and on mapped
-/// tasks.
+/// With 200 teams of five jobs, each of thousands of tasks, the machines examined stay within what the bounds on
+/// jobs and on tasks allow.
 #[test]
 fn the_cost_is_bounded_over_all_teams() {
     const TEAMS: usize = 200;
@@ -168,8 +171,8 @@
         .map(|number| machine(&format!("m-{number}"), 0.0, 4.0))
         .collect();
     let predicted = forecast(&jobs, &machines, &headroom, STARTUP_COUNT);
-    // Within the headroom of eight tasks each looks at all machines at most, as do a team's searches for its
-    // head; beyond it each job does once, and each mapped task looks at one more.
+    // Within a team's headroom of eight tasks, each task examines all machines at most, and so does one more search
+    // for the head of the queue. Beyond the headroom each job examines all machines once, and each task one more.
     let within_headroom = TEAMS * (8 + 1) * (machines.len() + 1);
     let bound = within_headroom + MAX_JOBS * machines.len() + MAX_TASKS;
     assert!(predicted.machines_examined as usize <= bound);
--- a/src/placement/index.rs
+++ b/src/placement/index.rs
@@ -1,6 +1,6 @@
-//! The machines of one packing or forecast, grouped by pool, with memoized answers: when a request is
-//! free on a machine, and how empty it is. An answer is kept until its machine changes, so that a job
-//! costs a look at the machines that it may use and no more.
+//! The machines of one packing or forecast, grouped by pool. The index caches, for each machine, the earliest
+//! start of a request and the machine's emptiness until the machine changes. A search for a job therefore only
+//! visits the machines that the job may use.
 
 use super::{
     FreeSlot, JobSnapshot, MIN_FETCH_GB_PER_S, MachineSnapshot, PoolId, Reservation, Resources,
@@ -8,20 +8,21 @@
 use std::cell::Cell;
 use std::collections::HashMap;
 
-/// The machines of one pool: alike in all that a job may demand of a machine.
+/// The machines of one pool. They are equal in machine type, zone and whether they are spot machines, which is
+/// all that a job can require of a machine.
 #[derive(Debug)]
 struct PoolMembers {
     pool: PoolId,
     /// Indices of its machines in the snapshot, ascending.
     members: Vec<usize>,
-    /// Those of them on which a task may still start now.
+    /// Indices of the open machines, on which a task may still start now.
     open: Vec<usize>,
 }
 
-/// What a search reads of every machine, side by side: a snapshot itself is several cache lines, and
-/// reading them for each question took most of a packing's time.
+/// The fields of a machine that searches read, stored contiguously. A whole snapshot takes several cache lines,
+/// and reading these for each machine in each search took most of a packing's time.
 #[derive(Debug, Clone, Copy)]
-struct Summary {
+struct MachineSummary {
     zone: u32,
     fetch_gb_per_s: f64,
     slowness: f64,
@@ -29,7 +30,7 @@
     reserved_for: Option<usize>,
 }
 
-impl Summary {
+impl MachineSummary {
     fn of(machine: &MachineSnapshot) -> Self {
         Self {
             zone: machine.zone,
@@ -41,7 +42,7 @@
     }
 }
 
-/// A set of machines.
+/// A set of machine indices, as a bitmap.
 #[derive(Debug, Clone, Default)]
 struct MachineSet(Vec<u64>);
 
@@ -62,17 +63,17 @@
 
 const WORD_BITS: usize = u64::BITS as usize;
 
-/// How long a job's tasks take on each machine once they have capacity there: the image's fetch and the
-/// run.
+/// How long a job's tasks take on each machine once they have capacity there: the time to fetch the image and
+/// the run time.
 #[derive(Debug, Clone, Copy)]
 pub struct TaskTimes<'a> {
     job: &'a JobSnapshot,
     with_image: Option<&'a MachineSet>,
-    summaries: &'a [Summary],
+    summaries: &'a [MachineSummary],
 }
 
 impl TaskTimes<'_> {
-    /// Seconds of the image's fetch; 0 where the image is there.
+    /// Seconds to fetch the image; 0 on a machine that has it.
     pub fn fetch(&self, machine: usize) -> f64 {
         if self.with_image.is_some_and(|set| set.contains(machine)) {
             return 0.0;
@@ -83,62 +84,64 @@
                 .max(MIN_FETCH_GB_PER_S)
     }
 
-    /// Seconds of the run.
+    /// Expected run time in seconds.
     pub fn run(&self, machine: usize) -> f64 {
         self.job.duration * self.summaries[machine].slowness
     }
 }
 
-/// When a request is free on each machine: NaN where that is yet to be worked out, infinity for never.
+/// The earliest start of a request on each machine. NaN means not computed yet, infinity means never.
 #[derive(Debug)]
 struct StartTimes {
     resources: Resources,
     times: Vec<Cell<f64>>,
 }
 
-/// Refers to the start times of one request until the next call of [`MachineIndex::start_times`].
+/// Identifies the start times of one request. Valid until the next call of [`MachineIndex::start_times`].
 #[derive(Debug, Clone, Copy)]
 pub struct StartTimesId(usize);
 
-/// Most requests whose start times are memoized: each takes eight bytes a machine.
-const MAX_MEMOIZED_REQUESTS: usize = 32;
+/// The cached start times are cleared before a call would let them exceed this many requests, because each request
+/// takes eight bytes per machine. Only a single call for more multiples than this exceeds it.
+const MAX_CACHED_REQUESTS: usize = 32;
 
-/// What rounding may add to a machine's free capacity in the course of a packing.
-const ROUNDING: f64 = 0.01;
+/// Upper bound on what accumulated rounding errors add to a machine's free capacity during one packing.
+const MAX_ROUNDING_ERROR: f64 = 0.01;
 
 /// The machines of one packing or forecast.
 #[derive(Debug)]
 pub struct MachineIndex<'a> {
     machines: &'a mut [MachineSnapshot],
-    summaries: Vec<Summary>,
-    /// Per image, the machines that have it or are fetching it.
+    summaries: Vec<MachineSummary>,
+    /// By image: the machines that have it or are fetching it.
     images: HashMap<u32, MachineSet>,
     pools: Vec<PoolMembers>,
+    /// By machine; NaN means not computed yet.
     emptiness: Vec<Cell<f64>>,
     start_times: Vec<StartTimes>,
     /// The largest capacity of any machine, by resource.
-    largest: Resources,
+    largest_capacity: Resources,
 }
 
 impl<'a> MachineIndex<'a> {
-    /// Indexes the machines; changes are made in place.
+    /// Indexes the machines. Methods of the index change them in place.
     pub fn new(machines: &'a mut [MachineSnapshot]) -> Self {
         let mut pools: Vec<PoolMembers> = Vec::new();
         let mut images: HashMap<u32, MachineSet> = HashMap::new();
-        let mut largest = Resources::default();
+        let mut largest_capacity = Resources::default();
         for (index, machine) in machines.iter().enumerate() {
             for image in &machine.images {
                 images.entry(*image).or_default().insert(index);
             }
             let available = machine.free_at(f64::INFINITY);
-            largest = Resources {
-                cpus: largest.cpus.max(available.cpus),
-                gpus: largest.gpus.max(available.gpus),
-                memory_gb: largest.memory_gb.max(available.memory_gb),
+            largest_capacity = Resources {
+                cpus: largest_capacity.cpus.max(available.cpus),
+                gpus: largest_capacity.gpus.max(available.gpus),
+                memory_gb: largest_capacity.memory_gb.max(available.memory_gb),
             };
             let pool = machine.pool();
-            match pools.iter_mut().find(|known| known.pool == pool) {
-                Some(known) => known.members.push(index),
+            match pools.iter_mut().find(|existing| existing.pool == pool) {
+                Some(existing) => existing.members.push(index),
                 None => pools.push(PoolMembers {
                     pool,
                     members: vec![index],
@@ -147,17 +150,17 @@
             }
         }
         Self {
-            summaries: machines.iter().map(Summary::of).collect(),
+            summaries: machines.iter().map(MachineSummary::of).collect(),
             images,
             emptiness: vec![Cell::new(f64::NAN); machines.len()],
             machines,
             pools,
             start_times: Vec::new(),
-            largest,
+            largest_capacity,
         }
     }
 
-    /// The machines as they stand.
+    /// The machines with all changes made so far.
     pub fn machines(&self) -> &[MachineSnapshot] {
         self.machines
     }
@@ -167,12 +170,12 @@
         self.summaries[machine].zone
     }
 
-    /// A machine's price for an hour.
+    /// A machine's hourly price.
     pub fn price(&self, machine: usize) -> f64 {
         self.summaries[machine].price
     }
 
-    /// How long a task of the job takes on each machine.
+    /// How long the job's tasks take on each machine.
     pub fn task_times<'b>(&'b self, job: &'b JobSnapshot) -> TaskTimes<'b> {
         TaskTimes {
             job,
@@ -181,22 +184,24 @@
         }
     }
 
-    /// Machines that a job may run on, wherever its other tasks are.
+    /// Machines that the job may run on, wherever its other tasks are.
     pub fn usable(&self, job: &JobSnapshot) -> impl Iterator<Item = usize> {
         let members = self
             .pools_for(job)
-            .flat_map(|known| known.members.iter().copied());
+            .flat_map(|pool| pool.members.iter().copied());
         members.filter(|m| self.is_admitted(job, *m))
     }
 
-    /// Those of them that are open.
+    /// Open machines that the job may run on, wherever its other tasks are.
     pub fn usable_open(&self, job: &JobSnapshot) -> impl Iterator<Item = usize> {
         let open = self
             .pools_for(job)
-            .flat_map(|known| known.open.iter().copied());
+            .flat_map(|pool| pool.open.iter().copied());
         open.filter(|m| self.is_admitted(job, *m))
     }
 
+    /// Whether the job may run on a machine of a pool that it may use: the machine is not reserved for another
+    /// job, and the job has not failed there.
     fn is_admitted(&self, job: &JobSnapshot, machine: usize) -> bool {
         let reserved_for = self.summaries[machine].reserved_for;
         reserved_for.is_none_or(|reserved_for| reserved_for == job.index)
@@ -205,10 +210,10 @@
 
     fn pools_for(&self, job: &JobSnapshot) -> impl Iterator<Item = &PoolMembers> {
         let pools = self.pools.iter();
-        pools.filter(|known| job.may_use_pool(known.pool))
+        pools.filter(|pool| job.may_use_pool(pool.pool))
     }
 
-    /// Opens the machines for which the condition holds.
+    /// Marks as open exactly the machines for which the condition holds.
     pub fn open(&mut self, is_open: impl Fn(usize) -> bool) {
         for pool in &mut self.pools {
             let members = pool.members.iter().copied();
@@ -216,17 +221,17 @@
         }
     }
 
-    /// Of the open machines, closes those for which the condition no longer holds.
+    /// Closes the open machines for which the condition does not hold.
     pub fn retain_open(&mut self, is_open: impl Fn(usize) -> bool) {
         for pool in &mut self.pools {
             pool.open.retain(|m| is_open(*m));
         }
     }
 
-    /// The start times of one, two and so on up to `count` times a request, as far as any machine could
-    /// ever accommodate as much.
+    /// The start times of each multiple of a request from 1 to `count`. Multiples that exceed the largest capacity
+    /// of any machine are left out, but the request itself is always included.
     pub fn start_times(&mut self, resources: &Resources, count: usize) -> Vec<StartTimesId> {
-        if self.start_times.len() + count > MAX_MEMOIZED_REQUESTS {
+        if self.start_times.len() + count > MAX_CACHED_REQUESTS {
             self.start_times.clear();
         }
         let mut found = Vec::new();
@@ -241,18 +246,19 @@
         found
     }
 
+    /// Whether a request is within the largest capacity of each resource.
     fn may_ever_accommodate(&self, resources: &Resources) -> bool {
-        resources.cpus <= self.largest.cpus + ROUNDING
-            && resources.gpus <= self.largest.gpus + ROUNDING
-            && resources.memory_gb <= self.largest.memory_gb + ROUNDING
+        resources.cpus <= self.largest_capacity.cpus + MAX_ROUNDING_ERROR
+            && resources.gpus <= self.largest_capacity.gpus + MAX_ROUNDING_ERROR
+            && resources.memory_gb <= self.largest_capacity.memory_gb + MAX_ROUNDING_ERROR
     }
 
     fn start_times_of(&mut self, resources: &Resources) -> StartTimesId {
-        let known = self
+        let position = self
             .start_times
             .iter()
             .position(|s| s.resources == *resources);
-        let id = known.unwrap_or_else(|| {
+        let id = position.unwrap_or_else(|| {
             self.start_times.push(StartTimes {
                 resources: *resources,
                 times: vec![Cell::new(f64::NAN); self.machines.len()],
@@ -262,48 +268,49 @@
         StartTimesId(id)
     }
 
-    /// The earliest time at which the request is free on a machine, beside all reservations there.
+    /// The earliest start of the request on a machine, beside all reservations there; `None` if there is none.
     pub fn start(&self, id: StartTimesId, machine: usize) -> Option<f64> {
         let start_times = &self.start_times[id.0];
-        let known = &start_times.times[machine];
-        if known.get().is_nan() {
+        let cached = &start_times.times[machine];
+        if cached.get().is_nan() {
             let start = self.machines[machine].earliest_start(&start_times.resources);
-            known.set(start.unwrap_or(f64::INFINITY));
+            cached.set(start.unwrap_or(f64::INFINITY));
         }
-        Some(known.get()).filter(|start| start.is_finite())
+        Some(cached.get()).filter(|start| start.is_finite())
     }
 
-    /// The share of a machine's capacity that is free now, as a small tie-breaker between equal prices.
+    /// The share of a machine's capacity that is free now, scaled so that it only decides between equal prices.
     pub fn emptiness(&self, machine: usize) -> f64 {
-        let known = &self.emptiness[machine];
-        if known.get().is_nan() {
-            known.set(self.machines[machine].emptiness());
+        let cached = &self.emptiness[machine];
+        if cached.get().is_nan() {
+            cached.set(self.machines[machine].emptiness());
         }
-        known.get()
+        cached.get()
     }
 
-    /// Takes capacity on a machine for a task that starts and ends then.
+    /// Takes capacity on a machine for a task from `start` to `end`.
     pub fn occupy(&mut self, machine: usize, resources: &Resources, start: f64, end: f64) {
         self.machines[machine].occupy(resources, start, end);
-        self.forget(machine);
+        self.invalidate(machine);
     }
 
-    /// Reserves capacity on a machine.
+    /// Adds a reservation on a machine.
     pub fn reserve(&mut self, machine: usize, reservation: Reservation) {
         let reservations = &mut self.machines[machine].reservations;
         let before = reservations.partition_point(|h| h.at <= reservation.at);
         reservations.insert(before, reservation);
-        self.forget(machine);
+        self.invalidate(machine);
     }
 
-    /// Notes that a machine will have an image.
+    /// Records that a machine has an image or will fetch it.
     pub fn use_image(&mut self, machine: usize, image: u32) {
         self.machines[machine].use_image(image);
         self.images.entry(image).or_default().insert(machine);
     }
 
-    /// Takes capacity on a machine until [`MachineIndex::restore`] is given what this returns.
-    pub fn occupy_for_now(
+    /// Takes capacity on a machine for a task from `start` to `end`. Returns the free slots as they were before,
+    /// to be passed to [`MachineIndex::restore`].
+    pub fn occupy_temporarily(
         &mut self,
         machine: usize,
         resources: &Resources,
@@ -315,14 +322,14 @@
         free_slots
     }
 
-    /// Undoes [`MachineIndex::occupy_for_now`].
+    /// Undoes [`MachineIndex::occupy_temporarily`].
     pub fn restore(&mut self, machine: usize, free_slots: Vec<FreeSlot>) {
         self.machines[machine].free_slots = free_slots;
-        self.forget(machine);
+        self.invalidate(machine);
     }
 
-    /// Drops the memoized answers of a machine that changed.
-    fn forget(&self, machine: usize) {
+    /// Clears the cached values of a machine that changed.
+    fn invalidate(&self, machine: usize) {
         self.emptiness[machine].set(f64::NAN);
         for start_times in &self.start_times {
             start_times.times[machine].set(f64::NAN);
--- a/src/placement/index/tests.rs
+++ b/src/placement/index/tests.rs
@@ -6,11 +6,12 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeSet;
 
-/// The plain search: every machine is looked at for every question, and all places are put in order.
-mod plain {
+/// A reference implementation of the search for gang slots: it examines every machine each time and sorts all
+/// slots.
+mod reference {
     use super::*;
 
-    type Found = (f64, Vec<(usize, f64)>);
+    type GangPlacement = (f64, Vec<(usize, f64)>);
 
     pub fn gang_slots(
         job: &JobSnapshot,
@@ -22,40 +23,40 @@
             true => zones.into_iter().map(Some).collect(),
             false => vec![None],
         };
-        let mut best: Option<Found> = None;
+        let mut best: Option<GangPlacement> = None;
         for zone in zones {
-            let places = ordered_places(job, size, machines, zone);
-            let free: Vec<_> = places
+            let slots = ordered_slots(job, size, machines, zone);
+            let free: Vec<_> = slots
                 .iter()
                 .copied()
                 .filter(|p| p.1 <= ROUNDING_TOLERANCE)
                 .collect();
-            let at_once = take(job, size, machines, &free);
-            let patience = if at_once.is_some() {
+            let at_once = choose_slots(job, size, machines, &free);
+            let handicap_of_later = if at_once.is_some() {
                 job.duration * 0.25
             } else {
                 0.0
             };
-            let later = take(job, size, machines, &places);
-            for (found, handicap) in [(at_once, 0.0), (later, patience)] {
-                if let Some((end, places)) = found
+            let later = choose_slots(job, size, machines, &slots);
+            for (found, handicap) in [(at_once, 0.0), (later, handicap_of_later)] {
+                if let Some((end, slots)) = found
                     && best.as_ref().is_none_or(|b| end + handicap < b.0)
                 {
-                    best = Some((end + handicap, places));
+                    best = Some((end + handicap, slots));
                 }
             }
         }
         best.map(|b| b.1)
     }
 
-    /// Machine and start of each place, the earliest end first and the emptiest machine among equals.
-    fn ordered_places(
+    /// Machine and start of each slot: the earliest end first, and the emptiest machine among equal ends.
+    fn ordered_slots(
         job: &JobSnapshot,
         size: usize,
         machines: &[MachineSnapshot],
         zone: Option<u32>,
     ) -> Vec<(usize, f64)> {
-        let mut places = Vec::new();
+        let mut slots = Vec::new();
         for (index, machine) in machines.iter().enumerate() {
             if zone.is_some_and(|z| z != machine.zone) || !job.may_use(machine) {
                 continue;
@@ -65,60 +66,60 @@
                 all.add(&job.resources);
                 if let Some(start) = machine.earliest_start(&all) {
                     let end = start + fetch_and_run(job, machine);
-                    places.push((end.round() as u64, machine.emptiness(), index, start));
+                    slots.push((end.round() as u64, machine.emptiness(), index, start));
                 }
             }
         }
-        places.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.total_cmp(&a.1)));
-        places.into_iter().map(|p| (p.2, p.3)).collect()
+        slots.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.total_cmp(&a.1)));
+        slots.into_iter().map(|p| (p.2, p.3)).collect()
     }
 
     fn fetch_and_run(job: &JobSnapshot, machine: &MachineSnapshot) -> f64 {
         machine.fetch_time(job) + job.duration * machine.slowness
     }
 
-    fn take(
+    fn choose_slots(
         job: &JobSnapshot,
         size: usize,
         machines: &[MachineSnapshot],
-        places: &[(usize, f64)],
-    ) -> Option<Found> {
+        slots: &[(usize, f64)],
+    ) -> Option<GangPlacement> {
         let mut zones = TasksByZone::new();
-        let mut taken = Vec::new();
-        for (index, start) in places {
+        let mut chosen = Vec::new();
+        for (index, start) in slots {
             let zone = machines[*index].zone;
-            if taken.len() < size && job.may_add_in_zone(&zones, zone) {
+            if chosen.len() < size && job.may_add_in_zone(&zones, zone) {
                 *zones.entry(zone).or_default() += 1;
-                taken.push((*index, *start));
+                chosen.push((*index, *start));
             }
         }
-        let most = |of: &dyn Fn(&(usize, f64)) -> f64| taken.iter().map(of).fold(0.0, f64::max);
-        let run = most(&|p| job.duration * machines[p.0].slowness);
-        let end = most(&|p| p.1) + most(&|p| machines[p.0].fetch_time(job)) + run;
-        (taken.len() == size).then_some((end, taken))
+        let max = |of: &dyn Fn(&(usize, f64)) -> f64| chosen.iter().map(of).fold(0.0, f64::max);
+        let run = max(&|p| job.duration * machines[p.0].slowness);
+        let end = max(&|p| p.1) + max(&|p| machines[p.0].fetch_time(job)) + run;
+        (chosen.len() == size).then_some((end, chosen))
     }
 }
 
-fn draw_machine(number: u32, rng: &mut StdRng) -> MachineSnapshot {
-    let mut view = machine(&format!("vm-{number}"), 0.0, 16.0);
-    view.machine_type = rng.random_range(0..2);
-    view.zone = rng.random_range(0..3);
-    view.spot = rng.random_bool(0.3);
-    view.images = (0..3).filter(|_| rng.random_bool(0.5)).collect();
+fn random_machine(number: u32, rng: &mut StdRng) -> MachineSnapshot {
+    let mut snapshot = machine(&format!("vm-{number}"), 0.0, 16.0);
+    snapshot.machine_type = rng.random_range(0..2);
+    snapshot.zone = rng.random_range(0..3);
+    snapshot.spot = rng.random_bool(0.3);
+    snapshot.images = (0..3).filter(|_| rng.random_bool(0.5)).collect();
     let busy = f64::from(rng.random_range(0..16));
-    view.free_slots[0].available.cpus = 16.0 - busy;
+    snapshot.free_slots[0].available.cpus = 16.0 - busy;
     if busy > 0.0 {
         let available = Resources {
             cpus: busy,
             ..Resources::default()
         };
         let at = f64::from(rng.random_range(1..60));
-        view.free_slots.push(FreeSlot { at, available });
+        snapshot.free_slots.push(FreeSlot { at, available });
     }
-    view
+    snapshot
 }
 
-fn draw_gang(rng: &mut StdRng) -> JobSnapshot {
+fn random_gang(rng: &mut StdRng) -> JobSnapshot {
     let size = rng.random_range(1..=8);
     let cpus = [3.0, 7.0, 15.0][rng.random_range(0..3)];
     let mut gang = job("gang", cpus, size, 0.0);
@@ -139,29 +140,30 @@
     gang
 }
 
-/// What the index keeps must be what a plain search would find, whatever changed in between.
+/// The cached values of the index must lead to the same slots as the reference search, also after machines
+/// changed through tasks and reservations.
 #[test]
-fn the_index_finds_what_a_plain_search_finds() {
+fn gang_slots_match_the_reference_search() {
     let mut rng = StdRng::seed_from_u64(7);
-    let mut found_some = 0;
+    let mut gangs_placed = 0;
     for _ in 0..40 {
         let count = rng.random_range(1..30);
-        let mut machines: Vec<_> = (0..count).map(|n| draw_machine(n, &mut rng)).collect();
+        let mut machines: Vec<_> = (0..count).map(|n| random_machine(n, &mut rng)).collect();
         let mut index = MachineIndex::new(&mut machines);
         for _ in 0..30 {
-            let gang = draw_gang(&mut rng);
+            let gang = random_gang(&mut rng);
             let size = gang.waiting.len();
-            let expected = plain::gang_slots(&gang, size, index.machines());
+            let expected = reference::gang_slots(&gang, size, index.machines());
             let found = gang_slots(&gang, size, &mut index, &mut 0);
-            let found = found.map(|places| -> Vec<(usize, f64)> {
-                places.iter().map(|p| (p.machine, p.start)).collect()
+            let found = found.map(|slots| -> Vec<(usize, f64)> {
+                slots.iter().map(|p| (p.machine, p.start)).collect()
             });
             assert_eq!(found, expected, "{gang:?}\n{:?}", index.machines());
-            let Some(places) = found else {
+            let Some(slots) = found else {
                 continue;
             };
-            found_some += 1;
-            for (machine, start) in places {
+            gangs_placed += 1;
+            for (machine, start) in slots {
                 if rng.random_bool(0.5) {
                     index.occupy(machine, &gang.resources, start, start + gang.duration);
                 } else {
@@ -177,12 +179,13 @@
             }
         }
     }
-    assert!(found_some > 200, "only {found_some} gangs found places");
+    assert!(gangs_placed > 200, "only {gangs_placed} gangs found slots");
 }
 
-/// With more needs than are kept the oldest are worked out anew, and memory stays bounded.
+/// With more distinct requests than `MAX_CACHED_REQUESTS` the start times stay right, and no more than that
+/// many requests are cached.
 #[test]
-fn the_start_times_of_many_needs_are_bounded_and_right() {
+fn start_times_of_many_requests_are_right_and_bounded() {
     let mut machines = vec![machine("a", 0.0, 16.0), machine("b", 5.0, 8.0)];
     let mut index = MachineIndex::new(&mut machines);
     for tenths in 1..=200 {
@@ -196,6 +199,6 @@
         };
         assert_eq!(index.start(id, 0), expected(0.0, 16.0));
         assert_eq!(index.start(id, 1), expected(5.0, 8.0));
-        assert!(index.start_times.len() <= MAX_MEMOIZED_REQUESTS);
+        assert!(index.start_times.len() <= MAX_CACHED_REQUESTS);
     }
 }
