--- a/src/placement/forecast.rs
+++ b/src/placement/forecast.rs
@@ -55,8 +55,8 @@
 const MAX_TASKS_PER_JOB: usize = 1000;
 
 /// Most waiting gangs that are assigned individually. The remaining gangs, which come later in the batch
-/// queue, get the outcome of the last assigned one. Each assignment examines all machines: with some hundreds of waiting
-/// gangs and a thousand machines, one forecast delayed heartbeats for most of a second.
+/// queue, get the outcome of the last assigned one. Each assignment examines all machines: with some hundreds
+/// of waiting gangs and a thousand machines, one forecast delayed heartbeats for most of a second.
 const MAX_GANGS: usize = 100;
 
 /// Whether tasks miss their due time, and whether a new machine would help.
--- a/src/placement/quota_headroom.rs
+++ b/src/placement/quota_headroom.rs
@@ -1,6 +1,6 @@
-//! What each limited team's tasks may still use. All jobs of a team draw on the same headroom: where each
-//! was mapped under the whole of it, several jobs of a team counted the same quota several times, and
-//! machines were rented for tasks that their quota kept waiting.
+//! The part of its quota that each limited team may still use (headroom). All jobs of a team share one
+//! headroom: if each job were placed against the whole of it, several jobs of a team would count the same
+//! quota several times, and machines would be rented for tasks that their quota keeps waiting.
 
 use super::quota_timeline::QuotaTimeline;
 use super::{FreeSlot, JobSnapshot, ROUNDING_TOLERANCE, Resources};
@@ -13,17 +13,18 @@
 
 #[derive(Debug, Clone)]
 struct TeamHeadroom {
+    /// What the team may still use, with the part that is reserved for one of its jobs.
     remaining: Resources,
-    /// The team's quota.
+    /// The team's whole quota.
     limit: Resources,
-    /// Nothing more of the team starts for now.
+    /// No further tasks of the team may start in this packing.
     is_closed: bool,
     reservation: Option<QuotaReservation>,
-    /// What running tasks will release; only forecasts need it.
+    /// What running tasks will release. Only forecasts fill and read it.
     releases: Vec<FreeSlot>,
 }
 
-/// A part of what remains that only one job may use.
+/// The part of a team's remaining quota that only one job may use.
 #[derive(Debug, Clone)]
 struct QuotaReservation {
     job: String,
@@ -31,13 +32,13 @@
 }
 
 impl QuotaHeadroom {
-    /// The headroom where no team has a quota.
+    /// A headroom without limited teams.
     #[cfg(test)]
     pub const fn none() -> Self {
         Self { teams: Vec::new() }
     }
 
-    /// Adds a team; returns the index by which its jobs name it.
+    /// Adds a limited team. Returns its index, which its jobs hold in `JobSnapshot::team`.
     pub fn add(&mut self, remaining: Resources, limit: Resources) -> usize {
         self.teams.push(TeamHeadroom {
             remaining,
@@ -49,12 +50,12 @@
         self.teams.len() - 1
     }
 
-    /// Adds what a running task of a team will release.
+    /// Adds what a running task of the team will release, and when.
     pub fn add_release(&mut self, team: usize, release: FreeSlot) {
         self.teams[team].releases.push(release);
     }
 
-    /// The team's quota over time, without what is reserved for one of its jobs.
+    /// The team's quota over time, without the part that is reserved for one of its jobs.
     pub(super) fn timeline(&self, team: usize) -> QuotaTimeline {
         let team = &self.teams[team];
         let mut available = team.remaining;
@@ -64,7 +65,7 @@
         QuotaTimeline::new(available, &team.releases)
     }
 
-    /// How many more tasks of a job its team's quota permits.
+    /// How many more tasks of the job its team's headroom permits; `usize::MAX` without a limit.
     pub fn tasks(&self, job: &JobSnapshot) -> usize {
         let Some(team) = job.team else {
             return usize::MAX;
@@ -94,7 +95,7 @@
         tasks.min().unwrap_or(usize::MAX)
     }
 
-    /// Subtracts what `tasks` tasks of a job use.
+    /// Subtracts what `tasks` tasks of the job use.
     pub fn take(&mut self, job: &JobSnapshot, tasks: usize) {
         if let Some(team) = job.team {
             let used = job.resources.scaled(tasks as f64);
@@ -102,9 +103,10 @@
         }
     }
 
-    /// Whether a job has waited for long enough to have quota that becomes free reserved for it: smaller
-    /// work would otherwise take it piece by piece for ever. What needs the whole limit must have waited
-    /// for `delay_s`, and what needs a share of it for that share of the time.
+    /// Whether `tasks` tasks of a job have waited long enough to have quota reserved for them as it becomes
+    /// free. Otherwise smaller tasks would keep taking each part of the quota that is released, and the job
+    /// would never start. A request for the whole limit must have waited for `delay_s`, and a request for a
+    /// share of the limit for that share of `delay_s`.
     pub fn is_due_for_reservation(&self, job: &JobSnapshot, tasks: usize, delay_s: f64) -> bool {
         let Some(team) = job.team else {
             return false;
@@ -114,8 +116,8 @@
         -job.arrived >= delay_s * share
     }
 
-    /// Reserves a part of what a team has left for one of its jobs: otherwise other work of the team that
-    /// goes first by time would take what other controllers transferred for that job.
+    /// Reserves a part of a team's remaining quota for one of its jobs. Otherwise other jobs of the team that
+    /// come first in the queue would take the quota that other controllers transferred for this job.
     pub fn reserve_for(&mut self, team: usize, job: &str, amount: Resources) {
         self.teams[team].reservation = Some(QuotaReservation {
             job: job.to_owned(),
@@ -123,13 +125,13 @@
         });
     }
 
-    /// Whether a part is reserved for another job of the team.
+    /// Whether a part of the quota is reserved for another job of the team.
     pub fn is_reserved_for_other(&self, job: &JobSnapshot) -> bool {
         self.reservation_of(job)
             .is_some_and(|reservation| reservation.job != job.id)
     }
 
-    /// Whether a part is reserved for this job.
+    /// Whether a part of the quota is reserved for this job.
     pub fn is_reserved_for(&self, job: &JobSnapshot) -> bool {
         self.reservation_of(job)
             .is_some_and(|reservation| reservation.job == job.id)
@@ -139,14 +141,15 @@
         self.teams[job.team?].reservation.as_ref()
     }
 
-    /// Lets nothing more of the team start for now.
+    /// Stops all further starts of the team in this packing; does nothing if `team` is `None`.
     pub fn close(&mut self, team: Option<usize>) {
         if let Some(team) = team {
             self.teams[team].is_closed = true;
         }
     }
 
-    /// Per job, how many of its waiting tasks the quotas permit now, if jobs are served in this order.
+    /// For each job, how many of its waiting tasks the quotas permit now if jobs are served in `order`. A gang
+    /// is permitted as a whole or not at all.
     pub fn permitted(mut self, jobs: &[JobSnapshot], order: &[usize]) -> Vec<u32> {
         let mut permitted = vec![0; jobs.len()];
         for index in order {
--- a/src/placement/quota_timeline.rs
+++ b/src/placement/quota_timeline.rs
@@ -1,11 +1,11 @@
-//! A team's quota over time: what is available now, and what running and mapped tasks release. Times are seconds
-//! from the moment of the snapshot.
+//! A team's quota over time: the amount that is available now, and the amounts that tasks release when they end.
+//! Times are seconds from the moment of the snapshot.
 
 use super::{FreeSlot, Resources};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Quota that is released at a time, ordered by it.
+/// Quota that is released at a time. Releases are ordered by this time alone.
 #[derive(Debug, Clone)]
 struct Release(FreeSlot);
 
@@ -29,17 +29,18 @@
     }
 }
 
-/// The quota of one team as tasks take it one after the other.
+/// The quota of one team over time. Tasks are added one after the other, each with [`QuotaTimeline::earliest`] and
+/// then [`QuotaTimeline::take`].
 #[derive(Debug, Clone)]
 pub(super) struct QuotaTimeline {
     available: Resources,
     releases: BinaryHeap<Reverse<Release>>,
-    /// No later task takes quota before this.
+    /// The latest time of the releases that are included in `available`.
     at: f64,
 }
 
 impl QuotaTimeline {
-    /// A timeline that begins with `available`.
+    /// A timeline with `available` now, and with the later releases of running tasks.
     pub fn new(available: Resources, releases: &[FreeSlot]) -> Self {
         let releases = releases.iter().cloned();
         Self {
@@ -49,7 +50,8 @@
         }
     }
 
-    /// The earliest time at which the request is available beside what was taken; `None` if it never is.
+    /// The earliest time, not before that of an earlier call, at which the request is available beside what was
+    /// taken; `None` if it never is.
     pub fn earliest(&mut self, request: &Resources) -> Option<f64> {
         while !request.fits(&self.available) {
             let Reverse(Release(slot)) = self.releases.pop()?;
@@ -59,7 +61,7 @@
         Some(self.at)
     }
 
-    /// Takes what a task uses; without an end it is never released.
+    /// Takes what a task uses and releases it at `end`; without an end it is never released.
     pub fn take(&mut self, request: &Resources, end: Option<f64>) {
         self.available.sub(request);
         let released = end.map(|at| FreeSlot {
--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -1,5 +1,5 @@
 //! Builds the snapshot of the cluster that packing, preemption and the forecast work on, from the cached
-//! machines and jobs. Only reads records; what it finds is planned by `service`.
+//! machines and jobs. This module only reads records; `service` plans changes based on the snapshot.
 
 use super::due_times::{attainable_due_times, effective_urgency, starvation_limit_s};
 use super::job_progress::JobProgress;
@@ -14,25 +14,25 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The expected boot time over the catalogue's.
+/// A machine's expected boot time, as a multiple of the time in the cloud's catalogue.
 pub(super) const BOOT_TIME_FACTOR: f64 = 1.1;
 
-/// The machines of this controller and its jobs with waiting tasks, at one moment. `cheapest_machine_types`,
-/// `preemption_requests` and `unplaceable` are indexed like `jobs`.
+/// The machines of this controller and its jobs with waiting tasks, at one moment. The fields
+/// `cheapest_machine_types`, `preemption_requests` and `unplaceable` are indexed like `jobs`.
 #[derive(Debug)]
 pub struct ClusterSnapshot {
     /// Jobs with waiting tasks.
     pub jobs: Vec<JobSnapshot>,
-    /// Machines that may be placed on.
+    /// Machines on which tasks may be placed.
     pub machines: Vec<MachineSnapshot>,
-    /// Per job: the cheapest machine type that it may run on.
+    /// For each job: the name of the cheapest machine type that it may run on.
     pub cheapest_machine_types: Vec<String>,
-    /// Per job: what it may preempt.
+    /// For each job: what decides which tasks may be preempted for it.
     pub preemption_requests: Vec<PreemptionRequest>,
     /// What limited teams may still start.
     pub headroom: QuotaHeadroom,
-    /// Per job: whether it fails everywhere, or every pool that it may use is protected from it. No new
-    /// machine changes that, so none is rented for it.
+    /// For each job: whether it counts as failing on every machine, or every pool that it may use is protected
+    /// from it. A new machine would not help, so none is rented for the job.
     pub unplaceable: Vec<bool>,
 }
 
@@ -99,7 +99,7 @@
     snapshot
 }
 
-/// By class: the size of its largest job, see `job_size`.
+/// The size of the largest job of each class, see `job_size`.
 fn largest_sizes(core: &Core) -> HashMap<&str, f64> {
     let mut largest: HashMap<&str, f64> = HashMap::new();
     for (id, progress) in &core.snapshots.jobs {
@@ -112,38 +112,40 @@
     largest
 }
 
-/// How many machines of its pool all tasks of a job fill together.
+/// How many machines of its cheapest machine type all tasks of a job fill together.
 fn job_size(spec: &JobSpec, progress: &JobProgress) -> f64 {
     f64::from(spec.tasks) * progress.dominant_share
 }
 
-/// A job as it enters the snapshot.
+/// A job with waiting tasks and its entries in the fields of [`ClusterSnapshot`].
 struct WaitingJob {
     snapshot: JobSnapshot,
-    /// The cheapest machine type that it may run on.
+    /// Name of the cheapest machine type that it may run on.
     cheapest_machine_type: String,
     is_unplaceable: bool,
 }
 
-/// What all job snapshots of one moment are made from.
+/// The inputs that all job snapshots of one moment share.
 struct JobSnapshotBuilder<'a> {
     node: &'a Node,
     core: &'a Core,
-    /// Indices into the quota headroom.
+    /// By team: its index in the quota headroom, `None` if it has no limit.
     team_indices: HashMap<&'a str, Option<usize>>,
-    /// Whether a team's unfinished jobs all fit into its guarantee.
+    /// By team with a guarantee: whether all its unfinished jobs together fit into it.
     within_guarantee: HashMap<&'a str, bool>,
     /// Pools that are protected from jobs of other cells.
     protected_pools: Arc<BTreeSet<PoolId>>,
+    /// By class: the size of its largest job.
     largest_sizes: HashMap<&'a str, f64>,
     now: Instant,
-    /// The same moment in milliseconds since the epoch.
+    /// `now` in milliseconds since the epoch.
     now_ms: u64,
 }
 
 impl JobSnapshotBuilder<'_> {
-    /// A job that may start tasks now. None if no task waits, no machine type is eligible, it backs off
-    /// after failures, its team is no longer in the settings, or tasks of its gang's last attempt remain.
+    /// The snapshot of a job that may start tasks now. `None` if no task waits, no machine type is eligible,
+    /// the retry delay after failures is not over, the team is no longer in the settings, or tasks of the
+    /// gang's previous attempt are still on machines.
     fn waiting_job(&self, id: &str, progress: &JobProgress) -> Option<WaitingJob> {
         if progress.waiting.is_empty() || progress.cheapest_machine_type.is_empty() {
             return None;
@@ -176,8 +178,8 @@
         team: Option<usize>,
     ) -> Option<JobSnapshot> {
         let spec = &record.spec;
-        // A gang restarts only when every task of the attempt before is gone; one that completed
-        // only needs its other tasks to report the same.
+        // A gang restarts only once all tasks of its previous attempt are off their machines. A gang with a
+        // completed task is not restarted as a whole: its other tasks only have to report completion, too.
         let gang = spec.shape == Shape::Gang && progress.done == 0;
         if gang && progress.placed > 0 {
             return None;
@@ -216,7 +218,7 @@
         })
     }
 
-    /// The job's times from now on. A job with no started task is due at its starvation limit at the
+    /// The job's times, relative to now. A job with no started task is due at its starvation limit at the
     /// latest.
     fn schedule(&self, record: &JobRecord, progress: &JobProgress) -> Schedule {
         let spec = &record.spec;
@@ -241,7 +243,7 @@
     }
 }
 
-/// A job's times in seconds from now, see the fields of `JobSnapshot`.
+/// A job's times in seconds from now, see the fields of `JobSnapshot` with the same names.
 struct Schedule {
     arrived: f64,
     due: f64,
--- a/src/placement/snapshot_cache.rs
+++ b/src/placement/snapshot_cache.rs
@@ -1,5 +1,5 @@
-//! Machines and jobs as snapshots need them, kept between scheduling cycles: only those with changed
-//! records, plans or heartbeats are rebuilt. Decides nothing.
+//! Cache of the machine and job data that snapshots are built from. It is kept between scheduling cycles, and
+//! only entries with changed records, planned changes or heartbeats are rebuilt.
 
 use super::inherited_deadlines::InheritedDeadlines;
 use super::job_progress::JobProgress;
@@ -13,42 +13,44 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// What snapshots are made from, kept up to date by `refresh`.
+/// The cached machines and jobs, kept up to date by `refresh`.
 #[derive(Debug)]
 pub struct SnapshotCache {
-    /// When the process started: times in here are seconds from then on.
+    /// When the process started. Times in the cache are seconds since then.
     started_at: Instant,
-    /// Ids of the names of machine types, zones and images.
+    /// Ids of the names of machine types, zones, images and teams.
     pub names: NameTable,
     machines: BTreeMap<String, CachedMachine>,
     /// This controller's jobs by id, without cancelled ones.
     pub jobs: BTreeMap<String, JobProgress>,
-    basis: CacheBasis,
-    /// By job, the machines that are cleared for it.
-    reservations: HashMap<String, ClearedMachines>,
-    /// Names of GPU machines that GPU work does not need: work without GPUs may fill them.
+    shared_inputs: SharedInputs,
+    /// By job: the machines that are reserved for it.
+    reservations: HashMap<String, MachineReservation>,
+    /// Names of the GPU machines that GPU work does not need. Work without GPUs may use all their CPUs.
     pub spare_gpu_machines: HashSet<String>,
     /// Deadlines that jobs inherit from the jobs that depend on them.
     pub inherited_deadlines: InheritedDeadlines,
 }
 
-/// What every cached entry depends on: when it changes, all are rebuilt.
+/// Inputs that every cached entry depends on. When they change, all entries are rebuilt.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-struct CacheBasis {
+struct SharedInputs {
     assignment_revision: u64,
+    /// Number of machine types in the cloud's catalogue.
     machine_types: usize,
 }
 
-/// Machines that are being cleared for a job. Without this, what was stopped for a gang would be placed
-/// again while its last machine is cleared.
+/// Machines on which tasks are being preempted for a job. Without the reservation, other tasks would be placed
+/// on the machines that a gang waits for while tasks on its last machine are still being stopped.
 #[derive(Debug)]
-struct ClearedMachines {
+struct MachineReservation {
     names: Vec<Arc<str>>,
-    /// Until then nothing else may start on them.
+    /// Until this time no other job may start tasks on them.
     until: Instant,
 }
 
-/// GPU machines beyond this many times what GPU work needs, and `SPARE_MARGIN` more, are spare.
+/// GPU machines of a type are spare beyond `SPARE_FACTOR` times the number that GPU work needs, plus
+/// `SPARE_MARGIN`.
 const SPARE_FACTOR: f64 = 1.2;
 const SPARE_MARGIN: f64 = 2.0;
 
@@ -60,21 +62,21 @@
             names: NameTable::default(),
             machines: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            basis: CacheBasis::default(),
+            shared_inputs: SharedInputs::default(),
             reservations: HashMap::new(),
             spare_gpu_machines: HashSet::new(),
             inherited_deadlines: InheritedDeadlines::default(),
         }
     }
 
-    /// Reserves machines for a job whose start they are cleared for.
+    /// Reserves machines for a job until the given time, while tasks on them are preempted for it.
     pub(super) fn reserve_for(&mut self, job: &str, names: Vec<Arc<str>>, until: Instant) {
-        let cleared = ClearedMachines { names, until };
-        self.reservations.insert(job.to_owned(), cleared);
+        let reservation = MachineReservation { names, until };
+        self.reservations.insert(job.to_owned(), reservation);
     }
 
-    /// Marks the machines that are reserved for one of the jobs, and drops expired reservations and those
-    /// of jobs that do not wait any more.
+    /// Sets `reserved_for` on the machines that are reserved for one of the jobs. Drops expired reservations and
+    /// those of jobs that no longer wait.
     pub(super) fn apply_reservations(
         &mut self,
         jobs: &[JobSnapshot],
@@ -85,18 +87,18 @@
             return;
         }
         self.reservations
-            .retain(|id, cleared| cleared.until > now && jobs.iter().any(|j| j.id == *id));
-        for (id, cleared) in &self.reservations {
+            .retain(|id, reservation| reservation.until > now && jobs.iter().any(|j| j.id == *id));
+        for (id, reservation) in &self.reservations {
             let job = jobs.iter().position(|j| j.id == *id);
-            let reserved = |m: &&mut MachineSnapshot| cleared.names.contains(&m.name);
+            let reserved = |m: &&mut MachineSnapshot| reservation.names.contains(&m.name);
             for machine in machines.iter_mut().filter(reserved) {
                 machine.reserved_for = job;
             }
         }
     }
 
-    /// Machines that may be placed on now, without those that missed heartbeats for longer than
-    /// `missed_heartbeats_s` seconds.
+    /// Snapshots of the machines on which tasks may be placed now, without those that have missed heartbeats for
+    /// longer than `missed_heartbeats_s` seconds.
     pub(super) fn machines_at(
         &self,
         now: Instant,
@@ -112,8 +114,8 @@
             .collect()
     }
 
-    /// Adds to the headroom what running tasks of limited teams release. `teams` are these teams' indices in
-    /// the headroom, by name.
+    /// Adds to the headroom what the running tasks of limited teams will release. `teams` holds the index of each
+    /// such team in the headroom, by name.
     pub fn add_quota_releases(
         &mut self,
         now: Instant,
@@ -168,8 +170,9 @@
         }
     }
 
-    /// Finds the GPU machines that GPU work does not need, for work without GPUs: they are paid for until
-    /// they are returned, and where the other machine types are used up they were rented for it.
+    /// Finds the GPU machines that GPU work does not need, so that work without GPUs can use them. They are paid
+    /// for until they are returned, and where the cloud had no other machine types left, they were rented for
+    /// such work.
     fn refresh_spare_gpu_machines(&mut self, machine_types: &[MachineType]) {
         let mut spare = HashSet::new();
         for machine_type in machine_types.iter().filter(|t| t.gpus > 0.0) {
@@ -178,7 +181,8 @@
         self.spare_gpu_machines = spare;
     }
 
-    /// Adds the names of a type's spare machines: first those that are spare already, then spot machines.
+    /// Adds the names of a type's spare machines, chosen among those whose GPUs are all free. Machines that are
+    /// already spare come first, then spot machines.
     fn add_spare_machines(
         &mut self,
         machine_type: &MachineType,
@@ -197,14 +201,15 @@
         let spare = candidates.len() as f64 - needed * SPARE_FACTOR - SPARE_MARGIN;
         candidates
             .retain(|(_, machine)| machine.free_gpus() >= machine_type.gpus - ROUNDING_TOLERANCE);
-        let before = &self.spare_gpu_machines;
-        candidates.sort_by_key(|(name, machine)| (!before.contains(*name), !machine.is_spot()));
+        let previously_spare = &self.spare_gpu_machines;
+        candidates
+            .sort_by_key(|(name, machine)| (!previously_spare.contains(*name), !machine.is_spot()));
         let names = candidates.into_iter().map(|(name, _)| name.clone());
         spare_names.extend(names.take(spare.max(0.0) as usize));
     }
 }
 
-/// Rebuilds what changed since the last call. Returns how many machines and jobs that were.
+/// Rebuilds the entries that changed since the last call. Returns the number of machines and jobs rebuilt.
 pub(super) fn refresh(core: &mut Core, me: &Member, now: Instant, now_ms: u64) -> u64 {
     let mut cache = std::mem::replace(&mut core.snapshots, SnapshotCache::new(now));
     let mut machines = core.replica.take_changed_machines();
@@ -212,12 +217,12 @@
     let mut jobs = core.replica.take_changed_jobs();
     jobs.extend(core.pending_changes.take_changed_jobs());
     let assignment = core.replica.assignment.as_ref();
-    let basis = CacheBasis {
+    let shared_inputs = SharedInputs {
         assignment_revision: assignment.map_or(0, |a| a.revision),
         machine_types: core.machine_types.len(),
     };
-    if basis != cache.basis {
-        cache.basis = basis;
+    if shared_inputs != cache.shared_inputs {
+        cache.shared_inputs = shared_inputs;
         jobs.extend(core.replica.jobs.keys().cloned());
         machines.extend(core.replica.fleet.machines.keys().cloned());
     }
