--- a/src/placement/due_times.rs
+++ b/src/placement/due_times.rs
@@ -1,5 +1,5 @@
-//! When a waiting job's tasks should start or finish: its own deadline, those of the jobs that depend on
-//! it, and the service-level objectives of its class. Reads settings and records and decides nothing.
+//! The times at which a waiting job's tasks should start or finish. They follow from the job's own deadline,
+//! from those of the jobs that depend on it, and from the service-level objectives of its class.
 
 use super::Milestone;
 use crate::jobs::{JobRecord, JobSpec, Urgency};
@@ -8,12 +8,12 @@
 use crate::policy::JobFacts;
 use crate::settings::ObjectiveKind;
 
-/// A milestone and when it is due.
+/// A milestone and the time at which it is due.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DueTime {
     /// Seconds after the job's arrival (its submission, or its release by its dependencies).
     pub after_arrival_s: f64,
-    /// What is due then.
+    /// The milestone that is due then.
     pub milestone: Milestone,
 }
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Whether a job of this age and expected run time, both in seconds, can still meet it.
+    /// Whether a job of this age and expected run time, both in seconds, can still meet the due time.
     fn is_attainable(&self, age_s: f64, expected_s: f64) -> bool {
         match self.milestone {
             Milestone::Start => age_s <= self.after_arrival_s,
@@ -41,13 +41,13 @@
     }
 }
 
-/// The earliest due time that a job of this age can still meet. A job that has missed all of them counts
-/// as undated: it no longer precedes work that can still be in time.
+/// The earliest due time that a job of this age can still meet. A job that has missed all its due times is
+/// treated like one that never had any, so that it no longer precedes work that can still be in time.
 pub fn earliest_due_time(node: &Node, core: &Core, record: &JobRecord, age_s: f64) -> DueTime {
     attainable_due_times(node, core, record, age_s)[0]
 }
 
-/// A job's urgency, or a higher one of a job that depends on it.
+/// The higher of a job's own urgency and the urgency that it inherits from the jobs that depend on it.
 pub fn effective_urgency(core: &Core, spec: &JobSpec) -> Urgency {
     let inherited = core.snapshots.inherited_deadlines.of(&spec.id);
     inherited.map_or(spec.urgency, |i| i.urgency.max(spec.urgency))
@@ -74,8 +74,8 @@
     due_times
 }
 
-/// Adds the job's own deadline and those that the jobs that depend on it impose: they must be in time,
-/// too.
+/// Adds the job's own deadline, and the times by which it must finish for the jobs that depend on it to be in
+/// time.
 fn add_deadlines(core: &Core, record: &JobRecord, due_times: &mut Vec<DueTime>) {
     due_times.extend(record.deadline_s().map(DueTime::finish));
     let Some(inherited) = core.snapshots.inherited_deadlines.of(&record.spec.id) else {
@@ -100,7 +100,8 @@
                 due_times.push(DueTime::finish(within_s));
             }
             (ObjectiveKind::Deadline, _, Some(times)) => {
-                // Counted from the submission, where the remaining deadline counts from the release.
+                // `times` multiplies the whole deadline, which counts from the submission. `left_s` counts from the
+                // release.
                 if let (Some(left_s), Some(whole_s)) = (record.deadline_s(), spec.deadline_s) {
                     due_times.push(DueTime::finish(left_s + whole_s * (times - 1.0)));
                 }
@@ -110,7 +111,8 @@
     }
 }
 
-/// Within how many expected run times of its arrival an undated job should start, by the policy.
+/// The time from its arrival within which a job without due times should start, by the policy, as a multiple of
+/// its expected run time.
 fn start_within_factor(node: &Node, spec: &JobSpec) -> f64 {
     node.policy.start_within_factor(&JobFacts {
         class: &spec.class,
@@ -120,24 +122,25 @@
     })
 }
 
-/// A job with no started task precedes all others this many seconds after its arrival, whatever its
-/// class's objectives: urgency and deadlines order the rest, but nothing starves.
+/// A job with no started task precedes all others this many seconds after its arrival at the latest, whatever
+/// the objectives of its class. Urgency and due times order the other jobs, and this limit keeps any of them
+/// from starving.
 const STARVATION_LIMIT_S: f64 = 190.0;
-/// Under lasting overload every job would come to be overdue, and none would be in time if the overdue
-/// always went first. So of the largest jobs of a class one in two has the limit above, of the others
-/// one in four; the rest have a multiple of it.
-const STARVATION_STEPS_OF_LARGEST: usize = 2;
-const STARVATION_STEPS_OF_OTHERS: usize = 4;
-/// From this fraction of the size of its class's largest job on, a job counts among the largest.
+/// Under lasting overload every job would exceed its starvation limit in the end, and if such jobs always went
+/// first, none would be in time. Therefore only one in two of the largest jobs of a class, and one in four of
+/// its other jobs, has the limit above. The remaining jobs have a multiple of it, up to this many times.
+const STARVATION_MULTIPLES_OF_LARGEST: usize = 2;
+const STARVATION_MULTIPLES_OF_OTHERS: usize = 4;
+/// A job counts among the largest of its class if its size is at least this fraction of that of the largest one.
 const LARGEST_FRACTION: f64 = 0.5;
 
-/// Seconds after its arrival from which a job with no started task precedes all others. `size` and
-/// `largest_size` are dominant shares summed over the tasks of the job and of its class's largest job.
+/// Seconds after its arrival from which a job with no started task precedes all others. `size` is the dominant
+/// share of a task times the number of tasks, and `largest_size` is the size of the largest job of the class.
 pub(super) fn starvation_limit_s(spec: &JobSpec, size: f64, largest_size: f64) -> f64 {
-    let steps = if size >= largest_size * LARGEST_FRACTION {
-        STARVATION_STEPS_OF_LARGEST
+    let multiples = if size >= largest_size * LARGEST_FRACTION {
+        STARVATION_MULTIPLES_OF_LARGEST
     } else {
-        STARVATION_STEPS_OF_OTHERS
+        STARVATION_MULTIPLES_OF_OTHERS
     };
-    STARVATION_LIMIT_S * (1 + job_id_hash(&spec.id) % steps) as f64
+    STARVATION_LIMIT_S * (1 + job_id_hash(&spec.id) % multiples) as f64
 }
--- a/src/placement/inherited_deadlines.rs
+++ b/src/placement/inherited_deadlines.rs
@@ -1,5 +1,5 @@
-//! Deadlines and urgencies that jobs inherit from the jobs that depend on them, kept between scheduling
-//! cycles: propagating them walks all pipelines.
+//! Deadlines and urgencies that jobs inherit from the jobs that depend on them. They are kept between scheduling
+//! cycles, because propagating them visits all pipelines.
 
 use super::MIN_FETCH_GB_PER_S;
 use super::snapshot::eligible_machine_types;
@@ -9,28 +9,28 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Without a change of the pipelines, deadlines are propagated this often, with the run times learned
-/// meanwhile.
+/// While the pipelines do not change, deadlines are propagated again at this interval, to apply the latest
+/// estimates of run times.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Recording a task's start and its end, in seconds.
+/// Seconds that recording a task's start and its end takes.
 const RECORDING_S: f64 = 1.0;
 
-/// What jobs inherit from the jobs that depend on them.
+/// The deadlines and urgencies that jobs inherit from the jobs that depend on them.
 #[derive(Debug, Default)]
 pub struct InheritedDeadlines {
     by_job: HashMap<String, InheritedDeadline>,
-    computed: Option<Computation>,
+    last_propagation: Option<Propagation>,
 }
 
-/// From what and when the deadlines were propagated.
+/// The time at which the deadlines were propagated, and the version of the pipelines that was used.
 #[derive(Debug, Clone, Copy)]
-struct Computation {
+struct Propagation {
     pipelines_version: u64,
     at: Instant,
 }
 
-impl Computation {
+impl Propagation {
     fn is_current(&self, pipelines_version: u64, now: Instant) -> bool {
         self.pipelines_version == pipelines_version
             && now.saturating_duration_since(self.at) < REFRESH_INTERVAL
@@ -38,20 +38,21 @@
 }
 
 impl InheritedDeadlines {
-    /// What a job inherits, if other jobs depend on it.
+    /// What the job inherits, if other jobs depend on it.
     pub(super) fn of(&self, job: &str) -> Option<&InheritedDeadline> {
         self.by_job.get(job)
     }
 }
 
-/// Propagates deadlines if the pipelines changed or the last time is `REFRESH_INTERVAL` ago.
+/// Propagates the deadlines if the pipelines have changed since the last propagation, or if it was at least
+/// `REFRESH_INTERVAL` ago.
 pub(super) fn refresh(node: &Node, core: &mut Core, now: Instant) {
     let pipelines_version = core.replica.pipelines.version;
-    let computed = core.snapshots.inherited_deadlines.computed;
-    if computed.is_some_and(|c| c.is_current(pipelines_version, now)) {
+    let last_propagation = core.snapshots.inherited_deadlines.last_propagation;
+    if last_propagation.is_some_and(|last| last.is_current(pipelines_version, now)) {
         return;
     }
-    // How many times its deadline a job may take to count in an objective of its class.
+    // The largest multiple of its deadline within which a job still meets an objective of its class, at least 1.
     let objective_multiple = |record: &JobRecord| {
         let objectives = node.settings.params.objectives.iter();
         let of_class = objectives.filter(|o| o.class == record.spec.class);
@@ -61,15 +62,15 @@
     let by_job = propagate_deadlines(&core.replica.pipelines, turnaround_s, objective_multiple);
     core.snapshots.inherited_deadlines = InheritedDeadlines {
         by_job,
-        computed: Some(Computation {
+        last_propagation: Some(Propagation {
             pipelines_version,
             at: now,
         }),
     };
 }
 
-/// Seconds from a job's release to its end where capacity is free: the command is sent with a heartbeat's
-/// response, the image is fetched, the task runs, and its end is recorded.
+/// Expected seconds from a job's release to its end if capacity is free. In this time the start command is sent
+/// with the response to a heartbeat, the image is fetched, the task runs, and its start and end are recorded.
 fn expected_turnaround_s(node: &Node, core: &Core, spec: &JobSpec) -> f64 {
     let machine_types = eligible_machine_types(core, spec);
     let cheapest = machine_types
--- a/src/placement/job_progress.rs
+++ b/src/placement/job_progress.rs
@@ -1,5 +1,5 @@
-//! How far each job of this controller has come, and where its tasks may run: what of a job's snapshot
-//! changes only with its records and plans.
+//! The progress of this controller's jobs, and the requirements on the machines that their tasks may run on:
+//! the parts of a job's snapshot that only change with its records and planned changes.
 
 use super::snapshot::eligible_machine_types;
 use super::{NameTable, TasksByZone, capacity_of};
@@ -8,53 +8,53 @@
 use crate::state::replica::Job;
 use std::sync::Arc;
 
-/// Most waiting tasks of an array that a snapshot holds. Of a gang it holds all: a gang starts as a
-/// whole, and a part of its tasks would never be enough.
+/// Most waiting tasks of an array that a snapshot holds. A snapshot holds all waiting tasks of a gang, because a
+/// gang starts as a whole and could never start with only some of its tasks.
 const MAX_WAITING_OF_ARRAY: usize = 2000;
 
-/// From this dominant share on, a task fills most of a machine.
+/// A task whose dominant share is above this fills most of a machine.
 const LARGE_DOMINANT_SHARE: f64 = 0.5;
 
 /// The progress of a job and its placement requirements, with interned names.
 #[derive(Debug, Clone, Default)]
 pub struct JobProgress {
-    /// Indices of the tasks that wait, up to `MAX_WAITING_OF_ARRAY` of an array.
+    /// Indices of the waiting tasks; of an array, at most `MAX_WAITING_OF_ARRAY`.
     pub waiting: Arc<Vec<u32>>,
-    /// Completed tasks.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Tasks on machines.
+    /// Number of tasks on machines.
     pub placed: u32,
-    /// Tasks on machines, by zone.
+    /// Number of tasks on machines, by zone.
     pub zones: TasksByZone,
-    /// Machine types that its tasks may run on, cheapest first.
+    /// Interned machine types that its tasks may run on, cheapest first.
     pub machine_types: Vec<u32>,
     /// Name of the cheapest of them; empty if there is none.
     pub cheapest_machine_type: String,
-    /// The next one that its tasks may run on.
+    /// The second cheapest of them, if there is one.
     pub fallback_machine_type: Option<FallbackMachineType>,
-    /// The image of its tasks.
+    /// The interned image of its tasks.
     pub image: u32,
-    /// The only zone that it may run in.
+    /// The interned zone that its tasks must run in, if the job names one.
     pub zone: Option<u32>,
-    /// Whether a task fills most of a machine of its pool.
+    /// Whether a task fills most of a machine of the cheapest type.
     pub large: bool,
-    /// The largest fraction of a resource of a machine of its pool that a task requests.
+    /// The largest fraction of any resource of a machine of the cheapest type that a task requests.
     pub dominant_share: f64,
     /// Whether its tasks request GPUs.
     pub needs_gpus: bool,
 }
 
-/// A machine type for work that its pool has no machines for.
+/// The machine type for a job's tasks when machines of the cheapest type are not available.
 #[derive(Debug, Clone)]
 pub struct FallbackMachineType {
     /// Name of the machine type.
     pub name: String,
-    /// The largest fraction of a resource of such a machine that a task requests.
+    /// The largest fraction of any resource of such a machine that a task requests.
     pub dominant_share: f64,
 }
 
 impl JobProgress {
-    /// The progress by records and plans.
+    /// Builds a job's progress from its records and planned changes.
     pub(super) fn new(core: &Core, names: &mut NameTable, job: &Job) -> Self {
         let spec = &job.record.spec;
         let mut progress = Self::default();
@@ -63,7 +63,7 @@
         progress
     }
 
-    /// Tasks that were started or are done.
+    /// Number of tasks that are on machines or completed.
     pub(super) fn started(&self) -> u32 {
         self.done + self.placed
     }
@@ -116,7 +116,7 @@
     }
 }
 
-/// The dominant share of a task on a machine type; none if the catalogue does not have it.
+/// The dominant share of a task on a machine type; `None` if the cloud's catalogue does not have the type.
 fn dominant_share(core: &Core, spec: &JobSpec, machine_type: &str) -> Option<f64> {
     let machine_type = core.machine_type(machine_type)?;
     Some(spec.resources().dominant_share(&capacity_of(machine_type)))
--- a/src/placement/resources.rs
+++ b/src/placement/resources.rs
@@ -18,7 +18,7 @@
 }
 
 impl Resources {
-    /// Whether every amount is available.
+    /// Whether `available` covers each amount.
     pub fn fits(&self, available: &Resources) -> bool {
         self.cpus <= available.cpus + ROUNDING_TOLERANCE
             && self.gpus <= available.gpus + ROUNDING_TOLERANCE
@@ -62,14 +62,15 @@
             .max(fraction(self.memory_gb, capacity.memory_gb))
     }
 
-    /// Whether nothing is left of any resource.
+    /// Whether no amount is positive.
     pub(super) fn is_empty(&self) -> bool {
         self.cpus <= ROUNDING_TOLERANCE
             && self.gpus <= ROUNDING_TOLERANCE
             && self.memory_gb <= ROUNDING_TOLERANCE
     }
 
-    /// Moves as much as possible from `available` against this request; what remains is still wanted.
+    /// Subtracts from this request and from `available` as much as both have. What is left of the request has not
+    /// been found yet.
     pub(super) fn consume_from(&mut self, available: &mut Resources) {
         let consumed = Resources {
             cpus: self.cpus.min(available.cpus).max(0.0),
--- a/src/placement/team_usage.rs
+++ b/src/placement/team_usage.rs
@@ -1,5 +1,5 @@
-//! What teams use beside their quotas and guarantees. Only reads; limits that are divided among the
-//! controllers are kept by `crate::limits`.
+//! The resources that teams use, compared with their limits and guarantees. This module only reads;
+//! `crate::limits` manages the limits that are divided among the controllers.
 
 use super::machine_tasks::{spec_of, tasks_on};
 use super::quota_headroom::QuotaHeadroom;
@@ -9,8 +9,8 @@
 use crate::settings::Team;
 use std::collections::HashMap;
 
-/// What the tasks of each team use now, remaining tasks of departed jobs included. Empty unless a team has
-/// a limit or a guarantee.
+/// What the tasks of each team use now. Tasks of recently ended jobs that are still on machines count, too.
+/// Empty unless some team has a limit or a guarantee.
 pub fn team_usage(node: &Node, core: &Core) -> HashMap<String, Resources> {
     let mut usage: HashMap<String, Resources> = HashMap::new();
     let mut teams = node.settings.params.teams.iter();
@@ -30,7 +30,8 @@
             add_task(&id.job);
         }
     }
-    // An absence that is not recorded may become void, see `limits::usage`.
+    // A task that was found to be gone from its machine counts until this is recorded. If the machine is
+    // reassigned before, its new controller starts the task again from the old record. See `crate::limits::usage`.
     for (job, changes) in core.pending_changes.iter() {
         for (task, entry) in changes {
             let is_placed = matches!(
@@ -45,13 +46,13 @@
     usage
 }
 
-/// Whether a team uses more than its guarantee: its tasks may be preempted for teams within theirs.
+/// Whether a team uses more than its guarantee. If so, its tasks may be preempted for teams within theirs.
 pub(super) fn exceeds_guarantee(team: &Team, usage: &Resources) -> bool {
     usage.cpus > team.guaranteed_cpus + ROUNDING_TOLERANCE
         || usage.gpus > team.guaranteed_gpus + ROUNDING_TOLERANCE
 }
 
-/// For each team with a guarantee, whether all its unfinished jobs fit into it together.
+/// For each team with a guarantee, whether the unfinished tasks of all its jobs together fit into it.
 pub(super) fn teams_within_guarantee<'a>(node: &'a Node, core: &Core) -> HashMap<&'a str, bool> {
     let teams = node.settings.params.teams.iter();
     let guaranteed: Vec<&Team> = teams.filter(|t| t.has_guarantee()).collect();
@@ -77,7 +78,8 @@
         .collect()
 }
 
-/// Adds the headroom of each limited team. Returns each team's index in it, none for teams without a limit.
+/// Adds the headroom of each limited team to `headroom`. Returns the index of each team there, `None` for teams
+/// without a limit.
 pub(super) fn add_quota_headroom<'a>(
     node: &'a Node,
     core: &Core,
@@ -112,8 +114,8 @@
     index
 }
 
-/// What a team may start beside what it uses, where one controller applies its whole limit. A limit of 0
-/// in the settings means none.
+/// The headroom of a team whose limit is not divided among the controllers: one controller applies all of it. A
+/// limit of 0 in the settings means that there is none.
 fn undivided_headroom(team: &Team, used: &Resources) -> Resources {
     let left = |limit: f64, used: f64| {
         if limit > 0.0 {
