--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -36,14 +36,14 @@
 mod team_usage;
 
 pub use job::{JobSnapshot, Milestone, PoolId, TasksByZone};
-pub use job_progress::FallbackPool;
+pub use job_progress::FallbackMachineType;
 pub use machine::{FreeSlot, MachineSnapshot, Reservation};
 pub use name_table::NameTable;
 pub use queue::batch_order;
 pub use resources::{Resources, capacity_of};
 
 use machine::MIN_FETCH_GB_PER_S;
-use resources::SLACK;
+use resources::ROUNDING_TOLERANCE;
 
 /// Completion times that differ by less than this fraction of the run time count as equal, since
 /// estimates are not exact to the second. Among equal ones the cheapest machine is preferred, then the
--- a/src/placement/packing/reserving.rs
+++ b/src/placement/packing/reserving.rs
@@ -4,7 +4,7 @@
 use super::candidates::Candidate;
 use super::{Packer, Unplaced};
 use crate::placement::gang::{GangSlot, gang_slots};
-use crate::placement::{JobSnapshot, Milestone, Reservation, SLACK};
+use crate::placement::{JobSnapshot, Milestone, ROUNDING_TOLERANCE, Reservation};
 
 /// Largest fraction of the machines that may be reserved at a time for work that waits for capacity.
 const MAX_RESERVED_FRACTION: f64 = 0.5;
@@ -66,7 +66,7 @@
         }
         let placement = self.find_placement(job, size);
         let start = placement.as_ref().map(|placement| placement.start);
-        let starts_now = !exceeds_quota && start.is_some_and(|start| start <= SLACK);
+        let starts_now = !exceeds_quota && start.is_some_and(|start| start <= ROUNDING_TOLERANCE);
         if !starts_now {
             self.close_headroom_if_blocked(job, size, exceeds_quota, start);
         }
@@ -128,7 +128,7 @@
     /// are rented for work that exceeds its team's quota.
     fn quota_precedes_machines(&self, job: &JobSnapshot, size: usize) -> bool {
         let delay = self.reservation_delay_s * QUOTA_BEFORE_MACHINES_FACTOR;
-        self.headroom.is_overdue(job, size, delay)
+        self.headroom.is_due_for_reservation(job, size, delay)
     }
 
     /// Whether machines may be reserved for a job that exceeds its team's headroom: for one job per team,
@@ -136,7 +136,7 @@
     fn may_look_ahead_for(&mut self, job: &JobSnapshot, size: usize) -> bool {
         if !self
             .headroom
-            .is_overdue(job, size, self.reservation_delay_s)
+            .is_due_for_reservation(job, size, self.reservation_delay_s)
         {
             return false;
         }
--- a/src/placement/resources.rs
+++ b/src/placement/resources.rs
@@ -4,7 +4,7 @@
 use crate::jobs::JobSpec;
 
 /// Tolerance for rounding when amounts and times are compared.
-pub(super) const SLACK: f64 = 1e-6;
+pub(super) const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// Amounts of a machine's resources: what a task requests, or what is free.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
@@ -18,11 +18,11 @@
 }
 
 impl Resources {
-    /// Whether every amount is available.
+    /// Whether `available` covers each amount.
     pub fn fits(&self, available: &Resources) -> bool {
-        self.cpus <= available.cpus + SLACK
-            && self.gpus <= available.gpus + SLACK
-            && self.memory_gb <= available.memory_gb + SLACK
+        self.cpus <= available.cpus + ROUNDING_TOLERANCE
+            && self.gpus <= available.gpus + ROUNDING_TOLERANCE
+            && self.memory_gb <= available.memory_gb + ROUNDING_TOLERANCE
     }
 
     /// Adds each amount of `other`.
@@ -62,12 +62,15 @@
             .max(fraction(self.memory_gb, capacity.memory_gb))
     }
 
-    /// Whether nothing is left of any resource.
+    /// Whether no amount is positive.
     pub(super) fn is_empty(&self) -> bool {
-        self.cpus <= SLACK && self.gpus <= SLACK && self.memory_gb <= SLACK
+        self.cpus <= ROUNDING_TOLERANCE
+            && self.gpus <= ROUNDING_TOLERANCE
+            && self.memory_gb <= ROUNDING_TOLERANCE
     }
 
-    /// Moves as much as possible from `available` against this request; what remains is still wanted.
+    /// Subtracts from this request and from `available` as much as both have. What is left of the request has not
+    /// been found yet.
     pub(super) fn consume_from(&mut self, available: &mut Resources) {
         let consumed = Resources {
             cpus: self.cpus.min(available.cpus).max(0.0),
