--- a/crates/rowanmill-config/src/lib.rs
+++ b/crates/rowanmill-config/src/lib.rs
@@ -1,50 +1,52 @@
-//! Configuration files: how each is read and checked, and the errors that name the file and the field at
-//! fault. What a field means, and which values make sense, is for the type that is read.
+//! Loading and validation of configuration files. An error names the file and, where it concerns one, the
+//! field. The meaning of the fields and their valid values are defined by the types that implement
+//! [`ConfigFile`].
 #![deny(missing_docs)]
 
 use serde::de::DeserializeOwned;
 use std::borrow::Cow;
 use std::path::Path;
 
-/// Why a configuration file was refused. The message is one line and names the file.
+/// The error for a configuration file that was rejected. Its message is one line and names the file.
 #[derive(Debug, thiserror::Error)]
 #[error("{kind} {path}: {problem}")]
 pub struct ConfigError {
-    /// What the file is for, as messages call it: `settings`, `cells`, `limits`, `policy`.
+    /// The kind of file that the message names: `settings`, `cells`, `limits` or `policy`.
     pub kind: &'static str,
-    /// The file's path, as it was given.
+    /// The path of the file, as passed by the caller.
     pub path: String,
-    /// What is wrong with it.
+    /// The reason for the rejection.
     #[source]
     pub problem: ConfigProblem,
 }
 
-/// What is wrong with a configuration file.
+/// Why a configuration file was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigProblem {
-    /// There is no such file, or it may not be read.
+    /// The file does not exist, or reading it failed.
     #[error("cannot be read: {0}")]
     Unreadable(#[source] std::io::Error),
-    /// It is not JSON, or a field is missing, unknown or of another type.
+    /// The text is not JSON, or does not have the structure of the type: a required field is missing, for
+    /// example, or has a value of another type.
     #[error("{0}")]
     Malformed(#[source] serde_json::Error),
-    /// A value makes no sense.
+    /// The value of a field is invalid.
     #[error(transparent)]
     Invalid(#[from] InvalidField),
 }
 
-/// A field whose value makes no sense.
+/// A field with an invalid value.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("field `{field}`: {reason}")]
 pub struct InvalidField {
     /// The field's path in the file, such as `spill.ranking`.
     pub field: Cow<'static, str>,
-    /// What is wrong with it.
+    /// Why the value is invalid.
     pub reason: String,
 }
 
 impl InvalidField {
-    /// Names a field and what is wrong with it.
+    /// Creates an error for a field, with the reason.
     pub fn new(field: impl Into<Cow<'static, str>>, reason: impl Into<String>) -> Self {
         Self {
             field: field.into(),
@@ -53,20 +55,21 @@
     }
 }
 
-/// The content of a configuration file in JSON.
+/// A type that is read from a JSON configuration file.
 pub trait ConfigFile: DeserializeOwned {
-    /// What messages call the file.
+    /// The kind of file, as error messages name it.
     const KIND: &'static str;
 
-    /// Refuses values that make no sense, by the first field at fault.
+    /// Checks the values of the fields; returns an error for the first invalid one.
     fn validate(&self) -> Result<(), InvalidField>;
 
-    /// Reads the other files that this one names by paths relative to its own folder.
+    /// Reads the other files that this one refers to. Their paths are relative to `folder`, the folder of this
+    /// file.
     fn load_referenced(&mut self, _folder: &Path) -> Result<(), InvalidField> {
         Ok(())
     }
 
-    /// Reads and checks a file.
+    /// Reads and validates a file and the files that it refers to.
     fn load(path: &Path) -> Result<Self, ConfigError> {
         let shown = path.display().to_string();
         let mut config = Self::parse(&read_text(Self::KIND, path)?, &shown)?;
@@ -77,7 +80,7 @@
         Ok(config)
     }
 
-    /// Reads and checks a file as [`ConfigFile::load`] does, then by what is known from elsewhere.
+    /// Like [`ConfigFile::load`], with `check` as an additional validation against data from outside the file.
     fn load_checked(
         path: &Path,
         check: impl FnOnce(&Self) -> Result<(), InvalidField>,
@@ -87,7 +90,8 @@
         Ok(config)
     }
 
-    /// Reads and checks the text of a file that messages call `path`. Other files are not read.
+    /// Parses and validates the text of a file. `path` is only used in error messages, and files that this one
+    /// refers to are not read.
     fn parse(text: &str, path: &str) -> Result<Self, ConfigError> {
         let malformed = |source| Self::error(path, ConfigProblem::Malformed(source));
         let config: Self = serde_json::from_str(text).map_err(malformed)?;
@@ -97,7 +101,7 @@
         Ok(config)
     }
 
-    /// A problem of the file of this kind at `path`.
+    /// Creates the error for a file of this kind at `path`.
     fn error(path: &str, problem: impl Into<ConfigProblem>) -> ConfigError {
         ConfigError {
             kind: Self::KIND,
@@ -107,7 +111,7 @@
     }
 }
 
-/// Reads the text of a file of the `kind` that messages name.
+/// Reads the text of a file. `kind` is the kind of file that the error message names.
 pub fn read_text(kind: &'static str, path: &Path) -> Result<String, ConfigError> {
     std::fs::read_to_string(path).map_err(|source| ConfigError {
         kind,
--- a/crates/rowanmill-config/src/tests.rs
+++ b/crates/rowanmill-config/src/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn each_kind_of_problem_names_the_file_and_keeps_its_source() {
+fn every_error_names_the_file_and_keeps_its_source() {
     let missing = Example::load(Path::new("/nonexistent/example.json")).unwrap_err();
     assert!(matches!(missing.problem, ConfigProblem::Unreadable(_)));
     let malformed = Example::parse("{}", "e.json").unwrap_err();
@@ -27,7 +27,7 @@
     assert!(matches!(invalid.problem, ConfigProblem::Invalid(_)));
     for error in [&missing, &malformed] {
         let source = error.source().and_then(Error::source);
-        assert!(source.is_some(), "{error} has lost its source");
+        assert!(source.is_some(), "{error}: the underlying error is missing");
     }
     assert_eq!(
         [malformed.to_string(), invalid.to_string()],
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_valid_text_is_accepted() {
+fn valid_text_is_accepted() {
     let example = Example::parse(r#"{"replicas": 3}"#, "e.json").unwrap();
     assert_eq!(example.replicas, 3);
 }
