--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -1,5 +1,5 @@
-//! Figures that follow from the settings: shares of the state service's limits, leases and timeouts, and the
-//! sizes of pages.
+//! Values computed from the settings: this controller's share of the state service's limits, lengths of leases,
+//! timeouts, and the number of tasks per progress page.
 
 use super::{NextLimits, Settings, StateParams};
 use crate::jobs::pages::PageLayout;
@@ -8,43 +8,46 @@
 
 const BYTES_PER_KIB: f64 = 1024.0;
 
-/// Part of a worker's lease that a presence lease lasts, and its bounds in seconds.
-const PRESENCE_LEASE_PART: f64 = 0.25;
+/// Length of a presence lease as a fraction of a worker's lease, and its bounds in seconds.
+const PRESENCE_LEASE_FRACTION: f64 = 0.25;
 const PRESENCE_TTL_MIN_S: f64 = 2.0;
 const PRESENCE_TTL_MAX_S: f64 = 5.0;
 
-/// Part by which clocks may run apart, allowed for once on a worker's lease and twice on `cancel_s`.
+/// Maximum relative drift of a clock. A worker's lease is extended by this fraction, and `cancel_s` is shortened
+/// by twice this fraction.
 const CLOCK_DRIFT: f64 = 0.001;
-/// Seconds kept for what passes between the end of a lease and the end of its tasks.
+/// Allowance for the time between the end of a worker's lease and the end of its tasks, in seconds.
 const LEASE_END_MARGIN_S: f64 = 2.0;
 
-/// Shortest and longest time that one request of the watch may wait for changes.
+/// Bounds of the time that a watch request waits for changes.
 const WATCH_TIMEOUT_MIN: Duration = Duration::from_millis(100);
 const WATCH_TIMEOUT_MAX: Duration = Duration::from_secs(1);
 
-/// Fewest and most tasks of a page.
+/// Bounds of the number of tasks on a progress page.
 const PAGE_TASKS_MIN: usize = 8;
 const PAGE_TASKS_MAX: usize = 512;
-/// Bytes of a placed task in a plain page, `[attempt,"machine",incarnation]`: enough for long names.
+/// Size of a started task on a plain page, in bytes, used to divide jobs into pages. The record is
+/// `[attempt,"machine",incarnation]`, and the size allows for long machine names.
 const PLAIN_TASK_BYTES: usize = 48;
-/// Bytes of a task in a compact page, where the names of machines are the most.
+/// Size of a task on a compact page, in bytes, used to divide jobs into pages. Most of it is the name of the
+/// machine.
 const COMPACT_TASK_BYTES: usize = 16;
 
 impl StateParams {
-    /// The most changes of a transaction that hold now and later.
+    /// Maximum number of operations of a transaction, under both the current and the announced limit.
     fn min_transaction_operations(&self) -> usize {
         let next = self.next().txn_ops.unwrap_or(self.txn_ops);
         self.txn_ops.min(next)
     }
 
-    /// Bytes of a value that hold now alone.
+    /// Maximum size of a value in bytes under the current limit; the announced limit is ignored.
     fn current_value_bytes(&self) -> usize {
         (self.value_kb * BYTES_PER_KIB) as usize
     }
 }
 
 impl Settings {
-    /// This controller's share of the state service's limits of now.
+    /// This controller's share of the current request limits of the state service.
     pub fn state_quota(&self) -> ServiceQuota {
         let controllers = f64::from(self.params.size);
         ServiceQuota {
@@ -53,7 +56,8 @@
         }
     }
 
-    /// This controller's share once the announced limits hold, where they are lower.
+    /// This controller's share of the request limits once the announced limits apply. An announced limit that
+    /// is higher than the current one is ignored.
     pub fn announced_state_quota(&self) -> ServiceQuota {
         let controllers = f64::from(self.params.size);
         let lower = |share: f64, announced: Option<f64>| {
@@ -67,47 +71,50 @@
         }
     }
 
-    /// The most bytes of a new value: the lower of the limits of now and of later, which may hold from any
-    /// moment on.
+    /// Maximum size of a new value in bytes: the lower of the current and the announced limit, because the
+    /// announced one may apply at any time.
     pub fn max_value_bytes(&self) -> usize {
         let state = &self.params.state;
         let next = state.next().value_kb.unwrap_or(state.value_kb);
         (state.value_kb.min(next) * BYTES_PER_KIB) as usize
     }
 
-    /// The most changes of a transaction, likewise.
+    /// Maximum number of operations of a transaction: the lower of the current and the announced limit.
     pub fn max_transaction_operations(&self) -> usize {
         self.params.state.min_transaction_operations()
     }
 
-    /// The names of all controllers of the site, whether they run or not.
+    /// The names of all controllers of the site, including those that are not running.
     pub fn member_names(&self) -> Vec<&str> {
         let peers = self.peers.iter().map(|peer| peer.member.as_str());
         peers.chain([self.member.as_str()]).collect()
     }
 
-    /// How long a worker goes on without an answer to its heartbeats.
+    /// Length of a worker's lease: how long it keeps running tasks while no heartbeat is answered.
     pub fn worker_lease(&self) -> Duration {
         Duration::from_secs_f64(self.params.workers.lease_s)
     }
 
-    /// How often a worker sends a heartbeat.
+    /// Interval between a worker's heartbeats.
     pub fn heartbeat_interval(&self) -> Duration {
         Duration::from_secs_f64(self.params.workers.report_s)
     }
 
-    /// The length of a controller's presence lease: short enough that a takeover ends within a worker's
-    /// lease.
+    /// Length of a controller's presence lease. It is short enough for a takeover of the controller's machines
+    /// to finish before the leases of their workers expire.
     pub fn presence_ttl(&self) -> Duration {
-        let ttl_s = self.params.workers.lease_s * PRESENCE_LEASE_PART;
+        let ttl_s = self.params.workers.lease_s * PRESENCE_LEASE_FRACTION;
         Duration::from_secs_f64(ttl_s.clamp(PRESENCE_TTL_MIN_S, PRESENCE_TTL_MAX_S))
     }
 
-    /// How long a controller may renew workers after its last proof of contact with the state service. Past
-    /// this, a cancellation that it never learned of could outlive `cancel_s` on a machine that it keeps
-    /// alive. The margin is for what passes between the end of a lease and the end of its tasks, and for
-    /// clocks that run apart; where `cancel_s` is hardly above `lease_s` it takes a third of what lies
-    /// between, and where it is not above it no lease may be renewed without a new read.
+    /// How long a controller may renew its workers' leases after its last confirmed contact with the state
+    /// service. If it renewed them for longer, a task whose cancellation it has not read could run for more
+    /// than `cancel_s` after the confirmation.
+    ///
+    /// The limit is `cancel_s` minus a worker's lease, the clock skew, allowances for clock drift, and a margin
+    /// for ending the tasks after the lease. The margin is at most a third of the remaining time, so that a
+    /// `cancel_s` just above `lease_s` still allows renewals. If no time remains, the limit is 0, and every
+    /// renewal requires a new read.
     pub fn disconnected_lease_limit(&self) -> Duration {
         let workers = &self.params.workers;
         let cancel_s = workers.cancel_s * (1.0 - 2.0 * CLOCK_DRIFT);
@@ -117,25 +124,26 @@
         Duration::from_secs_f64((spare_s - margin_s).max(0.0))
     }
 
-    /// How long one request of the watch may wait for changes: a third of what workers may be answered by,
-    /// so that the proof of contact that it gives is never much older.
+    /// How long a watch request may wait for changes. Its response confirms contact with the state service, so
+    /// it must arrive well within [`Settings::disconnected_lease_limit`]: a third of that limit is used.
     pub fn watch_timeout(&self) -> Duration {
         (self.disconnected_lease_limit() / 3).clamp(WATCH_TIMEOUT_MIN, WATCH_TIMEOUT_MAX)
     }
 
-    /// How jobs are divided into progress pages. All controllers of a site, and all versions, must agree.
+    /// How jobs are divided into progress pages. All controllers of a site must use the same layout, whatever
+    /// their version.
     pub fn page_layout(&self) -> PageLayout {
         let value_bytes = self.max_value_bytes();
         let current_bytes = self.params.state.current_value_bytes();
-        // The version before went by the limit of now alone, and pages of both must agree.
+        // The previous version used only the current limit, and both versions must divide plain pages alike.
         let plain_tasks = (current_bytes / PLAIN_TASK_BYTES).clamp(PAGE_TASKS_MIN, PAGE_TASKS_MAX);
-        // What does not fit into a compact page waits.
+        // A task whose record does not fit on its compact page is not started until there is room.
         let compact_tasks =
             (value_bytes / COMPACT_TASK_BYTES).clamp(PAGE_TASKS_MIN, PAGE_TASKS_MAX);
-        let shrinks = value_bytes < current_bytes;
+        let limit_decreases = value_bytes < current_bytes;
         PageLayout {
             plain_tasks,
-            compact_tasks: if shrinks {
+            compact_tasks: if limit_decreases {
                 compact_tasks.min(plain_tasks)
             } else {
                 plain_tasks
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! The settings file that the platform hands over: its fields, as they stand there. What follows from them
-//! is in `derived`, which values are refused in `validation`.
+//! The settings file that the platform provides. The types here mirror its fields; `derived` computes values
+//! from them, and `validation` rejects invalid ones.
 
 mod derived;
 mod validation;
@@ -9,16 +9,16 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The whole file.
+/// The contents of the settings file.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
-    /// This controller's name.
+    /// The name of this controller.
     pub member: String,
-    /// Where users and workers reach it.
+    /// The address at which this controller serves users and workers.
     pub api_addr: SocketAddr,
-    /// Where the other controllers reach it.
+    /// The address at which this controller serves the other controllers.
     pub mesh_addr: SocketAddr,
-    /// The other controllers.
+    /// The other controllers of the site.
     #[serde(rename = "known")]
     pub peers: Vec<Peer>,
     pub endpoints: Endpoints,
@@ -30,21 +30,21 @@
 pub struct Peer {
     #[serde(default)]
     pub member: String,
-    /// Its mesh address.
+    /// The address at which it serves the other controllers.
     pub addr: SocketAddr,
 }
 
-/// The services that the controllers share.
+/// The addresses of the services that all controllers use.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Endpoints {
     pub cloud: SocketAddr,
     pub state: SocketAddr,
 }
 
-/// What holds for all controllers of the site.
+/// Parameters that are the same for all controllers of the site.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Params {
-    /// How many controllers the site has.
+    /// Number of controllers of the site.
     pub size: u32,
     pub teams: Vec<Team>,
     #[serde(default)]
@@ -53,11 +53,11 @@
     pub state: StateParams,
     pub cloud: CloudParams,
     pub limits: ProcessLimits,
-    /// How far a machine's time of day may be from the true one, in milliseconds.
+    /// Maximum deviation of a machine's clock from the true time, in milliseconds.
     pub skew_ms: f64,
 }
 
-/// A team's guarantee and limit, each 0 for none.
+/// A team's guaranteed resources and its limits. 0 means that there is no guarantee or limit.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
     pub name: String,
@@ -72,41 +72,41 @@
 }
 
 impl Team {
-    /// Whether there is a limit on what its tasks use at a time.
+    /// Whether the resources that the team's tasks use at the same time are limited.
     pub fn is_limited(&self) -> bool {
         self.max_cpus > 0.0 || self.max_gpus > 0.0
     }
 
-    /// Whether some resources are guaranteed to it.
+    /// Whether the team has any guaranteed resources.
     pub fn has_guarantee(&self) -> bool {
         self.guaranteed_cpus > 0.0 || self.guaranteed_gpus > 0.0
     }
 }
 
-/// A service-level objective of a class of jobs.
+/// A service-level objective for a class of jobs.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// What is to happen in time.
+    /// The event that must happen in time.
     pub kind: ObjectiveKind,
     #[serde(default)]
     pub class: String,
-    /// Seconds after the job's arrival.
+    /// The time limit in seconds, counted from the job's arrival.
     pub within_s: Option<f64>,
-    /// A multiple of the time from the job's arrival to its own deadline.
+    /// The time limit as a multiple of the time from the job's arrival to its own deadline.
     pub times: Option<f64>,
 }
 
-/// What an objective is about.
+/// The event that a service-level objective limits in time.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(from = "String")]
 pub enum ObjectiveKind {
-    /// A task starts within `within_s`; `wait` in the file.
+    /// A task starts within `within_s`. Written `wait` in the file.
     Start,
-    /// A job finishes within `within_s`; `finished` in the file.
+    /// A job finishes within `within_s`. Written `finished` in the file.
     Finish,
-    /// A job finishes within `times` its own deadline; `deadline` in the file.
+    /// A job finishes within `times` times the time to its own deadline. Written `deadline` in the file.
     Deadline,
-    /// A kind that this version does not know: the objective has no effect.
+    /// A kind that this version does not support. The objective has no effect.
     Unknown(String),
 }
 
@@ -132,38 +132,38 @@
     }
 }
 
-/// What is agreed with workers; all in seconds.
+/// Intervals and time limits of the protocol between controllers and workers, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerParams {
-    /// How often a worker sends a heartbeat.
+    /// Interval between a worker's heartbeats.
     pub report_s: f64,
-    /// How long a worker goes on without an answer to its heartbeats.
+    /// Length of a worker's lease: how long it keeps running tasks while no heartbeat is answered.
     pub lease_s: f64,
-    /// How long a gang's task waits for the others before it gives up.
+    /// How long a task waits for the other tasks of its gang before it gives up.
     pub gang_wait_s: f64,
-    /// Within what time a running gang notices that a task is gone, and must be stopped as a whole.
+    /// Time within which a running gang detects the loss of one of its tasks. The whole gang must then be stopped.
     pub gang_peer_s: f64,
-    /// How long after a confirmed cancellation a task may still run.
+    /// How long a task may still run after its cancellation was confirmed to the user.
     pub cancel_s: f64,
 }
 
-/// The state service's limits, for all controllers together.
+/// Limits of the state service, for all controllers together.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateParams {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Changes a second.
+    /// Writes per second.
     pub write_rps: f64,
-    /// KiB of a value.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Changes of a transaction.
+    /// Maximum number of operations of a transaction.
     pub txn_ops: usize,
-    /// Limits that will hold from some moment on, without notice.
+    /// Announced limits that replace these ones at a time that is not known in advance.
     #[serde(default)]
     pub next: Option<NextLimits>,
 }
 
-/// The state service's limits to come; what is absent stays as it is.
+/// Announced limits of the state service. A limit that is absent does not change.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 pub struct NextLimits {
     #[serde(default)]
@@ -182,23 +182,23 @@
     }
 }
 
-/// The cloud's limits.
+/// Limits of the cloud API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudParams {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// By how many seconds its list of machines may be out of date.
+    /// Maximum staleness of the cloud's list of machines, in seconds.
     pub list_lag_s: f64,
 }
 
-/// What one controller's process may use.
+/// Resource limits of one controller process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ProcessLimits {
-    /// Part of a core.
+    /// Share of one CPU core, 1 for a whole core.
     pub core_share: f64,
-    /// Megabytes (10^6 bytes).
+    /// Memory in megabytes (10^6 bytes).
     pub mem_mb: f64,
-    /// Open sockets.
+    /// Number of open sockets.
     pub sockets: usize,
 }
 
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -16,10 +16,10 @@
     .to_string()
 }
 
-/// One controller left of three or of five carries all machines of a fleet half as large again
-/// as any yet: their connections must fit, and a takeover must end within a worker's lease.
+/// A single remaining controller, of three or of five, owns all machines of a fleet that is 1.5 times the largest
+/// known one. The machines' connections must fit its socket limit, and a takeover must end within a worker's lease.
 #[test]
-fn derived_limits_hold_for_a_fleet_half_as_large_again() {
+fn derived_limits_suffice_for_one_controller_with_the_whole_fleet() {
     let mut trace = String::new();
     for (machines, size, sockets, kb, lease_s, cancel_s) in [
         (2080_usize, 3, 3663, 8.0, 31.0, 56.0),
@@ -27,7 +27,7 @@
     ] {
         let s = Settings::parse(&settings(size, sockets, kb, lease_s, cancel_s), "t").unwrap();
         let records = machines.div_ceil(max_machines_per_rental(s.max_value_bytes()));
-        // The leader writes ten records at a time and waits for each answer.
+        // Assumes that the leader writes ten records at a time and waits up to 700 ms for each response.
         let takeover = s.presence_ttl() + Duration::from_millis(700) * records.div_ceil(10) as u32;
         assert!(machines + 200 < sockets - crate::api::RESERVED_SOCKETS);
         assert!(takeover < s.worker_lease());
@@ -49,20 +49,20 @@
 }
 
 #[test]
-fn impossible_values_are_refused_by_their_field() {
-    let refused = |text: &str| Settings::parse(text, "s.json").unwrap_err().to_string();
+fn invalid_values_are_rejected_by_field() {
+    let error = |text: &str| Settings::parse(text, "s.json").unwrap_err().to_string();
     let good = settings(3, 3663, 8.0, 31.0, 56.0);
     let lines = [
-        refused(&good.replace("\"size\":3", "\"size\":0")),
-        refused(&good.replace("\"sockets\":3663", "\"sockets\":3")),
-        refused(&good.replace("\"lease_s\":31.0", "\"lease_s\":-1.0")),
-        refused(&good.replace("\"txn_ops\":24", "\"txn_ops\":1")),
-        refused(&good.replace("\"txn_ops\":24", "\"txn_ops\":24,\"next\":{\"txn_ops\":1}")),
-        refused(&good.replace(
+        error(&good.replace("\"size\":3", "\"size\":0")),
+        error(&good.replace("\"sockets\":3663", "\"sockets\":3")),
+        error(&good.replace("\"lease_s\":31.0", "\"lease_s\":-1.0")),
+        error(&good.replace("\"txn_ops\":24", "\"txn_ops\":1")),
+        error(&good.replace("\"txn_ops\":24", "\"txn_ops\":24,\"next\":{\"txn_ops\":1}")),
+        error(&good.replace(
             "\"txn_ops\":24",
             "\"txn_ops\":24,\"next\":{\"value_kb\":0.0}",
         )),
-        refused(&good.replace(
+        error(&good.replace(
             "\"txn_ops\":24",
             "\"txn_ops\":24,\"next\":{\"write_rps\":-2}",
         )),
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -1,14 +1,14 @@
-//! Which values of the settings are refused. The first field at fault is named, in the order of the checks.
+//! Validation of the settings. The error names the first invalid field, in the order of the checks.
 
 use super::{NextLimits, Params, Settings, StateParams, Team};
 use rowanmill_config::InvalidField;
 
-/// Fewest changes that the state service must allow in a transaction.
+/// Minimum number of operations that the state service must allow in a transaction.
 const MIN_TRANSACTION_OPERATIONS: usize = 4;
-/// Fewest sockets that a controller must be allowed.
+/// Minimum number of sockets that a controller must be allowed to open.
 const MIN_SOCKETS: usize = 32;
 
-/// Refuses settings that make no sense.
+/// Checks all settings; returns an error for the first invalid field.
 pub(super) fn validate(settings: &Settings) -> Result<(), InvalidField> {
     let params = &settings.params;
     if settings.member.is_empty() {
@@ -32,23 +32,23 @@
         limits,
         ..
     } = params;
-    check_above_zero("params.workers.report_s", workers.report_s)?;
-    check_above_zero("params.workers.lease_s", workers.lease_s)?;
-    check_above_zero("params.workers.gang_wait_s", workers.gang_wait_s)?;
-    check_above_zero("params.workers.gang_peer_s", workers.gang_peer_s)?;
-    check_above_zero("params.workers.cancel_s", workers.cancel_s)?;
+    check_positive("params.workers.report_s", workers.report_s)?;
+    check_positive("params.workers.lease_s", workers.lease_s)?;
+    check_positive("params.workers.gang_wait_s", workers.gang_wait_s)?;
+    check_positive("params.workers.gang_peer_s", workers.gang_peer_s)?;
+    check_positive("params.workers.cancel_s", workers.cancel_s)?;
     let StateParams {
         rps,
         write_rps,
         value_kb,
         ..
     } = *state;
-    check_above_zero("params.state.rps", rps)?;
-    check_above_zero("params.state.write_rps", write_rps)?;
-    check_above_zero("params.state.value_kb", value_kb)?;
-    check_above_zero("params.cloud.rps", cloud.rps)?;
-    check_above_zero("params.limits.core_share", limits.core_share)?;
-    check_above_zero("params.limits.mem_mb", limits.mem_mb)?;
+    check_positive("params.state.rps", rps)?;
+    check_positive("params.state.write_rps", write_rps)?;
+    check_positive("params.state.value_kb", value_kb)?;
+    check_positive("params.cloud.rps", cloud.rps)?;
+    check_positive("params.limits.core_share", limits.core_share)?;
+    check_positive("params.limits.mem_mb", limits.mem_mb)?;
     check_not_negative("params.cloud.list_lag_s", cloud.list_lag_s)?;
     check_not_negative("params.skew_ms", params.skew_ms)
 }
@@ -61,7 +61,7 @@
     ];
     for (field, value) in numbers {
         if let Some(value) = value {
-            check_above_zero(field, value)?;
+            check_positive(field, value)?;
         }
     }
     match next.txn_ops {
@@ -70,7 +70,7 @@
     }
 }
 
-fn check_above_zero(field: &'static str, value: f64) -> Result<(), InvalidField> {
+fn check_positive(field: &'static str, value: f64) -> Result<(), InvalidField> {
     if !value.is_finite() || value <= 0.0 {
         let reason = format!("must be above 0, is {value}");
         return Err(InvalidField::new(field, reason));
@@ -111,7 +111,7 @@
     ];
     for amount in amounts {
         if !amount.is_finite() || amount < 0.0 {
-            let reason = format!("team `{}` has an amount of {amount}", team.name);
+            let reason = format!("team `{}`: {amount} is not a valid amount", team.name);
             return Err(InvalidField::new("params.teams", reason));
         }
     }
