--- a/src/policy/evaluate.rs
+++ b/src/policy/evaluate.rs
@@ -1,19 +1,19 @@
-//! Evaluation of checked expressions. It cannot fail: names and types were checked before.
+//! Evaluation of checked expressions. It cannot fail, because `type_check` has checked names and types.
 
-use super::syntax::Operator;
+use super::syntax::BinaryOperator;
 
-/// An expression whose names are resolved to indices of facts and whose types are right.
+/// A type-checked expression, with names resolved to indices of facts.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TypedExpr {
     Number(f64),
-    Text(String),
+    String(String),
     Boolean(bool),
-    /// The fact at this index of those that the expression was checked against.
+    /// The fact at this index in the facts that the expression was checked against.
     Fact(usize),
     Not(Box<TypedExpr>),
     Negate(Box<TypedExpr>),
     Binary {
-        operator: Operator,
+        operator: BinaryOperator,
         left: Box<TypedExpr>,
         right: Box<TypedExpr>,
     },
@@ -24,20 +24,21 @@
     },
 }
 
-/// A fact's value, or an expression's.
+/// The value of a fact or of an expression.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Value<'a> {
     Number(f64),
-    Text(&'a str),
+    String(&'a str),
     Boolean(bool),
 }
 
 impl TypedExpr {
-    /// The value with these facts, in the order of those that the expression was checked against.
+    /// Evaluates the expression. `facts` are the values of the facts that it was checked against, in the same
+    /// order.
     pub fn value<'a>(&'a self, facts: &[Value<'a>]) -> Value<'a> {
         match self {
             TypedExpr::Number(number) => Value::Number(*number),
-            TypedExpr::Text(text) => Value::Text(text),
+            TypedExpr::String(text) => Value::String(text),
             TypedExpr::Boolean(value) => Value::Boolean(*value),
             TypedExpr::Fact(index) => facts[*index],
             TypedExpr::Not(inner) => Value::Boolean(!inner.boolean(facts)),
@@ -62,21 +63,21 @@
         }
     }
 
-    /// The value of an expression of type number; not a number if it is of another type.
+    /// Evaluates an expression of type number. NaN if the expression has another type.
     pub fn number(&self, facts: &[Value<'_>]) -> f64 {
         match self.value(facts) {
             Value::Number(number) => number,
-            Value::Text(_) | Value::Boolean(_) => f64::NAN,
+            Value::String(_) | Value::Boolean(_) => f64::NAN,
         }
     }
 
-    /// The value of an expression of type boolean; false if it is of another type.
+    /// Evaluates an expression of type boolean. False if the expression has another type.
     pub fn boolean(&self, facts: &[Value<'_>]) -> bool {
         self.value(facts) == Value::Boolean(true)
     }
 }
 
-impl Operator {
+impl BinaryOperator {
     fn apply<'a>(
         self,
         left: &'a TypedExpr,
@@ -84,27 +85,27 @@
         facts: &[Value<'a>],
     ) -> Value<'a> {
         let numbers = || (left.number(facts), right.number(facts));
-        let compare = |holds: fn(&f64, &f64) -> bool| {
+        let compare = |comparison: fn(&f64, &f64) -> bool| {
             let (left, right) = numbers();
-            Value::Boolean(holds(&left, &right))
+            Value::Boolean(comparison(&left, &right))
         };
-        let compute = |result: fn(f64, f64) -> f64| {
+        let compute = |operation: fn(f64, f64) -> f64| {
             let (left, right) = numbers();
-            Value::Number(result(left, right))
+            Value::Number(operation(left, right))
         };
         match self {
-            Operator::Or => Value::Boolean(left.boolean(facts) || right.boolean(facts)),
-            Operator::And => Value::Boolean(left.boolean(facts) && right.boolean(facts)),
-            Operator::Equal => Value::Boolean(left.value(facts) == right.value(facts)),
-            Operator::NotEqual => Value::Boolean(left.value(facts) != right.value(facts)),
-            Operator::Less => compare(f64::lt),
-            Operator::LessOrEqual => compare(f64::le),
-            Operator::Greater => compare(f64::gt),
-            Operator::GreaterOrEqual => compare(f64::ge),
-            Operator::Add => compute(|left, right| left + right),
-            Operator::Subtract => compute(|left, right| left - right),
-            Operator::Multiply => compute(|left, right| left * right),
-            Operator::Divide => compute(|left, right| left / right),
+            BinaryOperator::Or => Value::Boolean(left.boolean(facts) || right.boolean(facts)),
+            BinaryOperator::And => Value::Boolean(left.boolean(facts) && right.boolean(facts)),
+            BinaryOperator::Equal => Value::Boolean(left.value(facts) == right.value(facts)),
+            BinaryOperator::NotEqual => Value::Boolean(left.value(facts) != right.value(facts)),
+            BinaryOperator::Less => compare(f64::lt),
+            BinaryOperator::LessOrEqual => compare(f64::le),
+            BinaryOperator::Greater => compare(f64::gt),
+            BinaryOperator::GreaterOrEqual => compare(f64::ge),
+            BinaryOperator::Add => compute(|left, right| left + right),
+            BinaryOperator::Subtract => compute(|left, right| left - right),
+            BinaryOperator::Multiply => compute(|left, right| left * right),
+            BinaryOperator::Divide => compute(|left, right| left / right),
         }
     }
 }
--- a/src/policy/facts.rs
+++ b/src/policy/facts.rs
@@ -1,51 +1,51 @@
-//! What expressions are evaluated for: the facts' values, in the order of the schema.
+//! The inputs of policy expressions, and their conversion to fact values in the order of the schema.
 
 use super::evaluate::Value;
 use super::schema::MACHINE_TYPE_FACTS;
 
-/// A machine type, and the whole fleet's work on it.
+/// Facts of a machine type and of the demand for it in the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MachineTypeFacts<'a> {
     pub machine_type: &'a str,
     pub cpus: f64,
     pub gpus: f64,
-    /// Price of an hour.
+    /// Price per hour.
     pub price: f64,
-    /// Tasks that arrived in the last period.
+    /// Number of tasks that arrived in the last period.
     pub arrived: f64,
-    /// Tasks that usually arrive in a period.
+    /// Smoothed number of tasks that arrived per period, without the last period.
     pub usual: f64,
-    /// Tasks that wait now.
+    /// Number of tasks that are waiting now.
     pub waiting: f64,
 }
 
-/// A job, as far as its start goes.
+/// Facts of a job.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct JobFacts<'a> {
     pub class: &'a str,
     pub urgency: &'a str,
     pub tasks: f64,
-    /// The owner's estimate of a task's run time in seconds.
+    /// The owner's estimate of the run time of a task, in seconds.
     pub estimate: f64,
 }
 
-/// Machines of one type in one zone, all spot or none.
+/// Facts of a machine pool: the machines of one type in one zone that are all spot or all on-demand machines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MachinePoolFacts<'a> {
     pub machine_type: &'a str,
     pub cpus: f64,
     pub gpus: f64,
-    /// Price of an hour.
+    /// Price per hour.
     pub price: f64,
     pub zone: &'a str,
     pub spot: bool,
 }
 
 impl<'a> MachineTypeFacts<'a> {
-    /// The values in the order of the schema's facts of a machine type.
+    /// The fact values, in the order of the schema's facts of a machine type.
     pub(super) fn values(&self) -> [Value<'a>; MACHINE_TYPE_FACTS] {
         [
-            Value::Text(self.machine_type),
+            Value::String(self.machine_type),
             Value::Number(self.cpus),
             Value::Number(self.gpus),
             Value::Number(self.price),
@@ -55,20 +55,20 @@
         ]
     }
 
-    /// The facts of one machine of this type.
+    /// The fact values of a machine of this type, in the order of the schema's facts of a machine.
     pub(super) fn machine_values(&self, zone: &'a str, spot: bool) -> Vec<Value<'a>> {
         let mut values = self.values().to_vec();
-        values.extend([Value::Text(zone), Value::Boolean(spot)]);
+        values.extend([Value::String(zone), Value::Boolean(spot)]);
         values
     }
 }
 
 impl<'a> JobFacts<'a> {
-    /// The values in the order of the schema's facts of a job.
+    /// The fact values, in the order of the schema's facts of a job.
     pub(super) fn values(&self) -> [Value<'a>; 4] {
         [
-            Value::Text(self.class),
-            Value::Text(self.urgency),
+            Value::String(self.class),
+            Value::String(self.urgency),
             Value::Number(self.tasks),
             Value::Number(self.estimate),
         ]
--- a/src/policy/lexer.rs
+++ b/src/policy/lexer.rs
@@ -1,35 +1,35 @@
-//! Parts a policy's text into tokens. It knows no grammar.
+//! Splits the text of a policy into tokens.
 
 use super::syntax::{Position, SourceError};
 
-/// One token, and where it begins.
+/// A token and the position of its first character.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Token {
     pub position: Position,
     pub kind: TokenKind,
 }
 
-/// What a token is, with its value.
+/// The kind of a token, with its value.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum TokenKind {
     Number(f64),
-    /// What stands between quotes.
-    Text(String),
-    /// A keyword or a name.
+    /// A quoted string, without its quotes.
+    String(String),
+    /// A keyword or an identifier.
     Word(String),
-    /// One of [`SIGNS`].
-    Sign(&'static str),
+    /// One of [`SYMBOLS`].
+    Symbol(&'static str),
     EndOfLine,
 }
 
-/// All signs; one that begins with another stands before it.
-const SIGNS: [&str; 13] = [
+/// All symbols. A symbol that is a prefix of another one comes after it, because the first match is taken.
+const SYMBOLS: [&str; 13] = [
     "==", "!=", "<=", ">=", "<", ">", "=", "+", "-", "*", "/", "(", ")",
 ];
 const COMMENT: char = '#';
 const QUOTE: char = '"';
 
-/// The tokens of a whole text; each line ends with [`TokenKind::EndOfLine`].
+/// The tokens of a text. The tokens of each line are followed by [`TokenKind::EndOfLine`].
 pub(super) fn tokenize(text: &str) -> Result<Vec<Token>, SourceError> {
     let mut tokens = Vec::new();
     for (index, line) in text.lines().enumerate() {
@@ -57,42 +57,43 @@
     }
 }
 
-/// The token with which `rest` begins, and its length in bytes.
+/// The token at the start of `rest`, and its length in bytes.
 fn first_token(
     rest: &str,
     first: char,
     position: Position,
 ) -> Result<(TokenKind, usize), SourceError> {
-    let refuse = |reason: String| SourceError::new(position, reason);
+    let error = |reason: String| SourceError::new(position, reason);
     if first == QUOTE {
-        let text = quoted_text(rest);
-        return text.ok_or_else(|| refuse("a text that does not end on its line".to_owned()));
+        let string = quoted_string(rest);
+        return string.ok_or_else(|| error("unterminated string".to_owned()));
     }
     if first.is_ascii_digit() || first == '.' {
-        let digits = prefix(rest, |c| c.is_ascii_digit() || c == '.');
+        let digits = prefix_while(rest, |c| c.is_ascii_digit() || c == '.');
         let number = digits.parse::<f64>();
-        let number = number.map_err(|_| refuse(format!("`{digits}` is not a number")))?;
+        let number = number.map_err(|_| error(format!("`{digits}` is not a number")))?;
         return Ok((TokenKind::Number(number), digits.len()));
     }
     if first.is_alphabetic() || first == '_' {
-        let word = prefix(rest, |c| c.is_alphanumeric() || c == '_');
+        let word = prefix_while(rest, |c| c.is_alphanumeric() || c == '_');
         return Ok((TokenKind::Word(word.to_owned()), word.len()));
     }
-    let sign = SIGNS.iter().find(|sign| rest.starts_with(**sign));
-    let sign = sign.ok_or_else(|| refuse(format!("`{first}` means nothing here")))?;
-    Ok((TokenKind::Sign(sign), sign.len()))
+    let symbol = SYMBOLS.iter().find(|symbol| rest.starts_with(**symbol));
+    let symbol = symbol.ok_or_else(|| error(format!("unexpected character `{first}`")))?;
+    Ok((TokenKind::Symbol(symbol), symbol.len()))
 }
 
-/// The text between the quotes with which `rest` begins; `None` if the second is missing.
-fn quoted_text(rest: &str) -> Option<(TokenKind, usize)> {
+/// The quoted string at the start of `rest`, and its length in bytes with the quotes. `None` if the closing quote
+/// is missing.
+fn quoted_string(rest: &str) -> Option<(TokenKind, usize)> {
     let inside = &rest[QUOTE.len_utf8()..];
     let end = inside.find(QUOTE)?;
     let length = end + 2 * QUOTE.len_utf8();
-    Some((TokenKind::Text(inside[..end].to_owned()), length))
+    Some((TokenKind::String(inside[..end].to_owned()), length))
 }
 
-/// The longest beginning of `text` whose characters all belong to a token.
-fn prefix(text: &str, belongs: impl Fn(char) -> bool) -> &str {
-    let end = text.find(|c: char| !belongs(c));
+/// The longest prefix of `text` whose characters all satisfy the predicate.
+fn prefix_while(text: &str, predicate: impl Fn(char) -> bool) -> &str {
+    let end = text.find(|c: char| !predicate(c));
     &text[..end.unwrap_or(text.len())]
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,6 +1,6 @@
-//! The operators' policy: a file of expressions, checked as a whole before any of it holds. `lexer`, `parser`
-//! and `type_check` refuse wrong texts, `schema` lists what may be set, `evaluate` computes values. What is
-//! done with the values is decided elsewhere.
+//! The operators' policy: a file that sets parameters of scaling and placement by expressions. A file is only
+//! applied if all of it is valid. `lexer`, `parser` and `type_check` reject invalid files, `schema` defines the
+//! settings, and `evaluate` computes their values. Other modules decide how the values are used.
 
 mod evaluate;
 mod facts;
@@ -21,13 +21,14 @@
 use std::path::Path;
 use syntax::{SourceError, Statement};
 
-/// The policy that holds where operators give none, and for all that theirs leaves out.
-const DEFAULT: &str = include_str!("../../deploy/default.policy");
+/// The embedded policy. It provides the settings that the operators' policy does not set.
+const DEFAULT_POLICY: &str = include_str!("../../deploy/default.policy");
 
-/// What messages call the file.
+/// The kind of file, as error messages name it.
 const FILE_KIND: &str = "policy";
 
-/// Why a policy was refused. The message is one line and names the file, and the line and column at fault.
+/// The error for a policy file that was rejected. Its message is one line and names the file and, unless the file
+/// could not be read, the line and column of the error.
 #[derive(Debug, thiserror::Error)]
 pub enum PolicyError {
     #[error(transparent)]
@@ -40,7 +41,8 @@
     },
 }
 
-/// The parameters of the paper's scaling rules for a machine type.
+/// Parameters of the scaling algorithms for a machine type. Algorithm and equation numbers are those of the paper
+/// that `renting::rules` implements.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ScalingParameters {
     /// Predicted miss rate at or below which machines are released (algorithm 1).
@@ -49,26 +51,26 @@
     pub beta: f64,
     /// Divisor of the startup queue's length (equation 2).
     pub theta: f64,
-    /// Least factor from the miss rate to a number of machines (algorithm 1).
+    /// Minimum factor that converts the miss rate into a number of machines (algorithm 1).
     pub k: f64,
 }
 
-/// Checked expressions for all settings.
+/// Type-checked expressions by setting.
 type Expressions = BTreeMap<Setting, TypedExpr>;
 
-/// A checked policy. Whatever an expression gives, its value is within the setting's range.
+/// A valid policy. The values that it returns are always within the ranges of their settings.
 #[derive(Debug, Clone)]
 pub struct Policy {
     expressions: Expressions,
     /// Seconds between two scaling decisions.
     pub period_s: f64,
-    /// First tasks of a job that form the startup queue.
+    /// Number of first tasks of each job that belong to the startup queue.
     pub startup_count: u32,
     time_zone: TimeZone,
 }
 
 impl Policy {
-    /// Reads and checks a file.
+    /// Reads and checks a policy file.
     pub fn load(path: &Path) -> Result<Self, PolicyError> {
         let text = rowanmill_config::read_text(FILE_KIND, path)?;
         Self::parse(&text).map_err(|problem| PolicyError::Invalid {
@@ -77,20 +79,20 @@
         })
     }
 
-    /// The embedded policy, and over it all that the text sets; or nothing of it.
+    /// Parses and checks the text of a policy. Settings that it does not set have the values of the embedded policy.
     pub fn parse(text: &str) -> Result<Self, SourceError> {
-        let mut expressions = check_settings(DEFAULT)?;
+        let mut expressions = check_settings(DEFAULT_POLICY)?;
         expressions.extend(check_settings(text)?);
         let constant = |setting| expressions[&setting].number(&[]);
         Ok(Self {
             period_s: constant(Setting::Period),
             startup_count: constant(Setting::StartupCount) as u32,
-            time_zone: checked_time_zone(&expressions),
+            time_zone: time_zone_setting(&expressions),
             expressions,
         })
     }
 
-    /// The scaling rules' parameters for a machine type.
+    /// The parameters of the scaling algorithms for a machine type.
     pub fn scaling_parameters(&self, machine_type: &MachineTypeFacts<'_>) -> ScalingParameters {
         let facts = machine_type.values();
         ScalingParameters {
@@ -101,8 +103,8 @@
         }
     }
 
-    /// How many times a machine type's own price may be paid for another one, where the cloud has no more of
-    /// it.
+    /// Maximum price of a substitute for a machine type that the cloud has no more capacity of, as a multiple of
+    /// the machine type's own price.
     pub fn max_price_ratio(&self, machine_type: &MachineTypeFacts<'_>) -> f64 {
         self.number(Setting::Dearer, &machine_type.values())
     }
@@ -112,7 +114,7 @@
         self.number(Setting::Hold, &machine_type.machine_values(zone, spot))
     }
 
-    /// Whether a machine may be released or drained by choice.
+    /// Whether a machine may be released or drained when the controller decides so, for example to scale in.
     pub fn allows_release(
         &self,
         machine_type: &MachineTypeFacts<'_>,
@@ -123,18 +125,20 @@
         self.expressions[&Setting::MayReturn].boolean(&facts)
     }
 
-    /// Within how many expected run times after its arrival a job without a deadline should start.
+    /// The time after its arrival within which a job without a deadline should start, as a multiple of its expected
+    /// run time.
     pub fn start_within_factor(&self, job: &JobFacts<'_>) -> f64 {
         self.number(Setting::StartBy, &job.values())
     }
 
-    /// A number within the setting's range; if an expression gives none, as 0/0 does, the least.
+    /// Evaluates a numeric setting and limits the value to the setting's range. NaN, such as the value of `0/0`,
+    /// becomes the minimum.
     fn number(&self, setting: Setting, facts: &[Value<'_>]) -> f64 {
         let number = self.expressions[&setting].number(facts);
         match setting.domain() {
             ValueDomain::Number(range) if number.is_nan() => *range.start(),
             ValueDomain::Number(range) => number.clamp(*range.start(), *range.end()),
-            ValueDomain::Text | ValueDomain::Boolean => number,
+            ValueDomain::String | ValueDomain::Boolean => number,
         }
     }
 }
@@ -145,16 +149,16 @@
     }
 }
 
-/// The time zone of settings that were checked.
-fn checked_time_zone(expressions: &Expressions) -> TimeZone {
+/// The time zone that checked expressions set.
+fn time_zone_setting(expressions: &Expressions) -> TimeZone {
     let zone = match &expressions[&Setting::TimeZone] {
-        TypedExpr::Text(name) => protection::time_zone(name),
+        TypedExpr::String(name) => protection::time_zone(name),
         _ => None,
     };
     zone.unwrap_or(TimeZone::UTC)
 }
 
-/// Parses a text and checks each of its settings.
+/// Parses a text and checks each statement.
 fn check_settings(text: &str) -> Result<Expressions, SourceError> {
     let mut expressions = BTreeMap::new();
     for statement in parser::parse(text)? {
@@ -170,7 +174,7 @@
 fn check_statement(statement: &Statement) -> Result<(Setting, TypedExpr), SourceError> {
     let Some(setting) = Setting::by_name(&statement.name) else {
         let reason = format!(
-            "`{}` is no setting; there are {}",
+            "unknown setting `{}`; the settings are {}",
             statement.name,
             Setting::ALL.map(Setting::name).join(", ")
         );
@@ -178,34 +182,32 @@
     };
     let domain = setting.domain();
     let expr = type_check::check(&statement.expr, setting.facts(), domain.value_type())?;
-    if let Some(reason) = problem_with_constant(setting, &domain, &expr) {
+    if let Some(reason) = constant_error(setting, &domain, &expr) {
         return Err(SourceError::new(statement.expr.position, reason));
     }
     Ok((setting, expr))
 }
 
-/// What is wrong with a constant: out of range, or not the name of a time zone.
-fn problem_with_constant(
-    setting: Setting,
-    domain: &ValueDomain,
-    expr: &TypedExpr,
-) -> Option<String> {
+/// Why the value of a constant expression is invalid: it is out of range, or is not the name of a time zone.
+fn constant_error(setting: Setting, domain: &ValueDomain, expr: &TypedExpr) -> Option<String> {
     match (domain, expr) {
         (ValueDomain::Number(range), TypedExpr::Number(number)) if !range.contains(number) => {
-            let (least, most) = (range.start(), range.end());
-            Some(format!("{number} is out of range: {least} to {most}"))
+            let (min, max) = (range.start(), range.end());
+            Some(format!("{number} is out of range: {min} to {max}"))
         }
-        _ if setting == Setting::TimeZone => problem_with_time_zone(expr),
+        _ if setting == Setting::TimeZone => time_zone_error(expr),
         _ => None,
     }
 }
 
-fn problem_with_time_zone(expr: &TypedExpr) -> Option<String> {
-    let TypedExpr::Text(name) = expr else {
-        return Some("`time_zone` must be a name, such as \"Asia/Ho_Chi_Minh\"".to_owned());
+fn time_zone_error(expr: &TypedExpr) -> Option<String> {
+    let TypedExpr::String(name) = expr else {
+        return Some(
+            "`time_zone` must be a constant string, such as \"Asia/Ho_Chi_Minh\"".to_owned(),
+        );
     };
     let is_known = protection::time_zone(name).is_some();
-    (!is_known).then(|| format!("no time zone is named `{name}`"))
+    (!is_known).then(|| format!("unknown time zone `{name}`"))
 }
 
 #[cfg(test)]
--- a/src/policy/parser.rs
+++ b/src/policy/parser.rs
@@ -1,42 +1,47 @@
-//! The grammar of policies: `name = expression`, one to a line, by recursive descent. Every expression
-//! keeps its position, so that errors can point at it. Names and types are not checked here.
+//! Recursive-descent parser for policies. A policy consists of statements `name = expression`, one per line.
+//! Every expression keeps its position for error messages. Names and types are checked by `type_check`.
 
 use super::lexer::{Token, TokenKind, tokenize};
-use super::syntax::{Expr, ExprKind, Operator, Position, SourceError, Statement};
+use super::syntax::{BinaryOperator, Expr, ExprKind, Position, SourceError, Statement};
 
-/// Deepest nesting of an expression: more is a mistake, and would exhaust the stack.
+/// Maximum nesting depth of an expression. A deeper one is a mistake and would exhaust the stack.
 const MAX_DEPTH: usize = 64;
 
-const OR: [(&str, Operator); 1] = [("or", Operator::Or)];
-const AND: [(&str, Operator); 1] = [("and", Operator::And)];
-const COMPARISONS: [(&str, Operator); 6] = [
-    ("==", Operator::Equal),
-    ("!=", Operator::NotEqual),
-    ("<=", Operator::LessOrEqual),
-    (">=", Operator::GreaterOrEqual),
-    ("<", Operator::Less),
-    (">", Operator::Greater),
+const OR: [(&str, BinaryOperator); 1] = [("or", BinaryOperator::Or)];
+const AND: [(&str, BinaryOperator); 1] = [("and", BinaryOperator::And)];
+const COMPARISONS: [(&str, BinaryOperator); 6] = [
+    ("==", BinaryOperator::Equal),
+    ("!=", BinaryOperator::NotEqual),
+    ("<=", BinaryOperator::LessOrEqual),
+    (">=", BinaryOperator::GreaterOrEqual),
+    ("<", BinaryOperator::Less),
+    (">", BinaryOperator::Greater),
+];
+const ADDITIVE: [(&str, BinaryOperator); 2] =
+    [("+", BinaryOperator::Add), ("-", BinaryOperator::Subtract)];
+const MULTIPLICATIVE: [(&str, BinaryOperator); 2] = [
+    ("*", BinaryOperator::Multiply),
+    ("/", BinaryOperator::Divide),
 ];
-const SUMS: [(&str, Operator); 2] = [("+", Operator::Add), ("-", Operator::Subtract)];
-const PRODUCTS: [(&str, Operator); 2] = [("*", Operator::Multiply), ("/", Operator::Divide)];
 
-type Parsed = Result<Expr, SourceError>;
+type ParseResult = Result<Expr, SourceError>;
 
 struct Parser {
     tokens: Vec<Token>,
     /// Index of the next token.
     next: usize,
-    /// Open brackets: within them an expression may go on over several lines.
-    open_brackets: usize,
+    /// Number of open parentheses. Inside parentheses, an expression may span several lines.
+    open_parentheses: usize,
+    /// Nesting depth of the current expression.
     depth: usize,
 }
 
-/// All statements of a text, or the first error.
+/// Parses all statements of a text; returns the first error, if any.
 pub(super) fn parse(text: &str) -> Result<Vec<Statement>, SourceError> {
     let mut parser = Parser {
         tokens: tokenize(text)?,
         next: 0,
-        open_brackets: 0,
+        open_parentheses: 0,
         depth: 0,
     };
     let mut statements = Vec::new();
@@ -51,10 +56,10 @@
 }
 
 impl Parser {
-    /// The next token, without taking it; past the last line that line's end. Ends of lines within brackets
-    /// are skipped.
+    /// The next token, which is not consumed. After the last token, it is the end of the last line. Ends of
+    /// lines inside parentheses are skipped.
     fn peek(&mut self) -> Token {
-        while self.open_brackets > 0
+        while self.open_parentheses > 0
             && self.next + 1 < self.tokens.len()
             && self.tokens[self.next].kind == TokenKind::EndOfLine
         {
@@ -71,7 +76,7 @@
         Err(SourceError::new(self.position(), reason))
     }
 
-    /// Takes the next token if it is this keyword or sign.
+    /// Consumes the next token if it is this keyword or symbol.
     fn accept(&mut self, text: &str) -> bool {
         let is_next = self.peek().kind.is(text);
         self.next += usize::from(is_next);
@@ -80,13 +85,13 @@
 
     fn expect(&mut self, text: &str) -> Result<(), SourceError> {
         if !self.accept(text) {
-            return self.error_here(format!("`{text}` expected"));
+            return self.error_here(format!("expected `{text}`"));
         }
         Ok(())
     }
 
-    /// Takes the next token if it is one of these operators.
-    fn accept_operator(&mut self, operators: &[(&str, Operator)]) -> Option<Operator> {
+    /// Consumes the next token if it is one of these operators.
+    fn accept_operator(&mut self, operators: &[(&str, BinaryOperator)]) -> Option<BinaryOperator> {
         let token = self.peek();
         let (_, operator) = operators.iter().find(|(text, _)| token.kind.is(text))?;
         self.next += 1;
@@ -96,15 +101,15 @@
     fn statement(&mut self) -> Result<Statement, SourceError> {
         let Token { position, kind } = self.peek();
         let TokenKind::Word(name) = kind else {
-            return Err(SourceError::new(position, "the name of a setting expected"));
+            return Err(SourceError::new(position, "expected the name of a setting"));
         };
         self.next += 1;
         if !self.accept("=") {
-            return self.error_here(format!("`=` expected after `{name}`"));
+            return self.error_here(format!("expected `=` after `{name}`"));
         }
         let expr = self.expression()?;
         if self.peek().kind != TokenKind::EndOfLine {
-            return self.error_here("the end of the line expected");
+            return self.error_here("expected the end of the line");
         }
         Ok(Statement {
             position,
@@ -116,13 +121,16 @@
     fn enter_nested(&mut self, position: Position) -> Result<(), SourceError> {
         self.depth += 1;
         if self.depth > MAX_DEPTH {
-            return Err(SourceError::new(position, "nested too deeply"));
+            return Err(SourceError::new(
+                position,
+                "expression is nested too deeply",
+            ));
         }
         Ok(())
     }
 
-    /// `if … then … else …`, or the operators.
-    fn expression(&mut self) -> Parsed {
+    /// An expression: `if … then … else …`, or operands with operators.
+    fn expression(&mut self) -> ParseResult {
         let position = self.position();
         self.enter_nested(position)?;
         let expr = if self.accept("if") {
@@ -134,7 +142,8 @@
         Ok(expr)
     }
 
-    fn conditional(&mut self, position: Position) -> Parsed {
+    /// The rest of a conditional expression after `if`.
+    fn conditional(&mut self, position: Position) -> ParseResult {
         let condition = Box::new(self.expression()?);
         self.expect("then")?;
         let then = Box::new(self.expression()?);
@@ -148,15 +157,15 @@
         Ok(Expr { position, kind })
     }
 
-    fn disjunction(&mut self) -> Parsed {
+    fn disjunction(&mut self) -> ParseResult {
         self.left_associative(&OR, Self::conjunction)
     }
 
-    fn conjunction(&mut self) -> Parsed {
+    fn conjunction(&mut self) -> ParseResult {
         self.left_associative(&AND, Self::negation)
     }
 
-    fn negation(&mut self) -> Parsed {
+    fn negation(&mut self) -> ParseResult {
         let position = self.position();
         if !self.accept("not") {
             return self.comparison();
@@ -167,8 +176,8 @@
         Ok(Expr { position, kind })
     }
 
-    /// Comparisons do not chain.
-    fn comparison(&mut self) -> Parsed {
+    /// At most one comparison: `a < b < c` is an error.
+    fn comparison(&mut self) -> ParseResult {
         let left = self.sum()?;
         let position = self.position();
         match self.accept_operator(&COMPARISONS) {
@@ -177,20 +186,20 @@
         }
     }
 
-    fn sum(&mut self) -> Parsed {
-        self.left_associative(&SUMS, Self::product)
+    fn sum(&mut self) -> ParseResult {
+        self.left_associative(&ADDITIVE, Self::product)
     }
 
-    fn product(&mut self) -> Parsed {
-        self.left_associative(&PRODUCTS, Self::signed)
+    fn product(&mut self) -> ParseResult {
+        self.left_associative(&MULTIPLICATIVE, Self::unary_minus)
     }
 
-    /// Operands with any of the operators between them; the first two belong together.
+    /// A sequence of operands with any of the operators between them, grouped from the left.
     fn left_associative(
         &mut self,
-        operators: &[(&str, Operator)],
-        operand: fn(&mut Self) -> Parsed,
-    ) -> Parsed {
+        operators: &[(&str, BinaryOperator)],
+        operand: fn(&mut Self) -> ParseResult,
+    ) -> ParseResult {
         let mut left = operand(self)?;
         loop {
             let position = self.position();
@@ -201,7 +210,7 @@
         }
     }
 
-    fn signed(&mut self) -> Parsed {
+    fn unary_minus(&mut self) -> ParseResult {
         let position = self.position();
         if !self.accept("-") {
             return self.primary();
@@ -210,49 +219,49 @@
         Ok(Expr { position, kind })
     }
 
-    fn primary(&mut self) -> Parsed {
+    fn primary(&mut self) -> ParseResult {
         let Token { position, kind } = self.peek();
         self.next += 1;
         let kind = match kind {
             TokenKind::Number(number) => ExprKind::Number(number),
-            TokenKind::Text(text) => ExprKind::Text(text),
+            TokenKind::String(text) => ExprKind::String(text),
             TokenKind::Word(word) if word == "true" => ExprKind::Boolean(true),
             TokenKind::Word(word) if word == "false" => ExprKind::Boolean(false),
             TokenKind::Word(word) => ExprKind::Name(word),
-            TokenKind::Sign("(") => return self.bracketed(),
-            TokenKind::Sign(sign) => {
-                let reason = format!("`{sign}` means nothing here");
+            TokenKind::Symbol("(") => return self.parenthesized(),
+            TokenKind::Symbol(symbol) => {
+                let reason = format!("unexpected `{symbol}`");
                 return Err(SourceError::new(position, reason));
             }
             TokenKind::EndOfLine => {
-                return Err(SourceError::new(position, "the line ends too early"));
+                return Err(SourceError::new(position, "unexpected end of line"));
             }
         };
         Ok(Expr { position, kind })
     }
 
-    /// The rest of `( … )`.
-    fn bracketed(&mut self) -> Parsed {
-        self.open_brackets += 1;
+    /// The rest of a parenthesized expression after `(`.
+    fn parenthesized(&mut self) -> ParseResult {
+        self.open_parentheses += 1;
         let inner = self.expression()?;
         self.expect(")")?;
-        self.open_brackets -= 1;
+        self.open_parentheses -= 1;
         Ok(inner)
     }
 }
 
 impl TokenKind {
-    /// Whether it is this keyword or sign.
+    /// Whether the token is this keyword or symbol.
     fn is(&self, text: &str) -> bool {
         match self {
             TokenKind::Word(word) => word == text,
-            TokenKind::Sign(sign) => *sign == text,
-            TokenKind::Number(_) | TokenKind::Text(_) | TokenKind::EndOfLine => false,
+            TokenKind::Symbol(symbol) => *symbol == text,
+            TokenKind::Number(_) | TokenKind::String(_) | TokenKind::EndOfLine => false,
         }
     }
 }
 
-fn binary(position: Position, operator: Operator, left: Expr, right: Expr) -> Expr {
+fn binary(position: Position, operator: BinaryOperator, left: Expr, right: Expr) -> Expr {
     let kind = ExprKind::Binary {
         operator,
         left: Box::new(left),
--- a/src/policy/protection/tests.rs
+++ b/src/policy/protection/tests.rs
@@ -19,11 +19,11 @@
     Policy::parse(text).unwrap()
 }
 
-/// The hours in which the clocks change in Los Angeles: 02:00 to 03:00 does not exist in March, and 01:00
-/// to 02:00 occurs twice in November. The protection holds by local time. (Vancouver, by the time zones of
-/// this year, does not change its clocks in November any more.)
+/// A protection from 01:00 to 02:30 local time while clocks change: in Los Angeles, the hour from 02:00 to 03:00
+/// does not exist in March, and the hour from 01:00 to 02:00 occurs twice in November. Vancouver is not suitable
+/// for this test: in the current time zone data, its clocks no longer change in November.
 #[test]
-fn a_protection_follows_local_time_when_clocks_change() {
+fn protection_follows_local_time_when_clocks_change() {
     let policy = policy(
         "time_zone = \"America/Los_Angeles\"\nprotected = zone == \"kamloops\" and hour >= 1 and hour < 2.5",
     );
@@ -50,10 +50,10 @@
     ] {
         for time in times {
             let local = local_time(&policy.time_zone, at(time));
-            let holds = policy.is_protected(&pool("kamloops", 0.0), at(time));
+            let is_protected = policy.is_protected(&pool("kamloops", 0.0), at(time));
             assert!(!policy.is_protected(&pool("victoria", 0.0), at(time)));
             trace.push_str(&format!(
-                "{what} {time}: {:.2} h, protected {holds}\n",
+                "{what} {time}: {:.2} h, protected {is_protected}\n",
                 local.hour
             ));
         }
@@ -70,20 +70,21 @@
     ");
 }
 
-/// A refusal says until when it holds: across midnight, over a weekend, and not at all if it never ends.
+/// The end is found for a protection that lasts past midnight and for one that lasts a weekend. There is none for a
+/// protection that never ends.
 #[test]
-fn the_end_of_a_protection_is_found_up_to_the_horizon() {
-    let at_night = policy(
+fn end_of_a_protection_is_found_up_to_the_horizon() {
+    let nightly = policy(
         "time_zone = \"Asia/Ho_Chi_Minh\"\nprotected = gpus > 0 and (hour >= 22 or hour < 5.5)",
     );
-    let gpus = pool("a", 2.0);
+    let gpu_pool = pool("a", 2.0);
     let until = |policy: &Policy, now: &str| {
-        let until = policy.protection_end_ms(&gpus, at(now))?;
+        let until = policy.protection_end_ms(&gpu_pool, at(now))?;
         let until = Timestamp::from_millisecond(until as i64).unwrap();
         Some(until.to_string())
     };
-    // 23:10 there; it ends at 05:30.
-    let end = until(&at_night, "2026-06-01T16:10:00Z");
+    // It is 23:10 local time, and the protection ends at 05:30.
+    let end = until(&nightly, "2026-06-01T16:10:00Z");
     assert_eq!(end.as_deref(), Some("2026-06-01T22:30:00Z"));
     let weekend = policy("time_zone = \"Asia/Ho_Chi_Minh\"\nprotected = weekday >= 6");
     let end = until(&weekend, "2026-06-06T03:00:00Z");
@@ -94,11 +95,11 @@
     );
 }
 
-/// Nothing is protected, and no clock read, unless a policy says so; an unknown time zone is refused.
+/// The default policy protects nothing. Unknown time zones and invalid protection expressions are rejected.
 #[test]
-fn wrong_time_zones_and_protections_are_refused() {
+fn invalid_time_zones_and_protections_are_rejected() {
     assert!(!Policy::default().has_protection());
-    let wrong = [
+    let invalid = [
         "time_zone = \"Asia/Danang\"",
         "time_zone = 7",
         "time_zone = if true then \"UTC\" else \"UTC\"",
@@ -108,7 +109,7 @@
         "hold = if hour > 3 then 1 else 2",
     ];
     let mut trace = String::new();
-    for text in wrong {
+    for text in invalid {
         let problem = Policy::parse(text).expect_err(text);
         trace.push_str(&format!("{text}\n  {problem}\n"));
     }
--- a/src/policy/schema.rs
+++ b/src/policy/schema.rs
@@ -1,5 +1,5 @@
-//! The settings that a policy may make: their names, types and ranges, and the facts that their expressions
-//! may name. All names are the operators' language and must not change.
+//! The settings of a policy: their names, types and ranges, and the facts that their expressions may refer to.
+//! Operators use these names in their policy files, so they must not change.
 
 use super::type_check::{Fact, ValueType};
 use std::ops::RangeInclusive;
@@ -7,26 +7,39 @@
 /// A setting of the policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Setting {
+    /// Predicted miss rate at or below which machines are released.
     Alpha,
+    /// Predicted miss rate at or above which machines are rented.
     Beta,
+    /// Divisor of the startup queue's length in the remedial policy.
     Theta,
+    /// Minimum factor from the miss rate to a number of machines.
     K,
+    /// Seconds between two scaling decisions.
     Period,
+    /// Seconds for which an unused machine is kept.
     Hold,
+    /// Maximum price of a substitute machine type, as a multiple of the price of the wanted type.
     Dearer,
+    /// Number of first tasks of a job that belong to the startup queue.
     StartupCount,
+    /// Time after its arrival at which a job without a deadline should start, as a multiple of its expected
+    /// run time.
     StartBy,
+    /// Whether a machine may be released or drained when the controller decides so.
     MayReturn,
+    /// Whether a machine pool is protected: it runs no jobs of other cells and is not drained to scale in.
     Protected,
+    /// Time zone of the hour and weekday facts.
     TimeZone,
 }
 
-/// What a setting's value may be.
+/// The valid values of a setting.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ValueDomain {
-    /// A number within the range.
+    /// A number within this range.
     Number(RangeInclusive<f64>),
-    Text,
+    String,
     Boolean,
 }
 
@@ -35,21 +48,24 @@
     pub fn value_type(&self) -> ValueType {
         match self {
             ValueDomain::Number(_) => ValueType::Number,
-            ValueDomain::Text => ValueType::Text,
+            ValueDomain::String => ValueType::String,
             ValueDomain::Boolean => ValueType::Boolean,
         }
     }
 }
 
-/// What a setting is evaluated for, which decides the facts that its expression may name.
+/// What a setting is evaluated for. This determines the facts that its expression may refer to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Scope {
-    /// The controller: a constant.
+    /// Evaluated once, without facts.
     Controller,
+    /// Evaluated for a machine type.
     MachineType,
+    /// Evaluated for a machine.
     Machine,
+    /// Evaluated for a job.
     Job,
-    /// A pool of machines at a time of the day.
+    /// Evaluated for a machine pool at a local time.
     Protection,
 }
 
@@ -70,7 +86,7 @@
         Setting::TimeZone,
     ];
 
-    /// The name in a policy's text.
+    /// The name in policy files.
     pub fn name(self) -> &'static str {
         match self {
             Setting::Alpha => "alpha",
@@ -88,12 +104,12 @@
         }
     }
 
-    /// The setting of that name, if there is one.
+    /// The setting with this name, if there is one.
     pub fn by_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|setting| setting.name() == name)
     }
 
-    /// What its value may be.
+    /// The valid values of the setting.
     pub fn domain(self) -> ValueDomain {
         match self {
             Setting::Alpha => ValueDomain::Number(0.0..=1.0),
@@ -105,11 +121,11 @@
             Setting::Dearer | Setting::StartupCount => ValueDomain::Number(0.0..=1000.0),
             Setting::StartBy => ValueDomain::Number(0.0..=10000.0),
             Setting::MayReturn | Setting::Protected => ValueDomain::Boolean,
-            Setting::TimeZone => ValueDomain::Text,
+            Setting::TimeZone => ValueDomain::String,
         }
     }
 
-    /// The facts that its expression may name, in the order in which their values are given.
+    /// The facts that the setting's expression may refer to, in the order of the values passed to its evaluation.
     pub fn facts(self) -> &'static [Fact] {
         match self.scope() {
             Scope::Controller => &[],
@@ -140,10 +156,10 @@
     }
 }
 
-const fn text(name: &'static str) -> Fact {
+const fn string(name: &'static str) -> Fact {
     Fact {
         name,
-        value_type: ValueType::Text,
+        value_type: ValueType::String,
     }
 }
 
@@ -154,36 +170,36 @@
     }
 }
 
-/// Facts of a machine; the first [`MACHINE_TYPE_FACTS`] are those of its type.
+/// The facts of a machine. The first [`MACHINE_TYPE_FACTS`] ones are those of its type.
 const MACHINE_FACTS: [Fact; 9] = [
-    text("kind"),
+    string("kind"),
     number("cpus"),
     number("gpus"),
     number("price"),
     number("arrived"),
     number("usual"),
     number("waiting"),
-    text("zone"),
+    string("zone"),
     boolean("spot"),
 ];
 
-/// A machine type has no zone and is neither spot nor on demand.
+/// Number of facts of a machine type: those of a machine except `zone` and `spot`, which belong to the machine.
 pub const MACHINE_TYPE_FACTS: usize = 7;
 
 const JOB_FACTS: [Fact; 4] = [
-    text("class"),
-    text("urgency"),
+    string("class"),
+    string("urgency"),
     number("tasks"),
     number("estimate"),
 ];
 
-/// Facts of a pool of machines and of the local time.
+/// The facts of a machine pool and of the local time.
 const PROTECTION_FACTS: [Fact; 8] = [
-    text("kind"),
+    string("kind"),
     number("cpus"),
     number("gpus"),
     number("price"),
-    text("zone"),
+    string("zone"),
     boolean("spot"),
     number("hour"),
     number("weekday"),
--- a/src/policy/syntax.rs
+++ b/src/policy/syntax.rs
@@ -1,12 +1,12 @@
-//! The syntax tree of a policy, and errors that point into its text. Nothing here is parsed or evaluated.
+//! The syntax tree of a policy, and errors with a position in its text.
 
 use std::fmt;
 
-/// A place in a policy's text, line and column counted from 1.
+/// A position in the text of a policy. Lines and columns are counted from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Position {
     pub line: usize,
-    /// In characters.
+    /// Counted in characters.
     pub column: usize,
 }
 
@@ -16,7 +16,7 @@
     }
 }
 
-/// Why a policy's text was refused, and where.
+/// The error for an invalid policy text, with the position of the error.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{position}: {reason}")]
 pub struct SourceError {
@@ -25,7 +25,7 @@
 }
 
 impl SourceError {
-    /// Names a place and what is wrong there.
+    /// Creates an error at a position, with the reason.
     pub fn new(position: Position, reason: impl Into<String>) -> Self {
         Self {
             position,
@@ -36,7 +36,7 @@
 
 /// An operator with two operands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Operator {
+pub enum BinaryOperator {
     Or,
     And,
     Equal,
@@ -51,18 +51,18 @@
     Divide,
 }
 
-/// What an expression is made of.
+/// The kind of an expression, with its subexpressions.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ExprKind {
     Number(f64),
-    Text(String),
+    String(String),
     Boolean(bool),
-    /// The name of a fact.
+    /// A reference to a fact by its name.
     Name(String),
     Not(Box<Expr>),
     Negate(Box<Expr>),
     Binary {
-        operator: Operator,
+        operator: BinaryOperator,
         left: Box<Expr>,
         right: Box<Expr>,
     },
@@ -73,18 +73,18 @@
     },
 }
 
-/// An expression whose names and types are not checked yet.
+/// A parsed expression. Its names and types are not checked yet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Expr {
-    /// Where errors point: a binary operator's own place, else the beginning.
+    /// The position that errors refer to: that of the operator in a binary expression, otherwise the start.
     pub position: Position,
     pub kind: ExprKind,
 }
 
-/// A line `name = expression`.
+/// A statement `name = expression`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Statement {
-    /// The place of the name.
+    /// The position of the name.
     pub position: Position,
     pub name: String,
     pub expr: Expr,
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_embedded_policy_keeps_a_zones_machines_while_jobs_arrive_in_bulk() {
+fn default_policy_keeps_machines_of_a_zone_during_bulk_arrivals() {
     let policy = Policy::default();
     let mut trace = String::new();
     for (what, arrived, waiting) in [
@@ -28,8 +28,9 @@
         ("backlog", 0.0, 400.0),
     ] {
         for zone in ["kamloops", "victoria"] {
-            let may = policy.allows_release(&facts("m", 0.0, arrived, 10.0, waiting), zone, false);
-            trace.push_str(&format!("{what}, {zone}: may return {may}\n"));
+            let allows =
+                policy.allows_release(&facts("m", 0.0, arrived, 10.0, waiting), zone, false);
+            trace.push_str(&format!("{what}, {zone}: may return {allows}\n"));
         }
     }
     insta::assert_snapshot!(trace, @r"
@@ -42,7 +43,7 @@
     ");
 }
 
-/// The examples of docs/operations.md, as they are written there.
+/// The examples in docs/operations.md are valid policies.
 #[test]
 fn the_documented_examples_are_accepted() {
     let page = include_str!("../../docs/operations.md");
@@ -59,7 +60,10 @@
             block.push('\n');
         }
     }
-    assert!(blocks.len() >= 3, "the page has its examples");
+    assert!(
+        blocks.len() >= 3,
+        "docs/operations.md has too few examples of policies"
+    );
     for block in blocks {
         if let Err(problem) = Policy::parse(&block) {
             panic!("{problem}\n{block}");
@@ -103,7 +107,7 @@
 }
 
 #[test]
-fn values_at_run_time_stay_in_range() {
+fn evaluated_values_are_limited_to_their_range() {
     let policy = Policy::parse(
         "beta = if gpus > 0 then waiting / usual else 0.25\n\
          hold = if spot then -5 else 10 * (gpus + 1)\n\
--- a/src/policy/type_check.rs
+++ b/src/policy/type_check.rs
@@ -1,14 +1,14 @@
-//! The type checker: every name is known and every type right before anything is evaluated.
+//! The type checker of policies. It resolves names and checks types, so that evaluation cannot fail.
 
 use super::evaluate::TypedExpr;
-use super::syntax::{Expr, ExprKind, Operator, Position, SourceError};
+use super::syntax::{BinaryOperator, Expr, ExprKind, Position, SourceError};
 use std::fmt;
 
 /// The type of a value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ValueType {
     Number,
-    Text,
+    String,
     Boolean,
 }
 
@@ -16,22 +16,22 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             ValueType::Number => "a number",
-            ValueType::Text => "a text",
-            ValueType::Boolean => "true or false",
+            ValueType::String => "a string",
+            ValueType::Boolean => "a boolean",
         })
     }
 }
 
-/// A fact that expressions may name.
+/// A named input value that expressions may refer to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fact {
     pub name: &'static str,
     pub value_type: ValueType,
 }
 
-/// Checks an expression that may name `facts` and must be of the `wanted` type.
-pub fn check(expr: &Expr, facts: &[Fact], wanted: ValueType) -> Result<TypedExpr, SourceError> {
-    TypeChecker { facts }.check(expr, wanted)
+/// Checks an expression that may refer to `facts` and must have the `expected` type.
+pub fn check(expr: &Expr, facts: &[Fact], expected: ValueType) -> Result<TypedExpr, SourceError> {
+    TypeChecker { facts }.check(expr, expected)
 }
 
 struct TypeChecker<'a> {
@@ -39,24 +39,24 @@
 }
 
 impl TypeChecker<'_> {
-    fn check(&self, expr: &Expr, wanted: ValueType) -> Result<TypedExpr, SourceError> {
+    fn check(&self, expr: &Expr, expected: ValueType) -> Result<TypedExpr, SourceError> {
         let (typed, found) = self.infer(expr)?;
-        if found != wanted {
-            let reason = format!("{wanted} expected, this is {found}");
+        if found != expected {
+            let reason = format!("expected {expected}, found {found}");
             return Err(SourceError::new(expr.position, reason));
         }
         Ok(typed)
     }
 
-    fn check_boxed(&self, expr: &Expr, wanted: ValueType) -> Result<Box<TypedExpr>, SourceError> {
-        self.check(expr, wanted).map(Box::new)
+    fn check_boxed(&self, expr: &Expr, expected: ValueType) -> Result<Box<TypedExpr>, SourceError> {
+        self.check(expr, expected).map(Box::new)
     }
 
-    /// The expression with its names resolved, and its type.
+    /// Resolves the names of an expression and infers its type.
     fn infer(&self, expr: &Expr) -> Result<(TypedExpr, ValueType), SourceError> {
         Ok(match &expr.kind {
             ExprKind::Number(number) => (TypedExpr::Number(*number), ValueType::Number),
-            ExprKind::Text(text) => (TypedExpr::Text(text.clone()), ValueType::Text),
+            ExprKind::String(text) => (TypedExpr::String(text.clone()), ValueType::String),
             ExprKind::Boolean(value) => (TypedExpr::Boolean(*value), ValueType::Boolean),
             ExprKind::Name(name) => self.resolve(expr.position, name)?,
             ExprKind::Not(inner) => {
@@ -88,17 +88,18 @@
         if let Some(index) = self.facts.iter().position(|fact| fact.name == name) {
             return Ok((TypedExpr::Fact(index), self.facts[index].value_type));
         }
-        let known = if self.facts.is_empty() {
-            "nothing can be named here".to_owned()
+        let available = if self.facts.is_empty() {
+            "no facts are available here".to_owned()
         } else {
             let names: Vec<&str> = self.facts.iter().map(|fact| fact.name).collect();
-            format!("known here: {}", names.join(", "))
+            format!("facts available here: {}", names.join(", "))
         };
-        let reason = format!("`{name}` is not known; {known}");
+        let reason = format!("unknown name `{name}`; {available}");
         Err(SourceError::new(position, reason))
     }
 
-    /// Both branches have the type of the first.
+    /// Checks a conditional expression. Its type is that of the `then` branch, which the `else` branch must
+    /// have, too.
     fn infer_conditional(
         &self,
         condition: &Expr,
@@ -115,15 +116,16 @@
         Ok((typed, value_type))
     }
 
-    /// Operands of a type that the operator leaves open have that of the left one.
+    /// Checks a binary expression. If the operator accepts operands of any type, the right one must have the
+    /// type of the left one.
     fn infer_binary(
         &self,
-        operator: Operator,
+        operator: BinaryOperator,
         left: &Expr,
         right: &Expr,
     ) -> Result<(TypedExpr, ValueType), SourceError> {
         let (left, operand_type) = match operator.operand_type() {
-            Some(wanted) => (self.check(left, wanted)?, wanted),
+            Some(expected) => (self.check(left, expected)?, expected),
             None => self.infer(left)?,
         };
         let typed = TypedExpr::Binary {
@@ -135,36 +137,37 @@
     }
 }
 
-impl Operator {
-    /// The type of both operands; `None` if it may be any, the same for both.
+impl BinaryOperator {
+    /// The type that both operands must have. `None` if any type is allowed, as long as both have the same.
     fn operand_type(self) -> Option<ValueType> {
         match self {
-            Operator::Or | Operator::And => Some(ValueType::Boolean),
-            Operator::Equal | Operator::NotEqual => None,
-            Operator::Less
-            | Operator::LessOrEqual
-            | Operator::Greater
-            | Operator::GreaterOrEqual
-            | Operator::Add
-            | Operator::Subtract
-            | Operator::Multiply
-            | Operator::Divide => Some(ValueType::Number),
+            BinaryOperator::Or | BinaryOperator::And => Some(ValueType::Boolean),
+            BinaryOperator::Equal | BinaryOperator::NotEqual => None,
+            BinaryOperator::Less
+            | BinaryOperator::LessOrEqual
+            | BinaryOperator::Greater
+            | BinaryOperator::GreaterOrEqual
+            | BinaryOperator::Add
+            | BinaryOperator::Subtract
+            | BinaryOperator::Multiply
+            | BinaryOperator::Divide => Some(ValueType::Number),
         }
     }
 
     fn result_type(self) -> ValueType {
         match self {
-            Operator::Add | Operator::Subtract | Operator::Multiply | Operator::Divide => {
-                ValueType::Number
-            }
-            Operator::Or
-            | Operator::And
-            | Operator::Equal
-            | Operator::NotEqual
-            | Operator::Less
-            | Operator::LessOrEqual
-            | Operator::Greater
-            | Operator::GreaterOrEqual => ValueType::Boolean,
+            BinaryOperator::Add
+            | BinaryOperator::Subtract
+            | BinaryOperator::Multiply
+            | BinaryOperator::Divide => ValueType::Number,
+            BinaryOperator::Or
+            | BinaryOperator::And
+            | BinaryOperator::Equal
+            | BinaryOperator::NotEqual
+            | BinaryOperator::Less
+            | BinaryOperator::LessOrEqual
+            | BinaryOperator::Greater
+            | BinaryOperator::GreaterOrEqual => ValueType::Boolean,
         }
     }
 }
