--- a/crates/rowanmill-cells/tests/model/cell.rs
+++ b/crates/rowanmill-cells/tests/model/cell.rs
@@ -1,4 +1,4 @@
-//! One cell of the model: two controllers, the cell's own records, and machines that hold leases.
+//! A simulated cell: its controllers, its own records of jobs, and the tasks on its machines, which have leases.
 
 use super::controller::{Controller, RENEW_WITHOUT_LEDGER};
 use super::records::{LocalRecords, RecordState};
@@ -10,18 +10,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// A job's task on a machine.
+/// The running task of a job.
 pub struct Task {
     completes_at: Instant,
     lease_end: Instant,
 }
 
-/// What becomes of a task when its machine reports.
-enum TaskFate {
+/// The effect of a machine's heartbeat on its task.
+enum HeartbeatOutcome {
     Completed,
     Stopped,
     Renewed,
-    /// No controller answers; it runs on until its lease ends.
+    /// No controller answers. The task runs until its lease expires.
     Unanswered,
 }
 
@@ -31,9 +31,9 @@
     pub controllers: Vec<Controller>,
     pub records: LocalRecords,
     pub running: BTreeMap<String, Task>,
-    /// All its controllers are down until then.
+    /// Time until which all its controllers are down.
     down_until: Instant,
-    /// No more tasks start, and work waits.
+    /// Whether the cell has no room: no tasks start, and its summary reports waiting work.
     pub is_full: bool,
     last_incarnation: u64,
 }
@@ -59,7 +59,8 @@
         self.name
     }
 
-    /// Ends its controllers. Its machines run on for as long as their leases hold.
+    /// Stops all controllers until the given time and replaces them by new incarnations. Tasks run on until their
+    /// leases expire.
     pub fn kill_controllers(&mut self, until: Instant) {
         self.down_until = until;
         for controller in &mut self.controllers {
@@ -74,7 +75,7 @@
         self.down_until <= now && self.controllers[controller].paused_until <= now
     }
 
-    /// Whether some controller of it runs and reaches the ledger.
+    /// Whether any of its controllers is running and reaches the ledger.
     pub fn reaches_ledger(&self, now: Instant) -> bool {
         (0..CONTROLLERS_PER_CELL).any(|controller| {
             self.is_running(controller, now) && self.controllers[controller].reaches_ledger(now)
@@ -86,7 +87,7 @@
         self.controllers[controller].read_ledger(ledger, &tracked, now);
     }
 
-    /// Extends the cell's lease; returns the transaction to send, if any.
+    /// Extends the cell's lease; returns the transaction that updates its presence, if one is needed.
     pub fn renew_presence(
         &mut self,
         controller: usize,
@@ -126,7 +127,7 @@
         }
     }
 
-    /// The actions of one round of a controller.
+    /// Plans with a controller; returns the actions to carry out.
     pub fn plan(&mut self, controller: usize, now: Instant) -> Vec<Action> {
         for record in self.records.open.values_mut() {
             record.seen_since.get_or_insert(now);
@@ -157,62 +158,62 @@
         reached.map(|number| &self.controllers[number])
     }
 
-    /// Has the machines report and obey; returns the jobs that completed.
+    /// Handles the heartbeats of all machines; returns the jobs that completed.
     pub fn handle_heartbeats(&mut self, now: Instant) -> Vec<String> {
-        // All by the state before the first of them changes a record.
-        let fates: Vec<(String, TaskFate)> = self
+        // All outcomes are determined before the first one changes a record.
+        let outcomes: Vec<(String, HeartbeatOutcome)> = self
             .running
             .keys()
-            .map(|id| (id.clone(), self.task_fate(id, now)))
+            .map(|id| (id.clone(), self.heartbeat_outcome(id, now)))
             .collect();
         let mut completed = Vec::new();
-        for (id, fate) in fates {
-            match fate {
-                TaskFate::Completed => {
+        for (id, outcome) in outcomes {
+            match outcome {
+                HeartbeatOutcome::Completed => {
                     self.running.remove(&id);
                     self.records.complete(&id);
                     completed.push(id);
                 }
-                TaskFate::Stopped => {
+                HeartbeatOutcome::Stopped => {
                     self.running.remove(&id);
                 }
-                TaskFate::Renewed => {
+                HeartbeatOutcome::Renewed => {
                     if let Some(task) = self.running.get_mut(&id) {
                         task.lease_end = now + WORKER_LEASE;
                     }
                 }
-                TaskFate::Unanswered => {}
+                HeartbeatOutcome::Unanswered => {}
             }
         }
         completed
     }
 
-    fn task_fate(&self, id: &str, now: Instant) -> TaskFate {
+    fn heartbeat_outcome(&self, id: &str, now: Instant) -> HeartbeatOutcome {
         let task = &self.running[id];
         if now >= task.lease_end {
-            return TaskFate::Stopped;
+            return HeartbeatOutcome::Stopped;
         }
         if now >= task.completes_at {
-            return TaskFate::Completed;
+            return HeartbeatOutcome::Completed;
         }
         let Some(controller) = self.reached_controller(now) else {
-            return TaskFate::Unanswered;
+            return HeartbeatOutcome::Unanswered;
         };
         if !controller
             .contact
             .permits_renewals(RENEW_WITHOUT_LEDGER, now)
         {
-            return TaskFate::Unanswered;
+            return HeartbeatOutcome::Unanswered;
         }
         let tracked = self.records.tracked_jobs();
         if self.records.is_open(id) && !controller.halts(&tracked, id) {
-            TaskFate::Renewed
+            HeartbeatOutcome::Renewed
         } else {
-            TaskFate::Stopped
+            HeartbeatOutcome::Stopped
         }
     }
 
-    /// Jobs that a controller of the cell starts now.
+    /// Jobs that the cell starts now.
     pub fn startable_jobs(&self, now: Instant) -> Vec<String> {
         let Some(controller) = self.reached_controller(now).filter(|_| !self.is_full) else {
             return Vec::new();
@@ -240,7 +241,7 @@
         self.running.insert(id.to_owned(), task);
     }
 
-    /// Removes records of cancelled and withdrawn jobs of which nothing runs here any more.
+    /// Removes the records of cancelled and withdrawn jobs that are no longer running.
     pub fn remove_stopped_jobs(&mut self) {
         let open = self.records.open.iter();
         let stopped: Vec<String> = open
@@ -255,7 +256,7 @@
     }
 }
 
-/// One cell of each name.
+/// Creates the cells of [`CELLS`].
 pub fn all_cells(defect: Defect, now: Instant) -> Vec<Cell> {
     let names = CELLS.into_iter();
     names.map(|name| Cell::new(name, defect, now)).collect()
--- a/crates/rowanmill-cells/tests/model/judge.rs
+++ b/crates/rowanmill-cells/tests/model/checker.rs
@@ -1,4 +1,5 @@
-//! Judges a schedule from outside the cells, by what machines ran and what users were told.
+//! Checks the invariants of a schedule from outside the cells: by the jobs that machines ran and the final states
+//! that were reported to users.
 
 use super::{CANCELLATION_LIMIT, Cell};
 use rowanmill_cells::FinalState;
@@ -6,20 +7,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-pub struct Judge {
+pub struct InvariantChecker {
     start: Instant,
     pub accepted: BTreeSet<String>,
-    /// Jobs whose tasks completed somewhere.
+    /// Jobs that completed in any cell.
     completed: BTreeSet<String>,
-    /// Cancellations that are recorded and not confirmed to users yet, with the time of the record.
+    /// Cancellations that were recorded but not yet confirmed to users, with the times at which they were recorded.
     recorded_cancellations: BTreeMap<String, Instant>,
-    /// When cancellations were confirmed to users.
+    /// Cancellations that were confirmed to users, with the times of the confirmations.
     confirmed_cancellations: BTreeMap<String, Instant>,
-    reported_ends: BTreeMap<String, FinalState>,
+    /// The last final state that was reported to users, by job.
+    reported_final_states: BTreeMap<String, FinalState>,
     violations: Vec<String>,
 }
 
-impl Judge {
+impl InvariantChecker {
     pub fn new(start: Instant) -> Self {
         Self {
             start,
@@ -27,7 +29,7 @@
             completed: BTreeSet::new(),
             recorded_cancellations: BTreeMap::new(),
             confirmed_cancellations: BTreeMap::new(),
-            reported_ends: BTreeMap::new(),
+            reported_final_states: BTreeMap::new(),
             violations: Vec::new(),
         }
     }
@@ -49,8 +51,8 @@
         self.recorded_cancellations.insert(id.to_owned(), now);
     }
 
-    /// Confirms recorded cancellations to users once no controller can start the job by an earlier read, or
-    /// the job has ended.
+    /// Confirms recorded cancellations to users once the job is cancelled in its final state, or no controller can
+    /// start it any more by a read from before the cancellation.
     pub fn confirm_cancellations(
         &mut self,
         now: Instant,
@@ -65,32 +67,46 @@
         }
     }
 
-    /// A user is told how a job ended.
-    pub fn end_reported(&mut self, id: &str, end: FinalState, now: Instant) {
-        let before = self.reported_ends.insert(id.to_owned(), end);
-        if before.is_some_and(|before| before != end) {
-            self.report_violation(now, format!("{id} was told two ends"));
+    /// Checks a final state that is reported to a user.
+    pub fn final_state_reported(&mut self, id: &str, final_state: FinalState, now: Instant) {
+        let previous = self
+            .reported_final_states
+            .insert(id.to_owned(), final_state);
+        if previous.is_some_and(|previous| previous != final_state) {
+            self.report_violation(now, format!("two final states of {id} were reported"));
         }
-        if end == FinalState::Done && !self.completed.contains(id) {
-            self.report_violation(now, format!("{id} is told done and is not"));
+        if final_state == FinalState::Done && !self.completed.contains(id) {
+            self.report_violation(
+                now,
+                format!("{id} was reported as done but has not completed"),
+            );
         }
-        if end == FinalState::Done && self.confirmed_cancellations.contains_key(id) {
-            self.report_violation(now, format!("{id} was told cancelled and then done"));
+        if final_state == FinalState::Done && self.confirmed_cancellations.contains_key(id) {
+            self.report_violation(
+                now,
+                format!("{id} was confirmed as cancelled, then reported as done"),
+            );
         }
     }
 
-    /// A cell is about to start a job.
+    /// Checks a job that a cell is about to start.
     pub fn job_starts(&mut self, id: &str, cell: &Cell, cells: &[Cell], now: Instant) {
         if let Some(other) = cells.iter().find(|other| other.running.contains_key(id)) {
             let (here, there) = (cell.name(), other.name());
-            self.report_violation(now, format!("{id} starts in {here} and runs in {there}"));
+            self.report_violation(
+                now,
+                format!("{id} starts in {here} while it runs in {there}"),
+            );
         }
         if self.confirmed_cancellations.contains_key(id) {
-            self.report_violation(now, format!("{id} starts after its cancellation"));
+            self.report_violation(
+                now,
+                format!("{id} starts after its cancellation was confirmed"),
+            );
         }
     }
 
-    /// Checks that no job runs for too long after its cancellation was confirmed.
+    /// Checks that no job runs for longer than [`CANCELLATION_LIMIT`] after its cancellation was confirmed.
     pub fn check_cancellations(&mut self, cells: &[Cell], now: Instant) {
         let runs = |id: &str| cells.iter().any(|cell| cell.running.contains_key(id));
         let confirmed = self.confirmed_cancellations.iter();
@@ -99,7 +115,10 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in overdue {
-            self.report_violation(now, format!("{id} runs too long after its cancellation"));
+            self.report_violation(
+                now,
+                format!("{id} runs too long after its cancellation was confirmed"),
+            );
         }
     }
 }
--- a/crates/rowanmill-cells/tests/model/controller.rs
+++ b/crates/rowanmill-cells/tests/model/controller.rs
@@ -1,4 +1,4 @@
-//! One controller of the model: the real replica, contact and planner.
+//! A simulated controller with the real ledger replica, contact and planner.
 
 use super::{CELLS, Defect, Ledger};
 use rowanmill_cells::contact::LedgerContact;
@@ -13,9 +13,9 @@
 
 /// How long a controller renews workers' leases after its last read of the ledger.
 pub const RENEW_WITHOUT_LEDGER: Duration = Duration::from_secs(3);
-/// Wait before a takeover: the bound on renewals and the workers' lease, with their margins.
+/// `takeover_after_s` of the file: the sum of [`RENEW_WITHOUT_LEDGER`] and a worker's lease, with margins.
 const TAKEOVER_AFTER_S: f64 = 8.1;
-/// The same with [`Defect::TakeOverAtOnce`]: the shortest that the file may give.
+/// `takeover_after_s` with [`Defect::TakeOverAtOnce`]: too short for the workers' leases to expire.
 const TAKEOVER_AT_ONCE_S: f64 = 0.1;
 
 fn config(defect: Defect) -> CellsConfig {
@@ -44,11 +44,11 @@
     pub contact: LedgerContact,
     pub planner: Planner,
     pub lease: Option<u64>,
-    /// It has read the ledger at least once.
+    /// Whether it has read the ledger at least once.
     pub is_loaded: bool,
-    /// It does not reach the ledger until then.
+    /// Time until which it cannot reach the ledger.
     pub cut_off_until: Instant,
-    /// Its process does not run until then.
+    /// Time until which its process is paused.
     pub paused_until: Instant,
 }
 
@@ -71,7 +71,7 @@
         self.cut_off_until <= now
     }
 
-    /// Reads all changes of the ledger. `tracked` are the jobs of the cell's records.
+    /// Reads the changes of the ledger since the last read. `tracked` are the jobs in the cell's own records.
     pub fn read_ledger(&mut self, ledger: &Ledger, tracked: &[TrackedJob], now: Instant) {
         if !self.is_loaded {
             self.replica.reload_from_snapshot(Vec::new(), 0, now);
@@ -87,14 +87,15 @@
         }
     }
 
-    /// Whether the cell must not run the job, by what this controller has read.
+    /// Whether the cell must not run the job, according to this controller's replica.
     pub fn halts(&self, tracked: &[TrackedJob], id: &str) -> bool {
         let job: Vec<TrackedJob> = tracked.iter().filter(|job| job.id == id).cloned().collect();
         let halted = self.planner.halted_jobs(&self.replica, &job);
         halted.contains(id) || self.contact.halted.contains(id)
     }
 
-    /// Extends the cell's lease; returns the transaction that registers the cell or updates its presence.
+    /// Extends the cell's lease. Returns the transaction that registers the cell or updates its presence, if one is
+    /// needed.
     pub fn renew_presence(
         &mut self,
         mut presence: CellPresence,
--- a/crates/rowanmill-cells/tests/model/controller_step.rs
+++ b/crates/rowanmill-cells/tests/model/controller_step.rs
@@ -1,5 +1,5 @@
-//! What the controllers of the model do in a step: read the ledger, keep the cell present, and carry out
-//! what their planners decide.
+//! A controller's part of a simulation step: it reads the ledger, renews the cell's presence and carries out the
+//! actions that its planner returns.
 
 use super::records::RecordChange;
 use super::{CELLS, Defect, Model};
@@ -8,11 +8,11 @@
 use rowanmill_cells::transaction::LedgerChange;
 use rowanmill_cells::{OwnershipVersion, WithdrawalCondition};
 
-/// The ledger's limit on the operations of a transaction.
+/// Maximum number of operations of a ledger transaction.
 const MAX_OPERATIONS: usize = 8;
 
 impl Model {
-    pub(super) fn act_as_controller(&mut self, cell: usize, number: usize) {
+    pub(super) fn step_controller(&mut self, cell: usize, number: usize) {
         let now = self.now;
         if !self.cells[cell].is_running(number, now) {
             return;
@@ -21,7 +21,7 @@
             return;
         }
         self.cells[cell].read_ledger(number, &self.ledger, now);
-        // Both may take themselves for the leader for a while.
+        // Both controllers may consider themselves the leader at the same time.
         let is_leader = number == 0 || self.rng.random_bool(0.05);
         if !is_leader {
             return;
--- a/crates/rowanmill-cells/tests/model/delivery.rs
+++ b/crates/rowanmill-cells/tests/model/delivery.rs
@@ -1,4 +1,5 @@
-//! Delivery of writes: one may be carried out without an answer, late, or not at all.
+//! Simulated delivery of writes. A write to the ledger may be carried out without a response, and any write may be
+//! carried out late.
 
 use super::records::RecordChange;
 use super::{Cell, Ledger, Model};
@@ -6,14 +7,14 @@
 use rowanmill_cells::transaction::Transaction;
 use std::time::{Duration, Instant};
 
-/// A write that was sent and is carried out later, without an answer.
+/// A write that was sent and is carried out later. Its sender gets no response.
 pub enum DelayedWrite {
     Ledger(Transaction),
     Records { cell: usize, change: RecordChange },
 }
 
 impl DelayedWrite {
-    /// Whether its preconditions held.
+    /// Carries out the write; returns whether its preconditions held.
     fn carry_out(&self, ledger: &mut Ledger, cells: &mut [Cell], now: Instant) -> bool {
         match self {
             Self::Ledger(transaction) => ledger.commit(transaction, now).is_ok(),
@@ -23,11 +24,11 @@
 }
 
 impl Model {
-    /// Sends a transaction to the ledger; returns the revision if it was committed and answered.
+    /// Sends a transaction to the ledger. Returns the revision if it was committed and its sender got the response.
     pub(super) fn send_to_ledger(&mut self, transaction: Transaction) -> Option<u64> {
         let now = self.now;
         if self.chance(0.1) {
-            // Carried out or rejected, but not answered.
+            // The transaction is committed or rejected, but the response is lost.
             let _ = self.ledger.commit(&transaction, now);
             return None;
         }
@@ -39,7 +40,7 @@
         self.ledger.commit(&transaction, now).ok()
     }
 
-    /// Sends a change to a cell's own records.
+    /// Sends a change to a cell's own records; it may be carried out late.
     pub(super) fn send_to_records(&mut self, cell: usize, change: RecordChange) {
         if self.chance(0.15) {
             let delay = self.random_delay();
--- a/crates/rowanmill-cells/tests/model/ledger.rs
+++ b/crates/rowanmill-cells/tests/model/ledger.rs
@@ -1,4 +1,4 @@
-//! A ledger in memory: keys with revisions, leases and a log, at a time that is passed in.
+//! An in-memory ledger with revisions, leases and a log of changes. The current time is passed to its functions.
 
 use rowanmill_cells::record::{LedgerJob, job_key};
 use rowanmill_cells::replica::Versioned;
@@ -9,14 +9,14 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A key's value, with the revision of its last change.
+/// The value of a key, with the revision of its last change and the lease that it is attached to.
 struct Value {
     data: Box<RawValue>,
     revision: u64,
     lease: Option<u64>,
 }
 
-/// Why a transaction was not committed: a precondition failed, or a lease has expired.
+/// The error for a transaction that was not committed, because a precondition failed or a lease has expired.
 #[derive(Debug)]
 pub struct Rejected;
 
@@ -24,7 +24,7 @@
 pub struct Ledger {
     pub revision: u64,
     values: BTreeMap<String, Value>,
-    /// Leases with their ends.
+    /// The times at which the leases expire, by lease.
     leases: BTreeMap<u64, Instant>,
     log: Vec<WatchEvent>,
     last_lease: u64,
@@ -40,7 +40,7 @@
         self.last_lease
     }
 
-    /// False if the lease has expired.
+    /// Extends a lease; returns false if it has expired.
     pub fn extend_lease(&mut self, lease: u64, end: Instant) -> bool {
         let Some(held) = self.leases.get_mut(&lease) else {
             return false;
@@ -55,7 +55,7 @@
         let expired: Vec<String> = self
             .values
             .iter()
-            .filter(|(_, value)| value.lease.is_some_and(|lease| !self.holds(lease)))
+            .filter(|(_, value)| value.lease.is_some_and(|lease| !self.has_lease(lease)))
             .map(|(key, _)| key.clone())
             .collect();
         for key in expired {
@@ -64,11 +64,12 @@
         }
     }
 
-    fn holds(&self, lease: u64) -> bool {
+    fn has_lease(&self, lease: u64) -> bool {
         self.leases.contains_key(&lease)
     }
 
-    /// Carries out a transaction; returns the revision of its changes.
+    /// Commits a transaction if its preconditions hold and its leases have not expired. Returns the revision of its
+    /// changes.
     pub fn commit(&mut self, transaction: &Transaction, now: Instant) -> Result<u64, Rejected> {
         self.expire_leases(now);
         let preconditions_hold = transaction
@@ -79,7 +80,7 @@
             .operations
             .iter()
             .all(|operation| match operation {
-                Operation::Put { lease, .. } => lease.is_none_or(|lease| self.holds(lease)),
+                Operation::Put { lease, .. } => lease.is_none_or(|lease| self.has_lease(lease)),
                 Operation::Delete { .. } => true,
             });
         if !preconditions_hold || !leases_hold {
@@ -127,6 +128,7 @@
         }
     }
 
+    /// The changes after a revision.
     pub fn changes_since(&self, revision: u64) -> Vec<WatchEvent> {
         let newer = self.log.iter().filter(|change| change.revision > revision);
         newer.cloned().collect()
--- a/crates/rowanmill-cells/tests/model/mod.rs
+++ b/crates/rowanmill-cells/tests/model/mod.rs
@@ -1,18 +1,18 @@
-//! The model: a ledger, cells with two controllers each, their own records and machines, and users. Time
-//! passes in steps, and all chance comes from one seed.
+//! A deterministic simulation of a ledger, users, and cells with two controllers, their own records and machines
+//! each. Simulated time advances in steps, and all random choices derive from one seed.
 
 mod cell;
+mod checker;
 mod controller;
 mod controller_step;
 mod delivery;
-mod judge;
 pub mod ledger;
 mod records;
 mod users;
 
 use cell::Cell;
+use checker::InvariantChecker;
 use delivery::DelayedWrite;
-use judge::Judge;
 use ledger::Ledger;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -24,36 +24,39 @@
 pub const CELLS: [&str; 3] = ["a", "b", "c"];
 const CONTROLLERS_PER_CELL: usize = 2;
 const WORKER_LEASE: Duration = Duration::from_secs(4);
-/// Longest time that a task may run after its job's cancellation was confirmed.
+/// Maximum time that a task may run after the cancellation of its job was confirmed.
 const CANCELLATION_LIMIT: Duration = Duration::from_secs(10);
+/// Simulated time per step.
 const STEP: Duration = Duration::from_millis(100);
-/// Faults happen, and jobs are submitted, during the first part of a schedule.
+/// Length of the first part of a schedule, in which faults are injected and jobs are submitted.
 const FAULT_PERIOD: Duration = Duration::from_secs(80);
-/// Then all jobs must end within this time.
+/// Time after the fault period within which all jobs must end.
 const RECOVERY_PERIOD: Duration = Duration::from_secs(120);
 
-/// What is taken out of the design, to see that the judge notices.
+/// A safeguard that is removed, to verify that the checker detects the resulting violations.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Defect {
+    /// All safeguards are in place.
     None,
     /// Jobs are taken over as soon as a cell is absent.
     TakeOverAtOnce,
-    /// Controllers start tasks however old their read of the ledger is.
+    /// Controllers start tasks regardless of the age of their last read of the ledger.
     StartWithoutRead,
-    /// A final state is written whatever the ledger holds by now.
+    /// A final state is written without preconditions on the ledger's current state.
     FinishWithoutPrecondition,
 }
 
-/// How often the events happened that the schedules are for.
+/// Numbers of the events that the schedules are meant to contain.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct EventCounts {
+    /// Delayed writes whose preconditions still held.
     pub late_writes_applied: usize,
     pub takeovers: usize,
     pub handovers: usize,
     pub cancellations: usize,
-    /// Cells whose controllers ended and came back.
+    /// Restarts of all controllers of a cell.
     pub restarts: usize,
-    /// Jobs that were adopted by a cell that had relinquished them before.
+    /// Adoptions of a job by a cell that had relinquished it before.
     pub readoptions: usize,
 }
 
@@ -75,9 +78,10 @@
     now: Instant,
     ledger: Ledger,
     cells: Vec<Cell>,
+    /// Writes in transit, with the times at which they are carried out.
     delayed_writes: Vec<(Instant, DelayedWrite)>,
     submitted: BTreeSet<String>,
-    judge: Judge,
+    checker: InvariantChecker,
     pub counts: EventCounts,
 }
 
@@ -93,16 +97,17 @@
             cells: cell::all_cells(defect, start),
             delayed_writes: Vec::new(),
             submitted: BTreeSet::new(),
-            judge: Judge::new(start),
+            checker: InvariantChecker::new(start),
             counts: EventCounts::default(),
         }
     }
 
     pub fn violations(&self) -> &[String] {
-        self.judge.violations()
+        self.checker.violations()
     }
 
-    /// Plays the schedule until all jobs have ended, or to its first violation.
+    /// Runs the schedule until all jobs have ended or an invariant is violated. Reports the jobs that have not ended in
+    /// time as violations.
     pub fn run(&mut self) {
         while self.now < self.start + FAULT_PERIOD + RECOVERY_PERIOD {
             self.step();
@@ -113,11 +118,11 @@
                 return;
             }
         }
-        for id in &self.judge.accepted.clone() {
+        for id in &self.checker.accepted.clone() {
             if final_state(&self.ledger, id).is_none() {
                 let held = self.ledger.job(id);
-                let violation = format!("{id} has no end: {held:?}");
-                self.judge.report_violation(self.now, violation);
+                let violation = format!("{id} has not ended: {held:?}");
+                self.checker.report_violation(self.now, violation);
             }
         }
     }
@@ -127,11 +132,11 @@
     }
 
     fn all_ended(&self) -> bool {
-        let mut accepted = self.judge.accepted.iter();
+        let mut accepted = self.checker.accepted.iter();
         self.delayed_writes.is_empty() && accepted.all(|id| final_state(&self.ledger, id).is_some())
     }
 
-    /// True with this probability, and never after the fault period.
+    /// True with this probability during the fault period, and always false afterwards.
     fn chance(&mut self, probability: f64) -> bool {
         self.in_fault_period() && self.rng.random_bool(probability)
     }
@@ -141,15 +146,15 @@
         self.ledger.expire_leases(self.now);
         self.carry_out_delayed_writes();
         self.inject_faults();
-        self.act_as_users();
+        self.simulate_users();
         for cell in 0..self.cells.len() {
             for number in 0..CONTROLLERS_PER_CELL {
-                self.act_as_controller(cell, number);
+                self.step_controller(cell, number);
             }
             self.run_machines(cell);
             self.cells[cell].remove_stopped_jobs();
         }
-        self.judge.check_cancellations(&self.cells, self.now);
+        self.checker.check_cancellations(&self.cells, self.now);
     }
 
     fn inject_faults(&mut self) {
@@ -179,15 +184,15 @@
         }
     }
 
-    /// The machines of a cell report to one of its controllers, obey, and start what it has them start.
+    /// Handles the heartbeats of a cell's machines and starts the jobs that the cell can start now.
     fn run_machines(&mut self, cell: usize) {
         let now = self.now;
         for id in self.cells[cell].handle_heartbeats(now) {
-            self.judge.job_completed(id);
+            self.checker.job_completed(id);
         }
         for id in self.cells[cell].startable_jobs(now) {
             let starting = &self.cells[cell];
-            self.judge.job_starts(&id, starting, &self.cells, now);
+            self.checker.job_starts(&id, starting, &self.cells, now);
             let duration = Duration::from_millis(self.rng.random_range(1_000..15_000));
             self.cells[cell].start_task(&id, now, duration);
         }
--- a/crates/rowanmill-cells/tests/model/records.rs
+++ b/crates/rowanmill-cells/tests/model/records.rs
@@ -1,4 +1,4 @@
-//! A cell's own records of jobs. Each change carries the precondition that the real records have.
+//! A cell's own records of jobs. Changes have the same preconditions as in the cell's state service.
 
 use rowanmill_cells::{LocalJobState, OwnershipVersion, TrackedJob};
 use std::collections::BTreeMap;
@@ -7,15 +7,16 @@
 /// A change of a cell's own records, with its precondition.
 #[derive(Clone)]
 pub enum RecordChange {
-    /// Inserts a job, unless it is open, has ended, or was relinquished after `relinquished_revision`.
+    /// Inserts a job. The job must not be open or ended, and `relinquished_revision` must be the revision at which
+    /// the cell last relinquished it, or 0 if it never did.
     Adopt {
         id: String,
         ownership: OwnershipVersion,
         relinquished_revision: u64,
     },
-    /// Cancels a job whose record is of this revision.
+    /// Cancels a job if its record has this revision.
     Cancel { id: String, revision: u64 },
-    /// Withdraws a job whose record is of this revision.
+    /// Withdraws a job if its record has this revision.
     Withdraw {
         id: String,
         revision: u64,
@@ -35,11 +36,11 @@
     pub state: RecordState,
     pub ownership: OwnershipVersion,
     pub revision: u64,
-    /// When a planner first saw it.
+    /// When a controller first planned with the record.
     pub seen_since: Option<Instant>,
 }
 
-/// What stays of a job that left the cell.
+/// What the cell keeps of a job that it relinquished.
 #[derive(Clone, Copy)]
 pub struct Relinquished {
     pub epoch: u64,
@@ -72,7 +73,7 @@
         self.relinquished.get(id).copied()
     }
 
-    /// Whether the precondition held, so that the change was made.
+    /// Makes a change if its precondition holds; returns whether it was made.
     pub fn apply(&mut self, change: &RecordChange) -> bool {
         self.revision += 1;
         match change {
@@ -120,7 +121,7 @@
         true
     }
 
-    /// Ends a job whose tasks completed, unless it was cancelled or withdrawn in the meantime.
+    /// Records the completion of a job, unless it was cancelled or withdrawn in the meantime.
     pub fn complete(&mut self, id: &str) {
         if self.is_open(id) {
             self.open.remove(id);
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Removes the record of a cancelled or withdrawn job of which nothing runs any more.
+    /// Removes the record of a cancelled or withdrawn job that is no longer running.
     pub fn remove_stopped(&mut self, id: &str) {
         let Some(record) = self.open.remove(id) else {
             return;
--- a/crates/rowanmill-cells/tests/model/users.rs
+++ b/crates/rowanmill-cells/tests/model/users.rs
@@ -1,4 +1,4 @@
-//! Users of the model: they submit, cancel and poll at any cell.
+//! Simulated users, who submit jobs, cancel them and query their final states at any cell.
 
 use super::delivery::DelayedWrite;
 use super::records::RecordChange;
@@ -9,16 +9,16 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Jobs that are submitted in a schedule.
+/// Maximum number of jobs that are submitted in a schedule.
 const MAX_JOBS: usize = 8;
-/// After this time a submission without an answer has reached the ledger.
+/// Time after which a submission that got no response is repeated.
 const RESUBMISSION_DELAY: Duration = Duration::from_secs(1);
 
 impl Model {
-    pub(super) fn act_as_users(&mut self) {
+    pub(super) fn simulate_users(&mut self) {
         let ledger = &self.ledger;
         let final_state = |id: &str| super::final_state(ledger, id);
-        self.judge.confirm_cancellations(self.now, final_state);
+        self.checker.confirm_cancellations(self.now, final_state);
         let cell = self.rng.random_range(0..self.cells.len());
         if self.submitted.len() < MAX_JOBS && self.chance(0.05) {
             let id = format!("job-{}", self.submitted.len());
@@ -31,14 +31,15 @@
             self.cancel(cell, &id);
         }
         if let Some(id) = self.random_job()
-            && let Some(end) = super::final_state(&self.ledger, &id)
+            && let Some(final_state) = super::final_state(&self.ledger, &id)
         {
-            self.judge.end_reported(&id, end, self.now);
+            self.checker
+                .final_state_reported(&id, final_state, self.now);
         }
     }
 
     fn random_job(&mut self) -> Option<String> {
-        let accepted = &self.judge.accepted;
+        let accepted = &self.checker.accepted;
         let nth = self.rng.random_range(0..accepted.len().max(1));
         accepted.iter().nth(nth).cloned()
     }
@@ -47,9 +48,10 @@
         let job = LedgerJob::accepted_by(CELLS[cell], 0, Vec::new(), json!({}));
         let transaction = transaction::publish(id, &job);
         let committed = self.send_to_ledger(transaction.clone());
-        self.judge.accepted.insert(id.to_owned());
+        self.checker.accepted.insert(id.to_owned());
         let Some(revision) = committed else {
-            // Its user repeats it until it is accepted.
+            // The user repeats a submission until it is accepted, so the job counts as accepted. The retry is carried
+            // out as a delayed write.
             self.delay_write(RESUBMISSION_DELAY, DelayedWrite::Ledger(transaction));
             return;
         };
@@ -64,7 +66,7 @@
         self.send_to_records(cell, adopt);
     }
 
-    /// Any cell that reaches the ledger records a cancellation.
+    /// Cancels a job through a cell, which need not own it but must reach the ledger.
     fn cancel(&mut self, cell: usize, id: &str) {
         let Some(held) = self.ledger.job(id) else {
             return;
@@ -75,7 +77,7 @@
         let cancelled = held.record.into_cancelled();
         let transaction = transaction::update_job(id, held.revision, &cancelled);
         if self.send_to_ledger(transaction).is_some() {
-            self.judge.cancellation_recorded(id, self.now);
+            self.checker.cancellation_recorded(id, self.now);
             self.counts.cancellations += 1;
         }
     }
--- a/crates/rowanmill-cells/tests/schedules.rs
+++ b/crates/rowanmill-cells/tests/schedules.rs
@@ -1,7 +1,7 @@
-//! Seeded schedules of three cells over one ledger, with the time passed in: transactions that are carried
-//! out without an answer or late, cells cut off from the ledger, ended and restarted, controllers that are
-//! paused, and cancellations at any time. What machines ran and what users were told is judged at every
-//! step, from outside the cells.
+//! Randomized simulations ("schedules") of three cells that share a ledger, in simulated time. Faults are injected:
+//! ledger transactions whose responses are lost or that are carried out late, controllers that are paused, restarted
+//! or disconnected from the ledger, and cancellations at any time. A checker outside the cells verifies at every
+//! step which jobs the machines run and what users are told.
 
 mod model;
 
@@ -15,19 +15,19 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Schedules that CI plays.
+/// Number of schedules that CI runs.
 const SEEDS: u64 = 120;
-/// Schedules of the longer search.
+/// Number of schedules of the longer search.
 const MANY_SEEDS: u64 = 4_000;
 
 const JOB: &str = "job-1";
-/// The ledger's limit on the operations of a transaction.
+/// Maximum number of operations of a ledger transaction.
 const MAX_OPERATIONS: usize = 8;
 
-/// Whatever happens, no job runs in two cells, none starts after its cancellation was confirmed, each has
-/// one end, and none is lost.
+/// In every schedule, no job runs in two cells at a time, none starts after its cancellation was confirmed, and every
+/// accepted job reaches exactly one final state.
 #[test]
-fn every_schedule_gives_each_job_one_end() {
+fn each_job_reaches_one_final_state_in_every_schedule() {
     let mut totals = EventCounts::default();
     for seed in 0..SEEDS {
         let mut model = Model::new(seed, Defect::None);
@@ -37,12 +37,12 @@
         totals += model.counts;
     }
     println!("{totals:?}");
-    // The schedules contain the events that they are for.
+    // The schedules must contain the events that they are meant to test.
     assert!(totals.late_writes_applied > 100 && totals.takeovers > 100 && totals.handovers > 100);
     assert!(totals.cancellations > 50 && totals.restarts > 50 && totals.readoptions > 10);
 }
 
-/// The judge is able to fail: without a precondition or a wait, some schedule breaks a rule.
+/// The checker detects violations: for each safeguard that is removed, some schedule violates an invariant.
 #[test]
 fn schedules_detect_each_defect() {
     let defects = [
@@ -58,7 +58,7 @@
         };
         let detected_by = (0..SEEDS * 5).find(detects);
         println!("{defect:?}: detected by seed {detected_by:?}");
-        assert!(detected_by.is_some(), "{defect:?} goes undetected");
+        assert!(detected_by.is_some(), "no schedule detects {defect:?}");
     }
 }
 
@@ -83,7 +83,7 @@
     replica
 }
 
-/// Registers cell `a` for the length of one lease.
+/// Registers cell `a` with a lease that is not renewed.
 fn register_cell(ledger: &mut Ledger, now: Instant) {
     let replica = replica_of(ledger, now);
     let lease = ledger.create_lease(now + Ledger::CELL_LEASE);
@@ -91,15 +91,16 @@
     ledger.commit(&transaction, now).unwrap();
 }
 
-/// The transaction by which `cell` carries out an action.
+/// The transaction with which `cell` carries out an action.
 fn transaction_for(replica: &LedgerReplica, cell: &str, action: &Action) -> Transaction {
     let change = LedgerChange::for_action(replica, cell, action, MAX_OPERATIONS);
     change.unwrap().transaction
 }
 
-/// A takeover was decided while a cell was absent, and is carried out after the cell returned and left
-/// again: the cell's tasks may still run then. The schedules do not reach this in hundreds of tries, so it
-/// is played by itself, with the precondition on the cell's registrations and without.
+/// A takeover is planned while a cell is absent, and committed after the cell has returned and become absent again.
+/// The cell's tasks may still be running, so the takeover must fail. The precondition on the cell's generation, which
+/// counts its registrations, prevents it. Hundreds of random schedules did not reach this case, so it is tested
+/// separately, with and without the precondition.
 #[test]
 fn late_takeover_fails_once_the_cell_had_returned() {
     let takes_over = |with_generation: bool| {
@@ -125,11 +126,15 @@
         ledger.commit(&takeover, absent_again_at).is_ok()
     };
     assert!(!takes_over(true));
-    assert!(takes_over(false), "the precondition is what prevents it");
+    assert!(
+        takes_over(false),
+        "without the precondition, the takeover must succeed"
+    );
 }
 
-/// A handover was sent and not answered, and the cell adopts the job again: carried out late, the handover
-/// would let another cell run it too. Raising the epoch first is what makes it fail.
+/// A handover gets no response, and the cell adopts the job again. If the handover were committed late, another cell
+/// could run the job, too. The cell therefore reclaims the job before it adopts it: this increments the epoch, and the
+/// late handover fails.
 #[test]
 fn late_handover_fails_once_the_cell_reclaimed_the_job() {
     let hands_over = |with_reclaim: bool| {
@@ -152,11 +157,14 @@
         ledger.commit(&handover, now).is_ok()
     };
     assert!(!hands_over(true));
-    assert!(hands_over(false), "the reclaim is what prevents it");
+    assert!(
+        hands_over(false),
+        "without the reclaim, the handover must succeed"
+    );
 }
 
-/// More schedules than CI has time for: `cargo test --release -p rowanmill-cells --test schedules --
-/// --ignored --nocapture`.
+/// Runs more schedules than CI has time for. Command:
+/// `cargo test --release -p rowanmill-cells --test schedules -- --ignored --nocapture`.
 #[test]
 #[ignore = "a longer search"]
 fn thousands_of_schedules() {
