--- a/crates/rowanmill-cells/tests/file_format.rs
+++ b/crates/rowanmill-cells/tests/file_format.rs
@@ -1,4 +1,4 @@
-//! The operators' file of the cells, as read: the names of its fields are an interface.
+//! The field names of the cells file. Operators write this file, so the names must not change.
 
 use rowanmill_cells::CellsConfig;
 use rowanmill_cells::ranking::Candidate;
@@ -24,7 +24,7 @@
     value.map_or("none".to_owned(), |value| value.to_string())
 }
 
-/// Every field under its name in the file.
+/// All fields of a file, by their names in the file.
 fn config_text(config: &CellsConfig) -> String {
     let mut text = String::new();
     for cell in &config.cells {
@@ -55,18 +55,18 @@
 
 #[test]
 fn cells_file_is_read_field_by_field() {
-    let mut whole = minimal_file();
-    whole["spill"] =
+    let mut all_fields = minimal_file();
+    all_fields["spill"] =
         json!({"after_s": 60.5, "at_once": 4, "moves": 2, "ranking": "ranking.script"});
-    whole["later"] = json!({"unknown": true});
-    let mut script_alone = minimal_file();
-    script_alone["spill"] = json!({"ranking": null, "after_s": null});
+    all_fields["later"] = json!({"unknown": true});
+    let mut null_fields = minimal_file();
+    null_fields["spill"] = json!({"ranking": null, "after_s": null});
     let mut trace = String::new();
     for (form, text) in [
         ("as deployed", DEPLOYED.to_owned()),
-        ("all fields", whole.to_string()),
+        ("all fields", all_fields.to_string()),
         ("the least", minimal_file().to_string()),
-        ("nulls", script_alone.to_string()),
+        ("nulls", null_fields.to_string()),
     ] {
         let config = CellsConfig::parse(&text, "cells.json").unwrap();
         writeln!(trace, "== {form}\n{}", config_text(&config)).unwrap();
@@ -97,14 +97,14 @@
         parent.as_object_mut().unwrap().remove(field).unwrap();
         let error = CellsConfig::parse(&file.to_string(), "cells.json").unwrap_err();
         let error = error.to_string();
-        // The position in the text depends on the order of its fields.
+        // The position depends on the order of the fields in the text.
         let error = error.split(" at line").next().unwrap_or_default();
         writeln!(trace, "without {at}: {error}").unwrap();
     }
     insta::assert_snapshot!(trace);
 }
 
-/// What an operator's script chooses from.
+/// The input of the operators' ranking script.
 #[test]
 fn script_sees_candidates_under_the_documented_field_names() {
     let candidate = Candidate {
--- a/crates/rowanmill-cells/tests/records.rs
+++ b/crates/rowanmill-cells/tests/records.rs
@@ -1,4 +1,4 @@
-//! The ledger's keys and records as text, which no later change of names may alter.
+//! The ledger's keys and the JSON of its records. Renaming types or fields must not change them.
 
 use rowanmill_cells::record::{
     CapacitySummary, CellPresence, DrainRequest, FinalState, Generation, LIVE_PREFIX, LedgerJob,
@@ -9,15 +9,18 @@
 use serde_json::json;
 use std::fmt::Debug;
 
-/// Adds a record under its key, after a line that names its form, and proves that it reads back as it was
-/// written.
+/// Adds a record's key and JSON to the trace, after a line with the name of the variant. Checks that the JSON parses to
+/// the same record.
 fn add<T>(trace: &mut String, form: &str, key: &str, record: &T)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
     let json = serde_json::to_string(record).unwrap();
     let read: T = serde_json::from_str(&json).unwrap();
-    assert_eq!(read, *record, "{form} reads back as written");
+    assert_eq!(
+        read, *record,
+        "{form}: the JSON must parse to the same record"
+    );
     trace.push_str(&format!("# {form}\n{key} {json}\n"));
 }
 
@@ -105,7 +108,7 @@
     insta::assert_snapshot!("cell_presence", trace);
 }
 
-/// A summary that says as of which revision it counts the cell's jobs.
+/// A summary with the ledger revision as of which it counts the cell's jobs.
 #[test]
 fn capacity_summary_json_with_its_revision_is_stable() {
     let summary = CapacitySummary {
@@ -119,13 +122,13 @@
     assert_eq!(read, summary);
 }
 
-/// What a job's tasks use together; an amount that is none counts as nothing.
+/// The CPUs that all tasks of a job request together. An amount that is missing or invalid counts as 0.
 #[test]
 fn requested_cpus_follow_from_the_description() {
     let cpus =
         |description| LedgerJob::accepted_by("stone", 0, Vec::new(), description).requested_cpus();
     assert_eq!(cpus(json!({"cpus": 1.5, "sacks": 4})), 6.0);
-    let none = [
+    let invalid = [
         json!({}),
         json!({"cpus": 1.5}),
         json!({"cpus": "2", "sacks": 4}),
@@ -133,7 +136,11 @@
         json!({"cpus": 1e308, "sacks": 1_000_000}),
         json!(null),
     ];
-    assert!(none.into_iter().all(|description| cpus(description) == 0.0));
+    assert!(
+        invalid
+            .into_iter()
+            .all(|description| cpus(description) == 0.0)
+    );
 }
 
 #[test]
@@ -149,7 +156,7 @@
     insta::assert_snapshot!("drain_and_registrations", trace);
 }
 
-/// A part of a cell's own record of a job.
+/// The ownership version is stored in a cell's own record of a job.
 #[test]
 fn ownership_version_json_is_stable() {
     let mut trace = String::new();
@@ -161,7 +168,7 @@
     insta::assert_snapshot!("stamp", trace);
 }
 
-/// Records of an earlier version, and of a later one that added a field.
+/// Records of a previous version lack fields, and records of a later version may have additional ones.
 #[test]
 fn missing_and_unknown_fields_are_tolerated() {
     let job = json!({"owner": "stone", "epoch": 1, "home": "wind", "accepted_ms": 5,
--- a/crates/rowanmill-cells/tests/spilling.rs
+++ b/crates/rowanmill-cells/tests/spilling.rs
@@ -1,7 +1,7 @@
-//! Seeded schedules of jobs that move between cells because they wait, with the time passed in: ledgers that
-//! cells read late, summaries that are out of date, cells that decline, and cells without machines whose cloud
-//! seems to have some. Every job ends as long as one willing cell has room, and none moves more often than the
-//! settings allow.
+//! Randomized simulations ("schedules") of jobs that are spilled to other cells because they wait, in simulated time.
+//! Cells read the ledger late, rely on outdated summaries, decline jobs, or cannot rent machines although their
+//! summaries say so. Every job must end as long as one cell that accepts it has room, and none may move earlier than
+//! the settings allow.
 
 #[path = "model/ledger.rs"]
 mod ledger;
@@ -21,14 +21,16 @@
 const SEEDS: u64 = 200;
 const NAMES: [&str; 3] = ["a", "b", "c"];
 const JOBS: usize = 6;
+/// Simulated time per step.
 const STEP: Duration = Duration::from_millis(100);
-/// A summary that was read longer ago is not relied on.
+/// Maximum age of a summary that the planner uses.
 const MAX_SUMMARY_AGE: Duration = Duration::from_secs(15);
-/// A job may make its moves, then one more slow one out of each of the two cells that cannot run it, and wait
-/// each time for one that lags behind the ledger, rents, and works off the jobs before it.
-const ENDS_WITHIN: Duration = Duration::from_secs(150);
+/// Time within which all jobs must end. A job may make [`SPILL_MOVES`] moves and one more, slower move out of each of
+/// the two cells that cannot run it. Each time, it may wait for a cell that lags behind the ledger, rents a machine,
+/// and runs the jobs ahead of it first.
+const MAX_SCHEDULE_TIME: Duration = Duration::from_secs(150);
 
-/// What is known of a job from outside the cells.
+/// The moves of a job, as observed in the ledger.
 #[derive(Default)]
 struct Moves {
     count: u32,
@@ -45,7 +47,8 @@
 }
 
 impl Schedule {
-    /// Cell `a` has no machines, one of the others has some, and the last one has none or declines all work.
+    /// Cell `a` has no machines, and one of the others can rent some. The remaining one can rent a single machine or
+    /// none, or declines all jobs.
     fn new(seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let now = Instant::now();
@@ -85,10 +88,10 @@
         }
     }
 
-    /// Plays until all jobs have ended, or to the first violation.
+    /// Runs until all jobs have ended or a job moves too early. Returns the violation, if any.
     fn run(&mut self) -> Result<(), String> {
         self.publish_jobs();
-        while self.now < self.start + ENDS_WITHIN {
+        while self.now < self.start + MAX_SCHEDULE_TIME {
             self.now += STEP;
             for index in 0..self.cells.len() {
                 if self.rng.random_bool(0.02) {
@@ -97,7 +100,7 @@
                 }
                 self.cells[index].step(&mut self.ledger, self.now);
             }
-            if let Some(violation) = self.too_hasty_move() {
+            if let Some(violation) = self.premature_move() {
                 return Err(violation);
             }
             if self.open_jobs().next().is_none() {
@@ -105,7 +108,7 @@
             }
         }
         let open: Vec<_> = self.open_jobs().collect();
-        Err(format!("not ended: {open:?}"))
+        Err(format!("jobs have not ended: {open:?}"))
     }
 
     fn open_jobs(&self) -> impl Iterator<Item = (&String, LedgerJob)> {
@@ -113,8 +116,8 @@
         jobs.filter_map(|id| Some((id, self.ledger.job(id)?.record)))
     }
 
-    /// A job that moved although it cannot have waited in its cell for as long as the settings say.
-    fn too_hasty_move(&mut self) -> Option<String> {
+    /// The violation if a job has moved before it waited in its cell for as long as the settings require.
+    fn premature_move(&mut self) -> Option<String> {
         let now = self.now;
         for (id, moves) in &mut self.moves {
             let Some(held) = self.ledger.job(id) else {
@@ -142,7 +145,7 @@
 }
 
 #[test]
-fn jobs_that_wait_end_wherever_there_is_room_and_move_slowly() {
+fn waiting_jobs_end_where_there_is_room_and_do_not_move_early() {
     let mut moved = 0;
     let mut moved_beyond_bound = 0;
     for seed in 0..SEEDS {
@@ -155,7 +158,7 @@
             moved_beyond_bound += u32::from(moves.count > SPILL_MOVES);
         }
     }
-    println!("moved: {moved}, more often than {SPILL_MOVES} times: {moved_beyond_bound}");
-    // The schedules contain what they are for.
+    println!("jobs that moved: {moved}; more than {SPILL_MOVES} times: {moved_beyond_bound}");
+    // The schedules must contain the moves that they are meant to test.
     assert!(moved > 500);
 }
--- a/crates/rowanmill-cells/tests/spilling/cell.rs
+++ b/crates/rowanmill-cells/tests/spilling/cell.rs
@@ -1,4 +1,5 @@
-//! One cell of the schedules: the real replica and planner, and machines as far as they matter for waiting.
+//! A simulated cell with the real ledger replica and planner. Renting and machines are modelled only as far as they
+//! determine how long jobs wait.
 
 use super::{Ledger, NAMES};
 use rowanmill_cells::plan::{Action, LocalJobs, Planner};
@@ -11,25 +12,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Less than renting takes, so that jobs move while machines boot.
+/// Shorter than [`RENTING_DURATION`], so that jobs are spilled while machines boot.
 pub const SPILL_AFTER: Duration = Duration::from_secs(1);
 pub const SPILL_MOVES: u32 = 3;
+/// Interval at which the cell publishes its summary.
 const PUBLISH_INTERVAL: Duration = Duration::from_secs(3);
-/// From the first job that waits until a machine is up, or the cloud refuses.
-const RENTING_TAKES: Duration = Duration::from_secs(5);
-const REFUSED_FOR: Duration = Duration::from_secs(20);
-const TASK_TAKES: Duration = Duration::from_secs(2);
+/// Time from the first waiting job until machines are ready or the cloud has rejected the request.
+const RENTING_DURATION: Duration = Duration::from_secs(5);
+/// Time for which the cell reports that it cannot rent after a rejected request.
+const REJECTION_DURATION: Duration = Duration::from_secs(20);
+const TASK_DURATION: Duration = Duration::from_secs(2);
 const MAX_OPERATIONS: usize = 8;
-/// Longer than a schedule: no cell ends in these.
+/// Longer than a schedule, because cells never become absent in these simulations.
 const LEASE: Duration = Duration::from_secs(1_000);
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Capacity {
-    /// Its cloud gives so many machines, each for one job.
+    /// The cell can rent this many machines, each for one job.
     Machines(usize),
-    /// Its cloud refuses, once it is asked.
+    /// The cloud rejects every request. The summary says so only after the first rejection.
     None,
-    /// It runs no work of other cells, and its summary does not show that.
+    /// The cell declines the jobs of other cells, which its summary does not show.
     Declines,
 }
 
@@ -47,11 +50,11 @@
     lease: u64,
     records: BTreeMap<String, LocalJob>,
     completed: BTreeSet<String>,
-    waits_since: Option<Instant>,
+    waiting_since: Option<Instant>,
     has_machines: bool,
-    refused_until: Option<Instant>,
+    rejected_until: Option<Instant>,
     published_at: Instant,
-    /// It does not read the ledger until then.
+    /// Time until which the cell does not read the ledger.
     pub lags_until: Instant,
 }
 
@@ -83,9 +86,9 @@
             lease: ledger.create_lease(now + LEASE),
             records: BTreeMap::new(),
             completed: BTreeSet::new(),
-            waits_since: None,
+            waiting_since: None,
             has_machines: false,
-            refused_until: None,
+            rejected_until: None,
             published_at: now,
             lags_until: now,
         };
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Reads the changes since the last read, and the last ones again: answers may overlap.
+    /// Reads the changes since the last read, and some earlier ones again, because responses may overlap.
     fn read_ledger(&mut self, ledger: &Ledger, now: Instant) {
         if self.replica.revision == 0 {
             self.replica.reload_from_snapshot(Vec::new(), 0, now);
@@ -172,7 +175,7 @@
 
     fn change_ledger(&mut self, action: &Action, ledger: &mut Ledger, now: Instant) {
         let change = LedgerChange::for_action(&self.replica, self.name, action, MAX_OPERATIONS);
-        let change = change.expect("the action changes the ledger");
+        let change = change.expect("the action should change the ledger");
         let Ok(revision) = ledger.commit(&change.transaction, now) else {
             return;
         };
@@ -184,21 +187,23 @@
         }
     }
 
-    /// Rents for work that waits, starts it, and completes it.
+    /// Completes tasks, rents machines for waiting jobs, and starts jobs on free machines.
     fn run_machines(&mut self, now: Instant) {
         let ended = self.records.extract_if(.., |_, job| {
-            job.started_at.is_some_and(|at| now >= at + TASK_TAKES)
+            job.started_at.is_some_and(|at| now >= at + TASK_DURATION)
         });
         self.completed.extend(ended.map(|(id, _)| id));
         if self.waiting_jobs() == 0 {
-            self.waits_since = None;
+            self.waiting_since = None;
             return;
         }
-        let since = *self.waits_since.get_or_insert(now);
-        if now >= since + RENTING_TAKES {
+        let since = *self.waiting_since.get_or_insert(now);
+        if now >= since + RENTING_DURATION {
             match self.capacity {
                 Capacity::Machines(_) => self.has_machines = true,
-                Capacity::None | Capacity::Declines => self.refused_until = Some(now + REFUSED_FOR),
+                Capacity::None | Capacity::Declines => {
+                    self.rejected_until = Some(now + REJECTION_DURATION)
+                }
             }
         }
         let free = self.free_machines();
@@ -236,7 +241,7 @@
                 computed_ms: 0,
                 waiting_tasks: self.waiting_jobs() as u64 + outside,
                 free_cpus: self.free_machines() as f64,
-                can_rent: self.refused_until.is_none_or(|until| until <= now),
+                can_rent: self.rejected_until.is_none_or(|until| until <= now),
                 ledger_revision: Some(self.replica.revision),
             },
         }
