--- a/src/cells/attestation.rs
+++ b/src/cells/attestation.rs
@@ -1,8 +1,9 @@
-//! Attestations between the controllers of all cells while the ledger is unreachable: that they have lost
-//! contact with it, and which jobs the asking cell must not run by what they last read.
+//! Attestations that the controllers of all cells exchange while the ledger is unreachable. A controller
+//! attests that it has lost contact with the ledger, and lists the jobs that the querying cell must not run
+//! according to the changes that it last read.
 //!
-//! They are exchanged over the mesh, as the status of the controllers of one cell is. The frames are an
-//! interface between versions: the order and the types of their fields must not change.
+//! Attestations are sent over the mesh, like the status frames within a cell. Controllers of different versions
+//! exchange these frames, so the order and the types of their fields must not change.
 
 use crate::node::Node;
 use bytes::Bytes;
@@ -14,28 +15,30 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-/// Starts such a query in place of a frame's length. A controller without cells takes it for the length of
-/// a frame that is too long, and closes the connection, which counts as no attestation.
+/// Code of a query for an attestation, sent in place of a status frame's length. A controller whose version
+/// does not support cells takes it for the length of an oversized frame and closes the connection, which counts
+/// as no attestation.
 pub const ATTESTATION_QUERY: u16 = u16::MAX - 1;
-/// Largest frame of a query: a cell's name and a revision.
+/// Maximum size of a query, which holds a cell's name and a revision.
 const MAX_QUERY_BYTES: usize = 256;
-/// Largest frame of a response, most of it names of jobs.
+/// Maximum size of a response, which consists mostly of job IDs.
 const MAX_RESPONSE_BYTES: usize = 256 << 10;
-/// A controller that has not answered within this time has not attested.
+/// A controller that does not answer within this time counts as giving no attestation.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(700);
 
 #[derive(Debug, bitcode::Encode, bitcode::Decode)]
 struct Query {
-    /// The asking cell.
+    /// The querying controller's cell.
     cell: String,
-    /// The ledger's revision up to which the asking controller has read.
+    /// The ledger's revision up to which the querying controller has read.
     revision: u64,
 }
 
 #[derive(Debug, bitcode::Encode, bitcode::Decode)]
 struct Response {
+    /// The responding controller has lost contact with the ledger.
     is_disconnected: bool,
-    /// Jobs that changed after the query's revision and that the asking cell must not run.
+    /// Jobs that changed after the query's revision and that the querying cell must not run.
     revoked_jobs: Vec<String>,
 }
 
@@ -87,8 +90,8 @@
     bitcode::decode(&response).map_err(malformed)
 }
 
-/// Queries all these controllers at once. The jobs that `cell` must not run, if each of them attests that
-/// it has lost contact with the ledger; otherwise `None`.
+/// Queries all these controllers concurrently. Returns the jobs that `cell` must not run if each controller
+/// attests that it has lost contact with the ledger; otherwise `None`.
 pub async fn collect_attestations(
     others: Vec<SocketAddr>,
     cell: &str,
--- a/src/cells/attestation/tests.rs
+++ b/src/cells/attestation/tests.rs
@@ -16,49 +16,49 @@
         let read: Query = bitcode::decode(&frame).unwrap();
         assert_eq!((read.cell.as_str(), read.revision), (cell, revision));
     }
-    let lost: [(bool, &[&str]); 4] = [
+    let responses: [(bool, &[&str]); 4] = [
         (false, &[]),
         (true, &[]),
         (true, &["job-000412"]),
         (false, &["job-000412", "job-7"]),
     ];
-    for (is_disconnected, lost) in lost {
+    for (is_disconnected, revoked) in responses {
         let frame = bitcode::encode(&Response {
             is_disconnected,
-            revoked_jobs: lost.iter().map(|id| (*id).to_owned()).collect(),
+            revoked_jobs: revoked.iter().map(|id| (*id).to_owned()).collect(),
         });
         trace.push_str(&format!(
-            "answer {is_disconnected} {lost:?}: {}\n",
+            "answer {is_disconnected} {revoked:?}: {}\n",
             hex(&frame)
         ));
         let read: Response = bitcode::decode(&frame).unwrap();
         assert_eq!(read.is_disconnected, is_disconnected);
-        assert_eq!(read.revoked_jobs, lost);
+        assert_eq!(read.revoked_jobs, revoked);
     }
-    insta::assert_snapshot!("testimony_frames", trace);
+    insta::assert_snapshot!("attestation_frames", trace);
 }
 
-/// The frame as it goes over the connection, with what begins it, and an answer in the bytes that
-/// another controller sends.
+/// Guards against a change of the bytes on the connection: the query's code, the frame's length and the frame,
+/// as a responding controller reads them. The response is read as another controller sends it.
 #[tokio::test]
 async fn attestation_query_is_sent_as_the_same_bytes() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let peer = listener.local_addr().unwrap();
     let answering = tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
-        let mut question = vec![0; 6];
-        stream.read_exact(&mut question).await.unwrap();
-        let mut frame = vec![0; usize::from(question[5])];
+        let mut query = vec![0; 6];
+        stream.read_exact(&mut query).await.unwrap();
+        let mut frame = vec![0; usize::from(query[5])];
         stream.read_exact(&mut frame).await.unwrap();
-        question.extend(frame);
-        let answer = bitcode::encode(&Response {
+        query.extend(frame);
+        let response = bitcode::encode(&Response {
             is_disconnected: true,
             revoked_jobs: vec!["job-000412".to_owned()],
         });
-        write_frame(&mut stream, answer).await.unwrap();
-        hex(&question)
+        write_frame(&mut stream, response).await.unwrap();
+        hex(&query)
     });
-    let lost = collect_attestations(vec![peer], "stone", 9).await;
-    assert_eq!(lost, Some(vec!["job-000412".to_owned()]));
-    insta::assert_snapshot!("testimony_question_on_the_wire", answering.await.unwrap());
+    let revoked = collect_attestations(vec![peer], "stone", 9).await;
+    assert_eq!(revoked, Some(vec!["job-000412".to_owned()]));
+    insta::assert_snapshot!("attestation_query_on_the_wire", answering.await.unwrap());
 }
