--- a/src/cells/heartbeats.rs
+++ b/src/cells/heartbeats.rs
@@ -1,4 +1,4 @@
-//! What the ledger permits of the answer to a worker's heartbeat. It decides; the workers' service acts.
+//! Decides what the ledger permits in the answer to a worker's heartbeat. [`crate::workers`] applies it.
 
 use super::local_state::tracked_job;
 use crate::jobs::TaskRef;
@@ -8,9 +8,9 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// Whether the machine's heartbeat may be answered, which renews its lease. Without a recent read of the
-/// ledger, renewing the lease of a machine with tasks of its jobs would keep alive what another cell has
-/// confirmed as cancelled, or has taken over.
+/// Whether the machine's heartbeat may be answered, which renews its lease. If the machine has tasks of the
+/// ledger's jobs and the last read of the ledger is too old, it may not: the renewal could keep tasks running
+/// whose cancellation another cell has confirmed, or whose job another cell has taken over.
 pub fn permits_renewal(node: &Node, heartbeat: &Heartbeat, now: Instant) -> bool {
     let Some(cells) = &node.cells else {
         return true;
@@ -18,13 +18,14 @@
     cells.permits_renewals(now) || tracked_jobs_on(&node.core(), heartbeat).is_empty()
 }
 
-/// Whether tasks may be started.
+/// Whether the ledger permits starting tasks. Always the case if the controller belongs to no cell.
 pub fn permits_starts(node: &Node, now: Instant) -> bool {
     let cells = node.cells.as_ref();
     cells.is_none_or(|cells| cells.permits_starts(now))
 }
 
-/// Jobs with tasks on the machine that must not run by the ledger, whatever the cell's own records say yet.
+/// Jobs with tasks on the machine that this cell must not run according to the ledger, even if the cell's own
+/// records do not show that yet.
 pub fn halted_jobs_on(node: &Node, core: &Core, heartbeat: &Heartbeat) -> BTreeSet<String> {
     let Some(cells) = &node.cells else {
         return BTreeSet::new();
@@ -36,8 +37,8 @@
     cells.halted_among(&tracked)
 }
 
-/// Jobs with a record in the ledger that have tasks on the machine, by the cell's records, by planned
-/// changes to them or by the heartbeat.
+/// Jobs with a record in the ledger that have tasks on the machine, according to the cell's records, the
+/// pending changes to them, or the heartbeat.
 fn tracked_jobs_on(core: &Core, heartbeat: &Heartbeat) -> Vec<TrackedJob> {
     let recorded = core
         .replica
--- a/src/cells/local_state.rs
+++ b/src/cells/local_state.rs
@@ -1,5 +1,5 @@
-//! The cell's own records as the cells' planner sees them: states of jobs, and the cell's capacity. It only
-//! reads.
+//! Summarizes the cell's own records for the planner of `rowanmill-cells`: states of jobs, and the cell's
+//! capacity. Nothing is changed here.
 
 use super::protection;
 use crate::jobs::{JobRecord, TerminalState};
@@ -8,7 +8,7 @@
 use rowanmill_cells::{LocalJobState, TrackedJob};
 use std::time::Instant;
 
-/// The job, if it has a record in the ledger.
+/// The job as the planner tracks it; `None` if it has no record in the ledger.
 pub(super) fn tracked_job(id: &str, record: &JobRecord) -> Option<TrackedJob> {
     Some(TrackedJob {
         id: id.to_owned(),
@@ -17,14 +17,14 @@
     })
 }
 
-/// All open jobs of the records that have a record in the ledger.
+/// All jobs of the replica that have a record in the ledger.
 pub(super) fn tracked_jobs(core: &Core) -> Vec<TrackedJob> {
     let jobs = core.replica.jobs.iter();
     jobs.filter_map(|(id, job)| tracked_job(id, &job.record))
         .collect()
 }
 
-/// The state of a job, by the records in memory.
+/// The state of a job according to the replica.
 pub(super) fn local_job_state(node: &Node, core: &Core, id: &str, now_ms: u64) -> LocalJobState {
     let Some(job) = core.replica.jobs.get(id) else {
         return state_without_record(core, id);
@@ -52,13 +52,14 @@
     match core.replica.final_state(id) {
         Some(TerminalState::Done) => LocalJobState::Completed,
         Some(TerminalState::Cancelled) => LocalJobState::Cancelled,
-        // Nothing is done about a job whose record cannot be read.
+        // The planner takes no action on a job that is being cancelled. None may be taken on a job whose
+        // record cannot be read.
         None if core.replica.is_unreadable(id) => LocalJobState::Cancelling,
         None => LocalJobState::Absent,
     }
 }
 
-/// The cell's capacity, by its records.
+/// The cell's capacity according to the replica.
 pub(super) fn capacity_summary(core: &Core, now: Instant, now_ms: u64) -> CapacitySummary {
     let machines = core.replica.fleet.machines.values();
     let cpus = machines.map(|machine| {
--- a/src/cells/mod.rs
+++ b/src/cells/mod.rs
@@ -1,7 +1,7 @@
-//! This controller's part in the cells that share work: the scheduler as `rowanmill-cells` reaches it, and
-//! what the ledger changes about users' requests and workers' heartbeats.
+//! Connects a controller to the cells that share work: implements the scheduler interface of
+//! `rowanmill-cells`, and applies the ledger to users' requests and workers' heartbeats.
 //!
-//! Without an operators' file of the cells there are none, and nothing here has an effect.
+//! Without a cells file the controller belongs to no cell, and this module has no effect.
 
 mod attestation;
 mod heartbeats;
@@ -31,7 +31,7 @@
     }
 }
 
-/// The settings of this cell that the operators' file is checked against.
+/// The settings of this cell that the cells file is checked against.
 pub fn worker_timing(settings: &Settings) -> WorkerTiming {
     WorkerTiming {
         lease: settings.worker_lease(),
@@ -40,7 +40,8 @@
     }
 }
 
-/// The endless tasks of this controller's part in the cells, with names for the log; none without cells.
+/// The background tasks of this controller's cell, with their names for the log. They run endlessly. Empty
+/// if the controller belongs to no cell.
 pub fn background_tasks(
     node: &Arc<Node>,
 ) -> impl Iterator<Item = (&'static str, BackgroundTask)> + use<> {
--- a/src/cells/protection.rs
+++ b/src/cells/protection.rs
@@ -1,7 +1,8 @@
-//! Protection of machines from the work of other cells. A job of another cell that only fits protected
-//! machines is declined, with the reason and the time, before it is adopted.
+//! Protection of machines from the jobs of other cells. A cell declines to adopt another cell's job if all
+//! machines that the job may use are protected, and logs when the first protection ends.
 //!
-//! The policy decides what is protected; this module applies it to machine pools, jobs and machines.
+//! The policy decides which machine pools are protected; this module evaluates it for pools, jobs and
+//! machines.
 
 use crate::cloud::MachineType;
 use crate::jobs::JobSpec;
@@ -27,7 +28,7 @@
     }
 }
 
-/// The machine pools that are protected now, as the forecast numbers them.
+/// The machine pools that are protected now, by the interned names that the forecast uses.
 pub fn protected_pools(node: &Node, core: &mut Core, now_ms: u64) -> BTreeSet<PoolId> {
     let mut protected = BTreeSet::new();
     if !node.policy.has_protection() {
@@ -51,25 +52,25 @@
     protected
 }
 
-/// A protection that leaves a job no machine.
+/// The fact that all machines that a job may use are protected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProtectionExclusion {
-    /// When the first of the machines that the job may use is free of protection, in milliseconds since
-    /// the Unix epoch, if that is within days.
+    /// When the first of these protections ends, in milliseconds since the Unix epoch. `None` if none ends
+    /// within the days for which the policy searches.
     pub until_ms: Option<u64>,
 }
 
 impl fmt::Display for ProtectionExclusion {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("only protected room")?;
+        f.write_str("all eligible machines are protected")?;
         match self.until_ms {
-            Some(at_ms) => write!(f, ", until {at_ms} ms of the epoch"),
+            Some(at_ms) => write!(f, " until {at_ms} ms since the Unix epoch"),
             None => Ok(()),
         }
     }
 }
 
-/// The protection of all machines that a job may use; `None` if one of them is not protected.
+/// Whether all machines that a job may use are protected, and until when. `None` if one of them is not.
 pub fn exclusion_of(
     node: &Node,
     core: &Core,
@@ -99,7 +100,7 @@
     Some(ProtectionExclusion { until_ms })
 }
 
-/// Whether a machine is protected, so that it is not drained by choice.
+/// Whether a machine is protected. Protected machines are not drained to scale in.
 pub fn is_protected(
     node: &Node,
     machine_type: &MachineType,
--- a/src/cells/requests/cancel.rs
+++ b/src/cells/requests/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancellations where there are cells.
+//! Cancels jobs in a controller that belongs to a cell.
 
 use super::ledger_unavailable;
 use super::{cancellation_unconfirmed, ended, in_stage, is_cancelled_locally, is_local};
@@ -9,7 +9,8 @@
 use rowanmill_cells::{CancelOutcome, CellCoordinator, Scheduler};
 use std::sync::Arc;
 
-/// Answers a cancellation; `None` if only this cell knows the job.
+/// Answers a cancellation; `None` if the job is not in the ledger and only the cell's own records can tell
+/// about it.
 pub async fn cancel(
     node: &Arc<Node>,
     cells: &Arc<CellCoordinator>,
@@ -24,15 +25,16 @@
         CancelOutcome::Unknown => None,
         CancelOutcome::Indeterminate if is_local(node, id) => None,
         CancelOutcome::Indeterminate => {
-            // Without the ledger it cannot be confirmed: another cell may own the job by now. But the
-            // tasks here are of no use to anybody any more, so they are stopped if that can be recorded.
+            // Without the ledger the cancellation cannot be confirmed, because another cell may own the job
+            // by now. The user does not need the results, so tasks in this cell are stopped if the
+            // cancellation can be recorded here.
             let _ = CellScheduler::new(node, cells).cancel(id).await;
             Some(ledger_unavailable())
         }
     }
 }
 
-/// Answers a cancellation that is in the ledger, once it may be confirmed.
+/// Answers a cancellation that is recorded in the ledger. Waits for a limited time until it is effective.
 async fn confirm_recorded(
     node: &Arc<Node>,
     cells: &Arc<CellCoordinator>,
@@ -40,7 +42,7 @@
     owned_here: bool,
 ) -> HttpResponse {
     if owned_here {
-        // If this fails the leader records it, by the ledger.
+        // If this fails, the cell's leader records it later, because the ledger shows the cancellation.
         let _ = CellScheduler::new(node, cells).cancel(id).await;
     }
     let is_confirmed =
--- a/src/cells/requests/mod.rs
+++ b/src/cells/requests/mod.rs
@@ -1,7 +1,7 @@
-//! Users' requests where there are cells. The ledger says who owns a job, whether it is cancelled and how
-//! it ended; the cell's own records only say how far it is.
+//! Answers users' requests in a controller that belongs to a cell. The ledger determines which cell owns a
+//! job, whether it is cancelled and how it ended; the cell's own records only show its progress.
 //!
-//! No answer here may contradict what another controller may have answered.
+//! No answer may contradict one that another controller may have given.
 
 mod cancel;
 mod submit;
@@ -18,15 +18,16 @@
 use rowanmill_cells::{CellCoordinator, LedgerJobState};
 use std::sync::Arc;
 
-/// Seconds after which users repeat a request that could not be answered.
+/// `Retry-After` of requests that cannot be answered now, in seconds.
 const RETRY_AFTER_S: u64 = 1;
 
 fn ledger_unavailable() -> HttpResponse {
     retry_later(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_S, "no ledger")
 }
 
-/// Another controller may have confirmed the cancellation, or may still start the job: neither may be
-/// contradicted.
+/// The response while a cancellation is recorded in the ledger, but not known to be effective. Another
+/// controller may have confirmed it already, or may still start the job, so the job can be shown neither as
+/// open nor as cancelled.
 fn cancellation_unconfirmed() -> HttpResponse {
     let reason = "the cancellation is being confirmed";
     retry_later(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_S, reason)
@@ -40,12 +41,12 @@
     in_stage(id, final_state.into().into())
 }
 
-/// A stage in which no task counts as running or done.
+/// A status response that shows no task as running or done.
 fn without_tasks(id: &str, stage: Stage) -> HttpResponse {
     progress_response(id, stage, 0, 0)
 }
 
-/// Answers a poll.
+/// Answers a status poll.
 pub async fn poll(node: &Arc<Node>, cells: &CellCoordinator, id: &str) -> HttpResponse {
     match cells.job_state(id).await {
         LedgerJobState::Ended(final_state) => ended(id, final_state),
@@ -62,7 +63,7 @@
     }
 }
 
-/// Answers a repeated submission by the ledger; `None` if the ledger never had the job.
+/// Answers a repeated submission with the job's stage in the ledger; `None` if the ledger never had the job.
 pub async fn answer_if_known(
     node: &Arc<Node>,
     cells: &CellCoordinator,
@@ -79,14 +80,14 @@
     })
 }
 
-/// Progress of an owned job, by the cell's own records.
+/// The progress of a job that this cell owns, according to the cell's own records.
 fn progress(node: &Node, id: &str) -> HttpResponse {
     let core = node.core();
     let job = core.replica.jobs.get(id);
     let Some(job) = job.filter(|job| !job.record.cancelled) else {
         return without_tasks(id, Stage::Queued);
     };
-    // Only the ledger says whether it is done.
+    // A job is shown as done only once the ledger has its final state.
     let stage = match job.placed + job.done {
         0 => Stage::Queued,
         _ => Stage::Running,
@@ -94,8 +95,8 @@
     progress_response(id, stage, job.done, job.placed)
 }
 
-/// Answers a poll of a job that the ledger never had. If this cell has it from the ledger all the same, the
-/// ledger has lost data, and nothing is said of the job.
+/// Answers a status poll of a job that the ledger does not have. If the cell's own record shows that the job
+/// came from the ledger, the ledger has lost data, and no state of the job is reported.
 async fn poll_unknown(node: &Arc<Node>, id: &str) -> HttpResponse {
     let came_from_ledger = {
         let core = node.core();
@@ -121,7 +122,7 @@
     }
 }
 
-/// Whether only this cell knows the job, because it was accepted before there were cells.
+/// Whether only this cell has the job, because it was accepted before the cells were configured.
 fn is_local(node: &Node, id: &str) -> bool {
     let core = node.core();
     let is_blocked = core.replica.pipelines.get(id).is_some();
@@ -129,7 +130,8 @@
     is_blocked || job.is_some_and(|job| job.record.ledger.is_none())
 }
 
-/// Whether the cell's own records hold the cancellation: every start has them as its precondition.
+/// Whether the cell's own records show the cancellation. No task of the job can start after that, because
+/// every start requires the job's record to be unchanged.
 fn is_cancelled_locally(node: &Node, id: &str) -> bool {
     let core = node.core();
     let job = core.replica.jobs.get(id).map(|job| &job.record);
--- a/src/cells/requests/submit.rs
+++ b/src/cells/requests/submit.rs
@@ -1,4 +1,5 @@
-//! Submissions where there are cells: a job is published in the ledger before its user is answered.
+//! Accepts jobs in a controller that belongs to a cell. A job is published in the ledger before its user is
+//! answered.
 
 use super::{RETRY_AFTER_S, answer_if_known, ended, in_stage, is_local, ledger_unavailable};
 use crate::api::Server;
@@ -19,11 +20,11 @@
 
 /// A submission is refused at once if the ledger has not answered for this long.
 const LEDGER_TIMEOUT: Duration = Duration::from_millis(3000);
-/// Bytes that the ledger's record of a job may gain later: names of other cells, a higher epoch, that it is
-/// cancelled.
+/// Bytes by which the ledger's record of a job may grow later: names of other cells, a higher epoch, and the
+/// cancellation.
 const RECORD_GROWTH_BYTES: usize = 256;
 
-/// Answers a submission whose body is valid; `None` if only this cell knows the job.
+/// Answers a submission whose body is valid; `None` if only this cell has the job.
 pub async fn submit(
     server: &Server,
     cells: &Arc<CellCoordinator>,
@@ -35,15 +36,16 @@
     if is_local(node, &record.spec.id) {
         return None;
     }
-    let answered = match check(node, cells, &record.spec.id, &depends_on, &admission).await {
-        Ok(()) => publish(node, cells, record, depends_on).await,
-        Err(answer) => answer,
-    };
+    let answered =
+        match check_publishable(node, cells, &record.spec.id, &depends_on, &admission).await {
+            Ok(()) => publish(node, cells, record, depends_on).await,
+            Err(answer) => answer,
+        };
     Some(answered)
 }
 
-/// Whether the job is new and may be published; otherwise the answer.
-async fn check(
+/// Checks that the job is new and may be published. The error is the response to send instead.
+async fn check_publishable(
     node: &Arc<Node>,
     cells: &CellCoordinator,
     id: &str,
@@ -55,7 +57,7 @@
     }
     let is_acceptable = *admission == Admission::Admitted;
     if !is_acceptable || cells.is_cached(id) {
-        // A job that was accepted is known whatever a repeat of it looks like.
+        // A repeat of an accepted job is answered with its stage, even if the repeat is not admissible.
         if let Some(answer) = answer_if_known(node, cells, id).await {
             return Err(answer);
         }
@@ -67,8 +69,8 @@
     check_local_records(node, cells, id).await
 }
 
-/// Whether the ledger knows all jobs that a new one depends on. It would never learn the end of a job from
-/// before there were cells.
+/// Checks that all jobs that a new one depends on are in the ledger. The end of a job that was accepted before
+/// the cells were configured is never recorded there, so the new job would wait forever.
 async fn check_dependencies(
     cells: &CellCoordinator,
     depends_on: &[String],
@@ -89,8 +91,8 @@
     Ok(())
 }
 
-/// Whether the cell's own records allow the job: it may have been accepted, or have ended, before there
-/// were cells.
+/// Checks that the cell's own records do not show the job as accepted or ended before the cells were
+/// configured.
 async fn check_local_records(
     node: &Arc<Node>,
     cells: &CellCoordinator,
@@ -111,7 +113,8 @@
     depends_on: Vec<String>,
 ) -> HttpResponse {
     let id = record.spec.id.clone();
-    let description = serde_json::to_value(&record.spec).expect("a job is plain data");
+    let description =
+        serde_json::to_value(&record.spec).expect("a job specification always serializes");
     let cell = cells.cell_name();
     let job = LedgerJob::accepted_by(cell, record.accepted_ms, depends_on, description);
     let bytes = serde_json::to_vec(&job).map_or(usize::MAX, |text| text.len());
@@ -136,8 +139,8 @@
     }
 }
 
-/// Puts an accepted job into the cell's records, while its user is answered. A job that depends on others is
-/// put there by the leader, once these are done.
+/// Writes an accepted job to the cell's records while its user is answered. A job with dependencies is
+/// written by the leader instead, once the dependencies are done.
 fn adopt_in_background(
     node: &Arc<Node>,
     cells: &Arc<CellCoordinator>,
@@ -148,7 +151,7 @@
     let scheduler = CellScheduler::new(node, cells);
     tokio::spawn(async move {
         let id = record.spec.id.clone();
-        // If this fails the leader does it: the ledger says that the job is the cell's.
+        // If this fails, the leader adopts the job, because the ledger shows this cell as its owner.
         let _ = scheduler.write_adopted(&id, record, NO_REVISION).await;
     });
 }
--- a/src/cells/scheduler.rs
+++ b/src/cells/scheduler.rs
@@ -1,5 +1,5 @@
-//! The cell's own scheduler, as `rowanmill-cells` reaches it: its records of the ledger's jobs, each
-//! written with a precondition on what was read before.
+//! Implements the scheduler interface of `rowanmill-cells` on the cell's own records of the ledger's jobs.
+//! Each write has preconditions on the records that it was decided from.
 
 use super::attestation;
 use super::local_state::{capacity_summary, local_job_state, tracked_jobs};
@@ -26,26 +26,29 @@
     cells: Arc<CellCoordinator>,
 }
 
-/// Revision of a key without a value: a precondition with it holds where the key does not exist.
+/// Revision of a key that does not exist: a precondition with it holds while the key is absent.
 pub const NO_REVISION: u64 = 0;
 
-/// The record that the cell relinquished a job.
+/// The stored record of a job's last relinquishment by this cell.
 struct RelinquishedRecord {
+    /// Epoch of the ledger's record under which the job was relinquished.
     epoch: u64,
+    /// Revision of the stored record.
     revision: u64,
 }
 
-/// A new version of an open job's record, and what must hold for it beside the record being unchanged.
+/// A new version of an open job's record.
 struct RecordUpdate {
     record: JobRecord,
+    /// Preconditions in addition to the job's record being unchanged.
     preconditions: Vec<Precondition>,
 }
 
-/// Why a job cannot be put into the cell's records.
+/// Why the cell does not adopt a job.
 enum Refusal {
-    /// The cell cannot run it.
+    /// The cell cannot run the job, for this reason.
     Ineligible(String),
-    /// That cannot be decided now.
+    /// Whether the cell can run the job is unknown at the moment.
     Undetermined,
 }
 
@@ -58,8 +61,8 @@
         }
     }
 
-    /// The cell's own record of one of the ledger's jobs. The description is validated as strictly as a
-    /// user's request: another cell is trusted no more.
+    /// Builds the cell's own record of one of the ledger's jobs. The description is validated as strictly
+    /// as a user's request, because other cells are not trusted more than users.
     fn record_of(&self, job: &LedgerJob, revision: u64) -> Result<JobRecord, SpecError> {
         let text = job.description.to_string();
         let Submission { spec, .. } = Submission::parse(text.as_bytes())?;
@@ -79,7 +82,7 @@
         })
     }
 
-    /// The record by which the cell would run one of the ledger's jobs.
+    /// Builds the record with which the cell would run one of the ledger's jobs, if it can run it.
     fn eligible_record(&self, job: &LedgerJob, revision: u64) -> Result<JobRecord, Refusal> {
         let record = self
             .record_of(job, revision)
@@ -91,7 +94,7 @@
             Admission::Admitted => Ok(record),
             Admission::Ineligible(reason) => Err(Refusal::Ineligible(reason.to_owned())),
             Admission::RecordTooLarge => {
-                Err(Refusal::Ineligible("more than a record takes".to_owned()))
+                Err(Refusal::Ineligible("job record is too large".to_owned()))
             }
             Admission::CatalogueUnknown
             | Admission::InsufficientMemory
@@ -107,7 +110,8 @@
         }
     }
 
-    /// The protection that leaves a job of another cell no machine, if any does.
+    /// The protection that excludes a job of another cell from all machines that it may use. `None` if it
+    /// may use an unprotected machine, or if this cell accepted it.
     fn exclusion_of(&self, record: &JobRecord) -> Option<ProtectionExclusion> {
         if !record.foreign {
             return None;
@@ -115,7 +119,7 @@
         protection::exclusion_of(&self.node, &self.node.core(), &record.spec, wall_ms())
     }
 
-    /// The record that the cell relinquished the job, if there is one.
+    /// Reads the record of the job's last relinquishment by this cell, if there is one.
     async fn read_relinquished(&self, id: &str) -> Result<Option<RelinquishedRecord>, Unavailable> {
         let pair = self
             .node
@@ -133,7 +137,8 @@
         }))
     }
 
-    /// Whether the job ended in this cell, by memory or by its final key.
+    /// Whether the job ended in this cell, by the replica or else by the state service. A final state that
+    /// is read from the state service is added to the replica.
     async fn has_ended(&self, id: &str) -> Result<bool, Unavailable> {
         if self.node.core().replica.final_state(id).is_some() {
             return Ok(true);
@@ -151,22 +156,24 @@
         Ok(true)
     }
 
-    /// Whether the job is in the records already, so that nothing is to be written.
+    /// Whether the cell's records already hold the job. An error if its record cannot be read or if it is
+    /// withdrawn.
     fn is_adopted(&self, id: &str) -> Result<bool, Unavailable> {
         let core = self.node.core();
         if core.replica.is_unreadable(id) {
             return Err(Unavailable);
         }
         match core.replica.jobs.get(id) {
-            // A job that is leaving is adopted again once it has left.
+            // A withdrawn job can be adopted again once its record is deleted.
             Some(job) if job.record.withdrawn => Err(Unavailable),
             Some(_) => Ok(true),
             None => Ok(false),
         }
     }
 
-    /// Writes the record of a job that was not in the records. The preconditions fail if it was there
-    /// since, however it left. `relinquished_revision` is the revision of its last relinquishment.
+    /// Writes the record of a job that is not in the cell's records. `relinquished_revision` is the
+    /// revision of its last relinquishment. The write fails if the job has been added in the meantime, even
+    /// if it has ended or been relinquished since.
     pub async fn write_adopted(
         &self,
         id: &str,
@@ -178,12 +185,12 @@
             return Err(Unavailable);
         }
         record.placer = membership::choose_placer(node, &mut node.core(), &record);
-        let preconditions = never_here_since(id, relinquished_revision);
+        let preconditions = not_adopted_since(id, relinquished_revision);
         let put = Operation::put(RecordKey::Job(id), &StoredJob::Open(record));
         self.write(&preconditions, vec![put]).await
     }
 
-    /// Commits a change of the cell's records and applies it to the replica.
+    /// Writes changes to the cell's records and applies them to the replica.
     async fn write(
         &self,
         preconditions: &[Precondition],
@@ -203,7 +210,7 @@
             Err(error) => {
                 tracing::debug!(%error, "cell record not written");
                 if !matches!(error, TransactionError::Refused(_)) {
-                    // The records in memory may be outdated.
+                    // The records in the replica may be outdated.
                     node.read_barrier().await;
                 }
                 Err(Unavailable)
@@ -211,8 +218,8 @@
         }
     }
 
-    /// Replaces an open job's record by what `update` makes of it; does nothing if that is `None`, or if
-    /// the job is not open.
+    /// Replaces an open job's record with the result of `update`. Does nothing if the result is `None` or
+    /// the replica has no record of the job.
     async fn update_record(
         &self,
         id: &str,
@@ -240,9 +247,9 @@
     }
 }
 
-/// The preconditions that a job is not in the records, has not ended here, and was not relinquished after
-/// this revision.
-fn never_here_since(id: &str, relinquished_revision: u64) -> [Precondition; 3] {
+/// Preconditions that a job is not in the cell's records, has no final state in this cell, and has not been
+/// relinquished since the relinquishment with this revision.
+fn not_adopted_since(id: &str, relinquished_revision: u64) -> [Precondition; 3] {
     [
         Precondition::absent(RecordKey::Job(id)),
         Precondition::absent(RecordKey::FinalState(id)),
@@ -289,7 +296,8 @@
         if self.is_adopted(id)? {
             return Ok(AdoptionOutcome::Adopted);
         }
-        // Read before the final key: a job that ends or leaves in the meantime fails the preconditions.
+        // Read before the final state: if the job ends or is relinquished after this read, the preconditions
+        // of the write fail.
         let relinquished = self.read_relinquished(id).await?;
         if self.has_ended(id).await? {
             return Ok(AdoptionOutcome::AlreadyEnded);
@@ -317,7 +325,7 @@
         }
         let previous = self.read_relinquished(id).await?;
         let previous_revision = previous.map_or(NO_REVISION, |record| record.revision);
-        let preconditions = never_here_since(id, previous_revision);
+        let preconditions = not_adopted_since(id, previous_revision);
         let put = Operation::put(RecordKey::Relinquished(id), &Relinquished { epoch });
         self.write(&preconditions, vec![put]).await?;
         Ok(true)
--- a/src/cells/withdrawal.rs
+++ b/src/cells/withdrawal.rs
@@ -1,14 +1,14 @@
-//! The preconditions under which a job that has not started is withdrawn, to run in another cell.
+//! Preconditions for withdrawing a job that has not started, so that it can run in another cell.
 //!
-//! Another controller of the cell may have recorded a start that this one has not read yet. The job's record
-//! does not change with that, the progress page does.
+//! Another controller of the cell may have recorded a start that this one has not read yet. A start changes
+//! one of the job's progress pages, but not the job's record, so that the pages need preconditions too.
 
 use crate::jobs::{PageId, PageLayout};
 use crate::state::replica::Job;
 use crate::state::{Precondition, RecordKey};
 
-/// That none of the job's progress pages has changed since it was read, for as many as `max` permits: of a very
-/// large job the first ones, on which tasks start first.
+/// Preconditions that the job's progress pages have not changed since they were read. A very large job has more
+/// than `max` pages; only its first `max` pages are covered, which record the tasks that start first.
 pub(super) fn progress_unchanged(
     layout: &PageLayout,
     id: &str,
@@ -23,7 +23,7 @@
     unchanged.collect()
 }
 
-/// All pages that a job with so many tasks may have.
+/// All progress pages that a job with this many tasks can have, in either encoding.
 fn progress_pages(layout: &PageLayout, tasks: u32) -> impl Iterator<Item = PageId> {
     let pages_of = move |tasks_on_page: usize| (tasks as usize).div_ceil(tasks_on_page.max(1));
     let plain = pages_of(layout.plain_tasks);
@@ -32,7 +32,7 @@
     } else {
         0
     };
-    // Page by page of both encodings, since tasks start in order.
+    // Alternates between the encodings: tasks start in order, and the caller may take only the first pages.
     (0..plain.max(compact)).flat_map(move |number| {
         let plain = (number < plain).then_some(PageId::Plain(number));
         let compact = (number < compact).then_some(PageId::Compact(number));
