--- a/src/client/cells.rs
+++ b/src/client/cells.rs
@@ -1,4 +1,5 @@
-//! Questions about the cells that share work, and their drains. The ledger is asked.
+//! Commands that show the cells that share work, and that start or end the drain of a cell. They read and
+//! write the ledger.
 
 use super::output::OutputFormat;
 use super::{ClientError, ServiceConnection};
@@ -12,50 +13,50 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-/// What all commands about cells need.
+/// Options of all commands about cells.
 #[derive(Debug, Args)]
 pub struct CellsOptions {
-    /// The operators' file of the cells
+    /// The cells file
     #[arg(long)]
     cells: PathBuf,
-    /// How the answer is written
+    /// The format of the output
     #[arg(long, value_enum, default_value = "text")]
     output: OutputFormat,
 }
 
-/// The commands about cells; the doc comments below this line are the help texts.
+/// The commands about cells. The doc comments of the variants and their arguments are the help texts.
 #[derive(Debug, Subcommand)]
 pub enum CellsCommand {
-    /// How all cells stand
+    /// Show the state of all cells
     Status {
         #[command(flatten)]
         options: CellsOptions,
     },
-    /// Which cell owns a job, and why it moved or waits
+    /// Show which cell owns a job, and why it moved or waits
     Explain {
-        /// The job
+        /// The job's ID
         job: String,
         #[command(flatten)]
         options: CellsOptions,
     },
-    /// Have a cell left by all that has not begun, and take nothing from others
+    /// Drain a cell: move its jobs that have not started to other cells, and let it take none from them
     Drain {
-        /// The cell
+        /// The cell's name
         cell: String,
         #[command(flatten)]
         options: CellsOptions,
     },
-    /// End a drain
+    /// End the drain of a cell
     Undrain {
-        /// The cell
+        /// The cell's name
         cell: String,
         #[command(flatten)]
         options: CellsOptions,
     },
 }
 
-/// Carries out a command; returns the answer as it is to be printed.
-pub(super) async fn answer(command: &CellsCommand) -> Result<String, ClientError> {
+/// Runs a command and returns its output.
+pub(super) async fn execute(command: &CellsCommand) -> Result<String, ClientError> {
     match command {
         CellsCommand::Status { options } => {
             let report = LedgerConnection::open_ledger(options)?.status().await?;
@@ -81,14 +82,14 @@
     }
 }
 
-/// Whether a cell is left by its jobs.
+/// Whether a cell is being drained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DrainState {
     Draining,
     Open,
 }
 
-/// The answer to a drain and to its end, in JSON.
+/// The JSON output of `drain` and `undrain`.
 #[derive(Debug, Serialize)]
 struct DrainChange<'a> {
     format: u32,
@@ -103,7 +104,7 @@
         Self::open(&options.cells, |config| config.ledger.addr)
     }
 
-    async fn replica(&self) -> Result<LedgerReplica, ClientError> {
+    async fn read_replica(&self) -> Result<LedgerReplica, ClientError> {
         let listing = self.service.list_all(LIVE_PREFIX).await;
         let (pairs, revision) = listing.map_err(ClientError::ledger)?;
         let names = self.config.cells.iter().map(|cell| cell.name.as_str());
@@ -113,12 +114,13 @@
     }
 
     async fn status(&self) -> Result<CellsReport, ClientError> {
-        Ok(report::report_cells(&self.replica().await?))
+        Ok(report::report_cells(&self.read_replica().await?))
     }
 
     async fn explain(&self, job: &str) -> Result<Explanation, ClientError> {
-        // The live records are read first: a job that ends in between is found among the final states.
-        let replica = self.replica().await?;
+        // The live records are read before the final state: a job that ends in between has a final state by
+        // then.
+        let replica = self.read_replica().await?;
         let final_state = self.service.get(&final_key(job)).await;
         let final_state = final_state.map_err(ClientError::ledger)?;
         let final_state: Option<FinalState> =
--- a/src/client/limits.rs
+++ b/src/client/limits.rs
@@ -1,4 +1,4 @@
-//! Questions about teams' limits. The state service is asked.
+//! Commands that show teams' limits and their use. They read the state service.
 
 use super::output::OutputFormat;
 use super::{ClientError, ServiceConnection};
@@ -12,36 +12,36 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-/// What all commands about limits need.
+/// Options of all commands about limits.
 #[derive(Debug, Args)]
 pub struct LimitsOptions {
     /// The settings file of any controller
     #[arg(long)]
     config: PathBuf,
-    /// How the answer is written
+    /// The format of the output
     #[arg(long, value_enum, default_value = "text")]
     output: OutputFormat,
 }
 
-/// The commands about limits; the doc comments below this line are the help texts.
+/// The commands about limits. The doc comments of the variants and their arguments are the help texts.
 #[derive(Debug, Subcommand)]
 pub enum LimitsCommand {
-    /// How all limited teams stand: the limit, what is used, each controller's part
+    /// Show the limit of each limited team, what is used of it, and each controller's allocation
     Status {
         #[command(flatten)]
         options: LimitsOptions,
     },
-    /// Which limit holds a job up, at which controller, and what frees it
+    /// Show which limit blocks a job, at which controller, and what would unblock it
     Explain {
-        /// The job
+        /// The job's ID
         job: String,
         #[command(flatten)]
         options: LimitsOptions,
     },
 }
 
-/// Carries out a command; returns the answer as it is to be printed.
-pub(super) async fn answer(command: &LimitsCommand) -> Result<String, ClientError> {
+/// Runs a command and returns its output.
+pub(super) async fn execute(command: &LimitsCommand) -> Result<String, ClientError> {
     match command {
         LimitsCommand::Status { options } => {
             let report = StateConnection::open_state(options)?.status().await?;
@@ -61,7 +61,7 @@
         Self::open(&options.config, |settings| settings.endpoints.state)
     }
 
-    /// What a controller would know that has read all records and nothing else.
+    /// Builds a controller's state from the records alone.
     async fn read_records(&self) -> Result<Core, ClientError> {
         let listing = self.service.list_all(LIVE_PREFIX).await;
         let (pairs, revision) = listing.map_err(ClientError::state_service)?;
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -1,5 +1,6 @@
-//! The command-line client of operators. It asks the ledger or the state service, never a controller, and so
-//! answers during a takeover too. Each failure has an exit code of its own kind.
+//! The operators' command-line client. It sends requests to the ledger or the state service, never to a
+//! controller, so that it also answers while controllers are down or a cell's jobs are being taken over. The exit
+//! code tells the kind of a failure.
 
 mod cells;
 mod limits;
@@ -15,14 +16,14 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// What the client can be asked.
+/// A command of the client.
 #[derive(Debug)]
 pub enum ClientCommand {
     Cells(CellsCommand),
     Limits(LimitsCommand),
 }
 
-/// Why a service gave no answer.
+/// Why a request to the ledger or the state service failed.
 type ServiceError = Box<dyn Error + Send + Sync>;
 
 /// Why a command failed.
@@ -30,31 +31,32 @@
 pub enum ClientError {
     #[error(transparent)]
     Config(#[from] ConfigError),
-    #[error("no runtime: {0}")]
+    #[error("cannot create the async runtime: {0}")]
     Runtime(#[source] std::io::Error),
     #[error("no cell is named `{0}`")]
     UnknownCell(String),
-    #[error("`{0}` was never accepted")]
+    #[error("job `{0}` was never accepted")]
     UnknownJob(String),
-    #[error("`{0}` is over")]
+    #[error("job `{0}` has ended")]
     EndedJob(String),
     #[error("the ledger does not answer; try again in a few seconds")]
     LedgerUnavailable(#[source] ServiceError),
     #[error("the state service does not answer; try again in a few seconds")]
     StateServiceUnavailable(#[source] ServiceError),
+    /// The records contain no assignment of work to controllers.
     #[error("a takeover is under way; try again in a few seconds")]
     NoAssignment,
 }
 
-/// Exit code of a command that can never succeed as it was given.
+/// Exit code of a command that cannot succeed without a change of its arguments or files.
 const EXIT_INVALID: u8 = 2;
-/// Exit code of a question about a job that is unknown or over.
+/// Exit code of a query for a job that is unknown or has ended.
 const EXIT_NO_JOB: u8 = 3;
-/// Exit code of a command that may succeed when it is repeated.
+/// Exit code of a command that may succeed if it is repeated.
 const EXIT_RETRY: u8 = 4;
 
 impl ClientError {
-    /// The exit code by which scripts tell what to do.
+    /// The exit code, by which scripts decide whether to repeat the command.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             ClientError::Config(_) | ClientError::Runtime(_) | ClientError::UnknownCell(_) => {
@@ -76,37 +78,37 @@
     }
 }
 
-/// Carries out a command, and prints its answer.
+/// Runs a command and prints its output.
 pub fn run(command: &ClientCommand) -> Result<(), ClientError> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_all().build().map_err(ClientError::Runtime)?;
     let answer = runtime.block_on(async {
         match command {
-            ClientCommand::Cells(command) => cells::answer(command).await,
-            ClientCommand::Limits(command) => limits::answer(command).await,
+            ClientCommand::Cells(command) => cells::execute(command).await,
+            ClientCommand::Limits(command) => limits::execute(command).await,
         }
     })?;
     print!("{answer}");
     Ok(())
 }
 
-/// One person's requests a second; the service's own limits are for its controllers.
-const OPERATOR_SHARE: ServiceQuota = ServiceQuota {
+/// The client's own rate limits, for one operator. The service's rate limits are meant for the controllers.
+const CLIENT_QUOTA: ServiceQuota = ServiceQuota {
     requests_per_s: 10.0,
     writes_per_s: 5.0,
 };
 
-/// A configuration file and a client of the service that it names.
+/// A configuration file, and a client of the service whose address the file contains.
 struct ServiceConnection<C> {
     config: C,
     service: StateClient,
 }
 
 impl<C: ConfigFile> ServiceConnection<C> {
-    /// Reads the file and prepares a client of the service at `address`; nothing is sent yet.
+    /// Reads the file and creates a client of the service at `address`. Sends no request yet.
     fn open(path: &Path, address: impl FnOnce(&C) -> SocketAddr) -> Result<Self, ClientError> {
         let config = C::load(path)?;
-        let service = StateClient::new(address(&config), OPERATOR_SHARE, OPERATOR_SHARE);
+        let service = StateClient::new(address(&config), CLIENT_QUOTA, CLIENT_QUOTA);
         Ok(Self { config, service })
     }
 }
--- a/src/client/output.rs
+++ b/src/client/output.rs
@@ -1,24 +1,24 @@
-//! How answers are written.
+//! Formats of the client's output.
 
 use clap::ValueEnum;
 use serde::Serialize;
 
-/// The format of an answer.
+/// The format of a command's output.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum OutputFormat {
-    /// For people
+    /// Plain text for people
     Text,
-    /// For scripts, in a format with a version
+    /// A line of JSON for scripts, with the version of its format
     Json,
 }
 
 impl OutputFormat {
-    /// An answer in this format: the text, or a line of JSON.
+    /// Renders an answer in this format: as the text, or as a line of JSON.
     pub fn render(self, answer: &impl Serialize, text: impl FnOnce() -> String) -> String {
         match self {
             OutputFormat::Text => text(),
             OutputFormat::Json => {
-                serde_json::to_string(answer).expect("answers are plain data") + "\n"
+                serde_json::to_string(answer).expect("answers always serialize") + "\n"
             }
         }
     }
