--- a/src/metrics/memory.rs
+++ b/src/metrics/memory.rs
@@ -1,25 +1,26 @@
-//! Memory that this process has allocated, and whether it is short. What is then refused is decided
-//! elsewhere.
+//! Counts the memory that this process has allocated, and tells whether memory is short. Callers decide what
+//! they refuse then.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-/// The system's allocator, which counts the bytes that it has handed out.
+/// Wraps the system's allocator and counts the bytes that are allocated.
 pub struct CountingAllocator;
 
 static ALLOCATED: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: every call is passed on to the system's allocator as it is; only sizes are counted.
+// SAFETY: every call is forwarded unchanged to the system's allocator; only sizes are counted.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATED.fetch_add(layout.size(), Ordering::Relaxed);
-        // SAFETY: the caller's promises are the system allocator's.
+        // SAFETY: the system's allocator requires the same of the caller as this function.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn alloc_zeroed(&self, layout: Layout) -> *mut u8 {
         ALLOCATED.fetch_add(layout.size(), Ordering::Relaxed);
-        // SAFETY: as above. Zeroed pages that are not written yet stay free of charge.
+        // SAFETY: as above. Forwarded because the system's allocator need not write the zeros: pages that
+        // it gets from the kernel are zeroed, and occupy no memory until they are written.
         unsafe { System.alloc_zeroed(layout) }
     }
 
@@ -43,12 +44,12 @@
 }
 
 const BYTES_PER_MB: f64 = 1e6;
-/// Part of its machine's memory from which on memory is short. The rest is for the code, the stacks, the
-/// kernel's buffers of sockets and what the allocator cannot use again.
-const ENTER_PART: f64 = 0.7;
-/// Part below which it is no longer short. In between nothing changes, so that each job that ends does not
-/// let in another only to refuse the next.
-const LEAVE_PART: f64 = 0.6;
+/// Fraction of the machine's memory from which on memory is short. The rest is for the code, the stacks, the
+/// kernel's socket buffers and memory that the allocator cannot reuse.
+const ENTER_FRACTION: f64 = 0.7;
+/// Fraction below which memory is no longer short. Without the gap, each job that ends would admit one more,
+/// and the next would be refused again.
+const LEAVE_FRACTION: f64 = 0.6;
 
 /// Whether memory is short, with hysteresis.
 #[derive(Debug)]
@@ -59,17 +60,17 @@
 }
 
 impl MemoryPressure {
-    /// For a machine with `memory_mb` megabytes (10^6 bytes).
+    /// The thresholds of a machine with `memory_mb` megabytes (10^6 bytes) of memory.
     pub fn new(memory_mb: f64) -> Self {
-        let part = |part: f64| (memory_mb * BYTES_PER_MB * part) as usize;
+        let bytes = |fraction: f64| (memory_mb * BYTES_PER_MB * fraction) as usize;
         Self {
-            enter_bytes: part(ENTER_PART),
-            leave_bytes: part(LEAVE_PART),
+            enter_bytes: bytes(ENTER_FRACTION),
+            leave_bytes: bytes(LEAVE_FRACTION),
             is_short: AtomicBool::new(false),
         }
     }
 
-    /// Records how many bytes are allocated, and returns whether memory is short with that.
+    /// Updates the state for this number of allocated bytes, and returns whether memory is short.
     pub fn update(&self, allocated: usize) -> bool {
         let was_short = self.is_short.load(Ordering::Relaxed);
         let limit = if was_short {
--- a/src/metrics/memory/tests.rs
+++ b/src/metrics/memory/tests.rs
@@ -28,7 +28,8 @@
     ");
 }
 
-/// A count that drifted would one day refuse all work, or none.
+/// Guards against a count that drifts from the allocated memory: the controller would in time refuse all jobs,
+/// or none.
 #[test]
 fn freed_memory_is_no_longer_counted() {
     const BLOCK: usize = 64 << 20;
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -1,5 +1,4 @@
-//! Counters of what this controller did in a period, logged at the end of each period. They change no
-//! decision.
+//! Counters of this controller's work, logged for operators at the end of each period.
 
 pub mod memory;
 pub mod processor_time;
@@ -13,41 +12,42 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// What this controller did since the last log of its counters.
+/// Counters of the current period.
 #[derive(Debug)]
 pub struct Metrics {
     period_start: Instant,
-    /// Totals that only ever grow, as they were when the period began.
+    /// The totals when the period began.
     at_period_start: Totals,
-    /// Heartbeats of workers.
+    /// Heartbeats received from workers.
     pub heartbeats: u64,
-    /// Requests of users for a job's status.
+    /// Users' requests for a job's status.
     pub status_polls: u64,
-    /// Jobs that users submitted, whatever became of them.
+    /// Submissions from users that could be parsed, whether they were accepted or not.
     pub submissions: u64,
     /// Scheduling cycles.
     pub scheduling_cycles: u64,
     /// Tasks that were placed.
     pub task_starts: u64,
-    /// Progress pages that were written for starts.
+    /// Progress pages that were written with starts.
     pub start_pages: u64,
-    /// Progress pages that were written for exits alone.
+    /// Progress pages that were written without starts, for exits only.
     pub exit_pages: u64,
-    /// Of both, pages of jobs that another controller places.
+    /// Of the start and exit pages, those of jobs that another controller owns.
     pub foreign_pages: u64,
-    /// Jobs whose records were moved to their end.
+    /// Ended and relinquished jobs whose records were archived.
     pub ended_jobs: u64,
-    /// Pages that a cycle left to the next because no more could be written.
+    /// Progress pages that were deferred to the next cycle because the write limit was reached.
     pub deferred_pages: u64,
-    /// Transactions of pages that failed by a precondition; their changes count against the limit, too.
+    /// Transactions of pages that failed a precondition. Their writes count against the write limit too.
     pub write_conflicts: u64,
     /// Quota allocations handed to other controllers.
     pub quota_transfers: u64,
-    /// Quota records that were written again because of starts without an answer.
+    /// Quota records that were rewritten unchanged, so that start transactions without an answer can no longer
+    /// be applied.
     pub fence_writes: u64,
     /// Machines that the forecast and the placement examined.
     pub machines_examined: u64,
-    /// Snapshots of jobs and machines that were rebuilt because something changed.
+    /// Snapshots of jobs and machines that were rebuilt because of changes.
     pub rebuilt_snapshots: u64,
     /// Time spent in scheduling cycles.
     pub scheduling_time: Duration,
@@ -56,7 +56,7 @@
 }
 
 impl Metrics {
-    /// Counters of a period that begins `now`, all zero.
+    /// Zero counters of a period that begins `now`.
     pub fn new(now: Instant) -> Self {
         Self {
             period_start: now,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Counters that only ever grow; the part of a period is the difference of two readings.
+/// Counters since the process started. A period's share is the difference between two readings.
 #[derive(Debug, Clone, Copy, Default)]
 struct Totals {
     requests: u64,
@@ -124,7 +124,7 @@
     };
 }
 
-/// Logs what was counted. The names of the fields are what operators' tools read: they stay.
+/// Logs the counters. The field names are an interface to operators' tools and must not change.
 fn log_counters(core: &Core, totals: &Totals, now: Instant) {
     let period = &core.metrics;
     let before = &period.at_period_start;
@@ -162,8 +162,9 @@
     );
 }
 
-/// Logs the microseconds of processor time by account, under names that stay. What the process spent
-/// beyond these is the HTTP server and client, the runtime and the kernel's part of them.
+/// Logs the processor time of each account in microseconds. The field names must not change. Time of the
+/// process that is charged to no account is spent by the HTTP server and client, by the runtime, and by the
+/// kernel on their behalf.
 fn log_processor_time(before: &Totals, totals: &Totals) {
     let spent_us = |account: CpuAccount| {
         let account = account as usize;
@@ -186,11 +187,11 @@
     );
 }
 
-/// How many of the oldest unfinished jobs are logged.
+/// Maximum number of the oldest unfinished jobs that are logged.
 const OLDEST_JOBS_LOGGED: usize = 3;
 
-/// Logs, at level debug, the unfinished jobs of this controller that were released first: what holds them
-/// up shows in what is recorded, planned and left.
+/// Logs, at level debug, the unfinished jobs of this controller that could start first. Their recorded, planned
+/// and waiting tasks show what delays them.
 fn log_oldest_jobs(node: &Node, core: &Core) {
     if !tracing::enabled!(tracing::Level::DEBUG) {
         return;
--- a/src/metrics/processor_time.rs
+++ b/src/metrics/processor_time.rs
@@ -1,11 +1,11 @@
-//! Processor time of this process, charged to the kinds of work that spend it. Elapsed time is no concern of
-//! this module.
+//! Counts the processor time that this process spends on each kind of work. Elapsed time is not measured
+//! here.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Work of one kind that a controller does without waiting, and whose processor time is counted.
+/// A kind of work whose processor time is counted. The work does not await.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CpuAccount {
     /// Workers' heartbeats: decoding them, reconciling them with the records, and the commands sent back.
@@ -16,7 +16,7 @@
     WatchDecoding,
     /// Applying decoded changes to the replica.
     Replication,
-    /// Bringing cached snapshots of machines and jobs up to date.
+    /// Updating the cached snapshots of machines and jobs.
     Snapshots,
     /// Mapping all waiting tasks to predict deadline misses.
     Forecast,
@@ -31,7 +31,7 @@
 }
 
 impl CpuAccount {
-    /// All accounts, each at the index that is its discriminant.
+    /// All accounts, each at the index of its discriminant.
     pub const ALL: [CpuAccount; 10] = [
         CpuAccount::Heartbeats,
         CpuAccount::UserRequests,
@@ -46,14 +46,14 @@
     ];
 }
 
-/// Nanoseconds of processor time charged to each account since the process began.
+/// Nanoseconds of processor time charged to each account since the process started.
 #[derive(Debug, Default)]
 pub struct ProcessorTime {
     charged_ns: [AtomicU64; CpuAccount::ALL.len()],
 }
 
-/// Charges the time until it is dropped to an account. It must not be held across an await: what other
-/// tasks of the thread do meanwhile would be charged to it.
+/// Charges the thread's processor time to an account until it is dropped. It must not be held across an await:
+/// the work of other tasks on the thread would be charged to the account too.
 #[must_use]
 pub struct Charge<'a> {
     account_ns: &'a AtomicU64,
@@ -61,7 +61,7 @@
 }
 
 impl ProcessorTime {
-    /// Starts charging an account; the charge ends when the returned value is dropped.
+    /// Starts charging an account until the returned guard is dropped.
     pub fn charge(&self, account: CpuAccount) -> Charge<'_> {
         Charge {
             account_ns: &self.charged_ns[account as usize],
@@ -69,7 +69,7 @@
         }
     }
 
-    /// What each account has been charged so far, in the order of [`CpuAccount::ALL`].
+    /// The processor time charged to each account so far, in the order of [`CpuAccount::ALL`].
     pub fn totals(&self) -> [Duration; CpuAccount::ALL.len()] {
         std::array::from_fn(|account| {
             Duration::from_nanos(self.charged_ns[account].load(Ordering::Relaxed))
@@ -85,7 +85,7 @@
     }
 }
 
-/// Processor time of the calling thread: neither waiting nor other processes count.
+/// Processor time of the calling thread, without the time that it waits.
 fn thread_time() -> Duration {
     read_clock(ClockId::ThreadCPUTime)
 }
--- a/src/metrics/processor_time/tests.rs
+++ b/src/metrics/processor_time/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use std::hint::black_box;
 
-/// Elapsed time would charge an account for what other processes of the machine did meanwhile.
+/// Guards against measuring elapsed time, which would charge an account for waiting and for the work of other
+/// processes on the machine.
 #[test]
 fn a_charge_counts_the_threads_processor_time_and_no_waiting() {
     let time = ProcessorTime::default();
