--- a/src/background.rs
+++ b/src/background.rs
@@ -1,5 +1,5 @@
-//! The tasks that a controller runs beside its API, each an endless loop, started and supervised in one
-//! place. None is expected to end; one that does is logged and not restarted, and changes nothing else.
+//! Starts and supervises the tasks that a controller runs beside its API. Each is an endless loop. A task that
+//! ends nevertheless is logged and not restarted; the others keep running.
 
 use crate::node::Node;
 use crate::{cells, membership, mesh, pipelines, placement, renting, state};
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use tokio::task::{Id, JoinSet};
 
-/// Running tasks, and the names by which the log calls them. Dropping it stops them all.
+/// Running tasks, with their names for the log. All are aborted when this value is dropped.
 #[derive(Debug, Default)]
 pub struct BackgroundTasks {
     tasks: JoinSet<()>,
@@ -15,7 +15,7 @@
 }
 
 impl BackgroundTasks {
-    /// Starts all that a controller does without being asked, on the current runtime.
+    /// Starts all background tasks of a controller on the current runtime, except the mesh server.
     pub fn start(node: &Arc<Node>) -> Self {
         let mut tasks = Self::default();
         tasks.spawn("state watch", state::watch::run(node.clone()));
@@ -38,13 +38,13 @@
         }
     }
 
-    /// Starts one more task.
+    /// Starts one task.
     pub fn spawn(&mut self, name: &'static str, task: impl Future<Output = ()> + Send + 'static) {
         let id = self.tasks.spawn(task).id();
         self.names.insert(id, name);
     }
 
-    /// Logs each task that ends or panics; returns when none is left.
+    /// Logs each task that ends or panics. Returns when no task is left.
     pub async fn supervise(mut self) {
         while let Some(ended) = self.tasks.join_next_with_id().await {
             match ended {
--- a/src/background/tests.rs
+++ b/src/background/tests.rs
@@ -2,7 +2,7 @@
 use tokio::sync::oneshot;
 
 impl BackgroundTasks {
-    /// Starts the tasks of the cells alone.
+    /// Starts only the tasks of the cells.
     pub fn of_cells(node: &Arc<Node>) -> Self {
         let mut tasks = Self::default();
         tasks.spawn_cells(node);
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,10 +1,10 @@
-//! The command line: its commands and their arguments. It reads no file and carries nothing out.
+//! The command line: its commands and their arguments. Commands are run and files are read elsewhere.
 
 use crate::client::{CellsCommand, LimitsCommand};
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
 
-/// The whole command line.
+/// The command line.
 #[derive(Debug, Parser)]
 #[command(version, about)]
 pub struct Cli {
@@ -12,58 +12,58 @@
     pub command: Command,
 }
 
-/// What the program is asked to do. The doc comments below this line are the help texts.
+/// A command. The doc comments of the variants and their arguments are the help texts.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Run one controller until it is killed
     Serve(ServeArgs),
-    /// Ask about the cells that share work, or change them
+    /// Show the cells that share work, or drain a cell
     Cells {
         #[command(subcommand)]
         command: CellsCommand,
     },
-    /// Ask how teams' limits stand
+    /// Show teams' limits and their use
     Limits {
         #[command(subcommand)]
         command: LimitsCommand,
     },
-    /// Check a settings file, a policy or both, and say what is wrong
+    /// Check configuration files and report the first error
     Check(CheckArgs),
 }
 
-/// The files that a controller is started with.
+/// The configuration files of a controller.
 #[derive(Debug, Args)]
 pub struct ServeArgs {
-    /// The operators' policy; what it leaves out is as in the embedded one
+    /// The policy file; values that it omits are taken from the built-in policy
     #[arg(long)]
     pub policy: Option<PathBuf>,
-    /// The operators' file of the cells that share work; without it there are none
+    /// The cells file, which lists the cells that share work; without it, the controller belongs to no cell
     #[arg(long, requires = "cell")]
     pub cells: Option<PathBuf>,
-    /// Which of these cells this controller belongs to
+    /// The cell that the controller belongs to
     #[arg(long, requires = "cells")]
     pub cell: Option<String>,
-    /// The operators' file that has teams' limits divided among the controllers
+    /// The limits file; without it, teams' limits are not divided among the controllers
     #[arg(long)]
     pub limits: Option<PathBuf>,
-    /// The settings file that the platform hands over
+    /// The settings file that the platform provides
     #[arg(long)]
     pub config: PathBuf,
 }
 
-/// The files to check, at least one.
+/// The files to check. At least one is required.
 #[derive(Debug, Args)]
 pub struct CheckArgs {
-    /// The policy to check
+    /// The policy file to check
     #[arg(long, required_unless_present_any = ["config", "cells", "limits"])]
     pub policy: Option<PathBuf>,
-    /// The file of the cells to check
+    /// The cells file to check
     #[arg(long)]
     pub cells: Option<PathBuf>,
-    /// Check the cells' file against the settings of a controller of this cell
+    /// Check the cells file against the settings file of a controller of this cell
     #[arg(long, requires_all = ["cells", "config"])]
     pub cell: Option<String>,
-    /// The limits' file to check; with a settings file, its teams' amounts too
+    /// The limits file to check; with a settings file, the limits of its teams are checked too
     #[arg(long)]
     pub limits: Option<PathBuf>,
     /// The settings file to check
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,5 +1,4 @@
-//! Builds the HTTP responses of everything that the controller serves: users, workers and the load balancer.
-//! Knows nothing of what is asked; [`crate::api`] routes the requests.
+//! Builds HTTP responses to users, workers and the load balancer. Requests are routed by [`crate::api`].
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -12,20 +11,20 @@
 
 /// A response with a JSON body.
 pub fn json_response(status: StatusCode, body: &impl Serialize) -> HttpResponse {
-    let body = serde_json::to_vec(body).expect("response bodies are plain data");
+    let body = serde_json::to_vec(body).expect("response bodies always serialize");
     Response::builder()
         .status(status)
         .header(CONTENT_TYPE, "application/json")
         .body(Full::new(body.into()))
-        .expect("the status and headers are constants")
+        .expect("the status and headers are valid")
 }
 
-/// A refusal with its reason as `{"error": reason}`.
+/// An error response with the body `{"error": reason}`.
 pub fn error_response(status: StatusCode, reason: &str) -> HttpResponse {
     json_response(status, &serde_json::json!({ "error": reason }))
 }
 
-/// A refusal that asks the client to retry after `after_s` seconds.
+/// An error response that asks the client to retry after `after_s` seconds.
 pub fn retry_later(status: StatusCode, after_s: u64, reason: &str) -> HttpResponse {
     let mut response = error_response(status, reason);
     response.headers_mut().insert(RETRY_AFTER, after_s.into());
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,17 +1,17 @@
-//! The log: one line an event on standard error, without colours, times or modules, which the platform
-//! adds.
+//! Logs to standard error, one line per event, without colours. Times and module names are left out, because
+//! the platform adds them.
 
 use std::str::FromStr;
 use tracing::Level;
 
-/// The environment variable with the lowest level that is logged.
+/// The environment variable that names the lowest severity to log.
 const LEVEL_VARIABLE: &str = "LOG_LEVEL";
 
 /// A level that `LOG_LEVEL` may name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct LogLevel(Level);
 
-/// The text names none of the levels.
+/// The text is not the name of a level that can be set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("not a log level")]
 struct UnknownLevel;
@@ -19,7 +19,7 @@
 impl FromStr for LogLevel {
     type Err = UnknownLevel;
 
-    /// An empty text means the default, `info`.
+    /// An empty text selects the default, `info`.
     fn from_str(text: &str) -> Result<Self, UnknownLevel> {
         match text {
             "error" => Ok(Self(Level::ERROR)),
@@ -30,8 +30,8 @@
     }
 }
 
-/// Starts logging at the level of `LOG_LEVEL`; at `info`, with a line that says so, if it names none.
-/// To be called once a process.
+/// Starts logging at the level that `LOG_LEVEL` names. If it names none, logs at `info` and reports that.
+/// Must be called at most once per process.
 pub fn init() {
     let wanted = std::env::var(LEVEL_VARIABLE).unwrap_or_default();
     let level = wanted.parse::<LogLevel>();
@@ -46,7 +46,7 @@
     if level.is_err() {
         tracing::info!(
             wanted,
-            "LOG_LEVEL is none of error, info, debug: using info"
+            "LOG_LEVEL is not one of error, info, debug; using info"
         );
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,5 @@
-//! rowanmill: a cluster scheduler that rents machines by predicted deadline misses. This file only carries
-//! out the command of the command line and ends with its exit code.
+//! rowanmill: a cluster scheduler that rents machines by predicted deadline misses. This file runs the command
+//! that the command line names, and exits with its exit code.
 #![cfg_attr(
     test,
     allow(clippy::too_many_lines, reason = "a test plays a whole scenario")
--- a/src/operator_files.rs
+++ b/src/operator_files.rs
@@ -1,4 +1,4 @@
-//! The operators' files of cells and of limits, as far as they depend on a controller's own settings.
+//! Loads the operators' cells file and limits file, and checks them against a controller's own settings.
 
 use crate::cells;
 use crate::settings::Settings;
@@ -8,7 +8,7 @@
 use rowanmill_limits::teams::{SettingAmount, TeamSettings, validate_teams};
 use std::path::Path;
 
-/// Reads the cells' file, and checks it for a controller of `cell` with these settings.
+/// Reads the cells file, and checks it for a controller of `cell` with these settings.
 pub fn load_cells(
     path: &Path,
     cell: &str,
@@ -18,7 +18,7 @@
     CellsConfig::load_checked(path, |config| config.check_cell(cell, &times))
 }
 
-/// Reads the limits' file, and checks that the limits of the settings' teams can be divided.
+/// Reads the limits file, and checks that the limits of the teams in the settings can be divided.
 pub fn load_limits(path: &Path, settings: &Settings) -> Result<LimitsConfig, ConfigError> {
     let teams = settings.params.teams.iter().map(|team| TeamSettings {
         name: &team.name,
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -15,14 +15,14 @@
 use std::sync::Arc;
 use tokio::net::TcpListener;
 
-/// Why a controller was not started.
+/// Why a controller could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error(transparent)]
     Policy(#[from] PolicyError),
-    #[error("no runtime: {0}")]
+    #[error("cannot create the async runtime: {0}")]
     Runtime(#[source] std::io::Error),
     #[error("cannot listen on {addr}: {source}")]
     Listen {
@@ -31,17 +31,17 @@
     },
 }
 
-/// All configuration of one controller, read and checked.
+/// The configuration of one controller, read and checked.
 pub struct Configuration {
     pub settings: Settings,
     pub policy: Policy,
-    /// The cells that share work and the one that this controller belongs to, if there are any.
+    /// The cells that share work, and which of them this controller belongs to; `None` without a cells file.
     pub cell: Option<CellMembership>,
-    /// How teams' limits are divided; without it the controllers do not divide them.
+    /// How teams' limits are divided among the controllers; `None` if they are not divided.
     pub limits: Option<LimitsConfig>,
 }
 
-/// A controller's place among the cells that share work.
+/// A controller's membership of a cell.
 pub struct CellMembership {
     pub config: CellsConfig,
     /// The name of the cell that the controller belongs to.
@@ -49,7 +49,7 @@
 }
 
 impl Configuration {
-    /// Reads and checks the files of a command line.
+    /// Reads and checks the files that the command line names.
     fn load(args: &ServeArgs) -> Result<Self, ServeError> {
         let settings = Settings::load(&args.config)?;
         let policy = match &args.policy {
@@ -75,7 +75,7 @@
         })
     }
 
-    /// The controller's state before its first contact with the state service.
+    /// Builds the controller's state as it is before the first contact with the state service.
     fn into_node(self, supported_level: FeatureLevel) -> Node {
         let node = Node::new(supported_level, self.settings, self.policy).with_limits(self.limits);
         match self.cell {
@@ -85,7 +85,7 @@
     }
 }
 
-/// Runs one controller with the files of a command line.
+/// Runs one controller with the files that the command line names.
 pub fn run(args: &ServeArgs) -> Result<(), ServeError> {
     let configuration = Configuration::load(args)?;
     logging::init();
@@ -96,8 +96,8 @@
     runtime.block_on(run_controller(FeatureLevel::COMPACT_PAGES, configuration))
 }
 
-/// One controller, until its runtime ends. `supported_level` is what it publishes that it supports, before
-/// its configuration raises it.
+/// Runs one controller until the runtime ends. The controller publishes that it supports `supported_level`, or a
+/// higher level if its configuration needs one.
 pub async fn run_controller(
     supported_level: FeatureLevel,
     configuration: Configuration,
@@ -108,7 +108,7 @@
     tracing::info!(incarnation = node.identity.incarnation, "starting");
     let mut tasks = BackgroundTasks::start(&node);
     tasks.spawn("mesh server", mesh::serve(node.clone(), mesh_listener));
-    // Not awaited here: it ends with the runtime, as the tasks that it supervises do.
+    // Not awaited here: the supervisor and its tasks end with the runtime.
     tokio::spawn(tasks.supervise());
     api::run(node, api_listener).await;
     Ok(())
