--- a/src/cells/protection.rs
+++ b/src/cells/protection.rs
@@ -52,7 +52,7 @@
     protected
 }
 
-/// The fact that all machines that a job may use are protected.
+/// Result of [`exclusion_of`] if all machines that a job may use are protected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProtectionExclusion {
     /// When the first of these protections ends, in milliseconds since the Unix epoch. `None` if none ends
--- a/src/cells/scheduler.rs
+++ b/src/cells/scheduler.rs
@@ -364,6 +364,7 @@
             }
             let preconditions = if only_unstarted {
                 let layout = &core.replica.layout;
+                // One precondition is for the job's record.
                 progress_unchanged(layout, id, job, max_preconditions - 1)
             } else {
                 Vec::new()
