--- a/src/placement/due_times.rs
+++ b/src/placement/due_times.rs
@@ -42,7 +42,8 @@
 }
 
 /// The earliest due time that a job of this age can still meet. A job that has missed all its due times is
-/// treated like one that never had any, so that it no longer precedes work that can still be in time.
+/// treated like one that never had any: it is due to start after a multiple of its expected run time. If it kept
+/// a due time that has passed, it would precede work that can still be in time.
 pub fn earliest_due_time(node: &Node, core: &Core, record: &JobRecord, age_s: f64) -> DueTime {
     attainable_due_times(node, core, record, age_s)[0]
 }
@@ -122,9 +123,9 @@
     })
 }
 
-/// A job with no started task precedes all others this many seconds after its arrival at the latest, whatever
-/// the objectives of its class. Urgency and due times order the other jobs, and this limit keeps any of them
-/// from starving.
+/// The shortest starvation limit: a job with no started task precedes all others this many seconds after its
+/// arrival, whatever the objectives of its class. Urgency and due times order the other jobs, and this limit
+/// keeps any of them from starving.
 const STARVATION_LIMIT_S: f64 = 190.0;
 /// Under lasting overload every job would exceed its starvation limit in the end, and if such jobs always went
 /// first, none would be in time. Therefore only one in two of the largest jobs of a class, and one in four of
--- a/src/placement/forecast.rs
+++ b/src/placement/forecast.rs
@@ -1,6 +1,6 @@
-//! Predicts missed due times: assigns every waiting task to the machine where it would end first, however
-//! long it would wait there (the paper's equation 1). A forecast is made at least once per scaling period. It
-//! starts no tasks.
+//! Predicts missed due times: assigns the waiting tasks to the machines where they would end first, however
+//! long they would wait there (equation 1 of the CVSS paper). A forecast is made at least once per scaling
+//! period. It starts no tasks.
 
 mod beyond_headroom;
 
@@ -141,7 +141,8 @@
     limited_tasks: BTreeMap<usize, Vec<Option<TaskPlacement>>>,
 }
 
-/// Makes the forecast of all waiting tasks. The first `startup_count` tasks of each job are startup tasks.
+/// Makes the forecast of all waiting tasks. The first `startup_count` tasks of each job that is not a
+/// gang are startup tasks.
 pub fn forecast(
     jobs: &[JobSnapshot],
     machines: &[MachineSnapshot],
--- a/src/placement/gang.rs
+++ b/src/placement/gang.rs
@@ -7,7 +7,8 @@
 use std::collections::BTreeMap;
 
 /// A gang that could start now waits for later slots only if it would complete earlier there by this
-/// fraction of its run time.
+/// fraction of its run time. If the gang must stay in one zone, this only holds for later slots in a zone
+/// where it could start now.
 const MIN_GAIN_TO_WAIT: f64 = 0.25;
 
 /// A slot for one task of a gang. Times are seconds from now.
--- a/src/placement/index.rs
+++ b/src/placement/index.rs
@@ -1,6 +1,6 @@
-//! The machines of one packing or forecast, grouped by pool. The index caches, for each machine, the earliest
-//! start of a request and the machine's emptiness until the machine changes. A search for a job therefore only
-//! visits the machines that the job may use.
+//! The machines of one packing or forecast, grouped by pool, so that a search for a job only visits pools that
+//! the job may use. The index caches, for each machine, the earliest start of a request and the machine's
+//! emptiness until the machine changes.
 
 use super::{
     FreeSlot, JobSnapshot, MIN_FETCH_GB_PER_S, MachineSnapshot, PoolId, Reservation, Resources,
@@ -73,7 +73,7 @@
 }
 
 impl TaskTimes<'_> {
-    /// Seconds to fetch the image; 0 on a machine that has it.
+    /// Seconds to fetch the image; 0 on a machine that has it or is fetching it.
     pub fn fetch(&self, machine: usize) -> f64 {
         if self.with_image.is_some_and(|set| set.contains(machine)) {
             return 0.0;
--- a/src/placement/job.rs
+++ b/src/placement/job.rs
@@ -69,7 +69,7 @@
     pub urgency: Urgency,
     /// When its tasks should have reached `due_milestone`.
     pub due: f64,
-    /// The due time after `due` that it can still meet.
+    /// The due time after `due` that it can still meet; its starvation limit if there is none.
     pub next_due: f64,
     /// What its tasks should reach by `due`.
     pub due_milestone: Milestone,
--- a/src/placement/machine.rs
+++ b/src/placement/machine.rs
@@ -139,8 +139,8 @@
         })
     }
 
-    /// Takes capacity for a task from `start` to `end`. It is taken from the slots that become free last,
-    /// so that earlier ones remain for other tasks.
+    /// Takes capacity for a task from `start` to `end`. Among the slots that are free by `start`, it is taken
+    /// from the latest ones, so that earlier ones remain for other tasks.
     pub(super) fn occupy(&mut self, resources: &Resources, start: f64, end: f64) {
         let mut wanted = *resources;
         for slot in self.free_slots.iter_mut().rev() {
--- a/src/placement/machine_snapshot.rs
+++ b/src/placement/machine_snapshot.rs
@@ -241,7 +241,7 @@
     (machine_type.boot_s * BOOT_TIME_FACTOR - age_s).max(OVERDUE_EVENT_S)
 }
 
-/// The interned images that a worker reports, each once.
+/// The interned images that a machine's cache is expected to hold, each once.
 fn interned_images(names: &mut NameTable, worker: Option<&AgentStatus>) -> Vec<u32> {
     let mut images: HashSet<u32> = HashSet::new();
     if let Some(worker) = worker {
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,14 +1,15 @@
 //! Places waiting tasks on machines by bin packing, and forecasts where they would run. Each task goes
 //! to the machine on which it would complete first (equation 1 of the CVSS paper, see `crate::renting`).
-//! Jobs are served by priority and due time (the batch queue). The first tasks of each job, its startup
-//! tasks, go ahead of these in order of arrival (the startup queue), unless the job at the head of the
-//! batch queue would then be late.
+//! Jobs are served by priority and due time (the batch queue). The first tasks of each job that is not a
+//! gang, its startup tasks, go ahead of these in order of arrival (the startup queue), unless the job at
+//! the head of the batch queue would then be late.
 //!
 //! Starts and evictions are only planned here. `service` has them recorded, and the commands to workers
 //! are derived from the records.
 //!
 //! - [`packing`] chooses the tasks that start now, in every scheduling cycle;
-//! - [`forecast`] maps all waiting tasks to machines, once a period, to predict which will be late;
+//! - [`forecast`] maps the waiting tasks to machines, at least once per scaling period, to predict which
+//!   will be late;
 //! - [`preemption`] chooses tasks to evict for work of higher priority;
 //! - [`snapshot`] and [`snapshot_cache`] turn records and heartbeats into the input of the above;
 //! - [`due_times`] and [`inherited_deadlines`] determine when jobs should start and finish.
@@ -45,9 +46,9 @@
 use machine::MIN_FETCH_GB_PER_S;
 use resources::ROUNDING_TOLERANCE;
 
-/// Completion times that differ by less than this fraction of the run time count as equal, since
-/// estimates are not exact to the second. Among equal ones the cheapest machine is preferred, then the
-/// fullest, so that other machines become idle and are released.
+/// Completion times are compared in steps of this fraction of the run time, since estimates are not exact
+/// to the second. Those in the same step count as equal. Among equal ones the cheapest machine is
+/// preferred, then the fullest, so that other machines become idle and are released.
 const END_TOLERANCE: f64 = 0.05;
 
 /// A planned start of one task.
--- a/src/placement/packing/mod.rs
+++ b/src/placement/packing/mod.rs
@@ -1,6 +1,6 @@
 //! Chooses the tasks that start now. The cost depends on the number of machines with free capacity, not
-//! on the fleet's size. Only for gangs and large tasks are future starts considered as well, to reserve
-//! capacity for them.
+//! on the fleet's size. Gangs and large tasks, which fill most of a machine, are the exception: to reserve
+//! capacity for them, future starts on all machines that they may use are considered as well.
 
 mod candidates;
 mod reserving;
@@ -12,7 +12,8 @@
 use candidates::Candidate;
 use std::collections::HashSet;
 
-/// A job for which no capacity was found.
+/// A job that must wait: no capacity was found for its next task or, if it is a gang or has large tasks,
+/// capacity is reserved for it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Unplaced {
     /// Index of the job in the snapshot.
@@ -28,7 +29,7 @@
 pub struct PlacementResult {
     /// Tasks that start now.
     pub starts: Vec<Start>,
-    /// Jobs for which no capacity was found.
+    /// Jobs that must wait. A gang or a large task is included only if capacity was reserved for it.
     pub unplaced: Vec<Unplaced>,
     /// Gangs and large tasks that wait for their team's quota, although machines are free for them now or
     /// soon, or after they have waited very long.
@@ -42,8 +43,9 @@
 pub struct PackingLimits<'a> {
     /// Quota that limited teams may still use.
     pub headroom: &'a QuotaHeadroom,
-    /// A gang that its team's quota has kept waiting for this many seconds gets quota that becomes free
-    /// reserved for it.
+    /// Seconds after its arrival from which quota that becomes free is kept for a job that requests its
+    /// team's whole limit. For a smaller request the time is shorter, see
+    /// [`QuotaHeadroom::is_due_for_reservation`].
     pub reservation_delay_s: f64,
 }
 
@@ -84,7 +86,7 @@
     /// The capacity that is free now, per machine.
     free: Vec<Resources>,
     reserved_machines: usize,
-    /// Gangs and large tasks that were found to start only in the future.
+    /// Number of gangs and large tasks for which slots were found, but which cannot start now.
     lookaheads: usize,
     /// The fewest CPUs that any task requests. Machines with fewer free CPUs are closed in the index, since no
     /// task can start there.
@@ -93,7 +95,7 @@
 }
 
 /// Chooses the tasks that start in this cycle, at most `max_starts`. The first `startup_count` tasks of each
-/// job are startup tasks.
+/// job are startup tasks, except for gangs and jobs with large tasks, which are only in the batch queue.
 pub fn pack(
     jobs: &[JobSnapshot],
     machines: &mut [MachineSnapshot],
@@ -210,7 +212,7 @@
         let mut wanted = self.permitted(job).min(max_tasks);
         if wanted == 0 {
             self.progress[job].exhausted = true;
-            self.close_headroom_if_overdue(job);
+            self.close_headroom_if_due_for_reservation(job);
             return;
         }
         for candidate in self.candidates(job) {
@@ -242,20 +244,20 @@
     /// Stops further starts of the team if the job's next task exceeds the team's headroom, has waited long
     /// enough and would fit on a machine now, so that quota becomes free for it. Does nothing if quota is
     /// reserved for another job of the team.
-    fn close_headroom_if_overdue(&mut self, job: usize) {
+    fn close_headroom_if_due_for_reservation(&mut self, job: usize) {
         let snapshot = &self.jobs[job];
-        let is_overdue =
-            self.headroom
-                .is_due_for_reservation(snapshot, 1, self.reservation_delay_s);
+        let is_due = self
+            .headroom
+            .is_due_for_reservation(snapshot, 1, self.reservation_delay_s);
         let is_reserved = self.headroom.is_reserved_for_other(snapshot);
-        if is_overdue && !is_reserved && self.candidates(job).next().is_some() {
+        if is_due && !is_reserved && self.candidates(job).next().is_some() {
             self.headroom.close(snapshot.team);
         }
     }
 
     /// Whether a startup task may go ahead of the head of the batch queue: only if the head would still be
-    /// in time (a condition of the CVSS paper). The head can lose at most one of the machines on which it
-    /// could start now.
+    /// in time (a condition of the CVSS paper), or cannot start now in any case. The head can lose at most
+    /// one of the machines on which it could start now.
     fn startup_may_pass(&mut self, startup: usize, head: usize) -> bool {
         let mut head_candidates = self.candidates(head);
         let Some(best) = head_candidates.next() else {
--- a/src/placement/packing/reserving.rs
+++ b/src/placement/packing/reserving.rs
@@ -6,14 +6,16 @@
 use crate::placement::gang::{GangSlot, gang_slots};
 use crate::placement::{JobSnapshot, Milestone, ROUNDING_TOLERANCE, Reservation};
 
-/// Largest fraction of the machines that may be reserved at a time for work that waits for capacity.
+/// Largest fraction of the machines that one packing reserves for work that waits for capacity, where each
+/// task counts as one machine. The first job's reservation may be larger.
 const MAX_RESERVED_FRACTION: f64 = 0.5;
 /// If a gang exceeds its team's headroom, other starts of the team stop once the gang's machines are free
 /// within this time: running tasks of the team take about as long to end and release their quota.
 const READY_WITHIN_S: f64 = 10.0;
 /// After this multiple of the reservation delay, they stop even if no machines will be free soon.
 const QUOTA_BEFORE_MACHINES_FACTOR: f64 = 3.0;
-/// After this many gangs and large tasks that can start only in the future, a packing places no more of them.
+/// After this many gangs and large tasks that must wait although slots were found for them, a packing
+/// searches slots for no more of them.
 const MAX_LOOKAHEADS: usize = 16;
 
 /// The result of one attempt to place a gang or a large task.
@@ -106,8 +108,9 @@
         snapshot.gang || slots.iter().all(allows)
     }
 
-    /// Stops further starts of the team if its quota keeps the job waiting, and either the job's machines
-    /// are free now or soon, or it has waited very long.
+    /// Stops further starts of the team and records the job as blocked by the quota, if the job exceeds the
+    /// team's headroom or has quota reserved for it, and either its machines are free now or soon, or it
+    /// has waited very long.
     fn close_headroom_if_blocked(
         &mut self,
         job: usize,
@@ -124,8 +127,8 @@
         }
     }
 
-    /// Whether a gang has waited so long that quota is kept for it before its machines are free: no machines
-    /// are rented for work that exceeds its team's quota.
+    /// Whether a gang has waited so long that quota is kept for it before its machines are free. No machines
+    /// are rented for work that exceeds its team's quota, so its machines might never be free.
     fn quota_precedes_machines(&self, job: &JobSnapshot, size: usize) -> bool {
         let delay = self.reservation_delay_s * QUOTA_BEFORE_MACHINES_FACTOR;
         self.headroom.is_due_for_reservation(job, size, delay)
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -51,7 +51,7 @@
     pub jobs: &'a [JobSnapshot],
     /// Per job, what it may preempt.
     pub requests: &'a [PreemptionRequest],
-    /// Jobs for which packing found no capacity.
+    /// Jobs that must wait after packing.
     pub unplaced: &'a [Unplaced],
     /// All machines of the snapshot, after packing.
     pub machines: &'a [MachineSnapshot],
@@ -59,7 +59,7 @@
     pub running_tasks: &'a dyn Fn(&str) -> Vec<RunningTask>,
     /// Seconds from the decision to evict until the capacity is free.
     pub eviction_takes_s: f64,
-    /// Maximum number of machines to evict tasks from.
+    /// Once capacity is cleared on this many machines, no further job is considered.
     pub max_machines: usize,
 }
 
@@ -74,7 +74,7 @@
     pub grace_s: f64,
 }
 
-/// Machines from which tasks are evicted for a job.
+/// Machines on which capacity is cleared for a job. On some of them, enough may be free without evictions.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClearedMachines {
     /// Index of the job.
@@ -92,8 +92,8 @@
     pub cleared: Vec<ClearedMachines>,
 }
 
-/// Most work that may be lost per starting task, in seconds weighted by the task's size. If more is lost,
-/// repeating the work makes more tasks late than the preemption saves.
+/// Most work that may be lost per starting task, in seconds of work of a task of the same size. If more is
+/// lost, repeating the work makes more tasks late than the preemption saves.
 const MAX_LOST_S: f64 = 2.0;
 /// The same for a gang of several tasks, which preempts only once its due time has passed: when every gang
 /// that would be late preempted, a quarter of all small tasks lost their first run.
@@ -159,8 +159,9 @@
 }
 
 impl Planner<'_> {
-    /// Whether the job would be late if it waited, and no machine is being cleared for it yet. A job that is
-    /// expected to start within twice the time of an eviction waits.
+    /// Whether the job would be late if it waited, and no machine is being cleared for it yet. If its start is
+    /// unknown, it counts as late; if it is expected to start within twice the time of an eviction, it waits.
+    /// A gang of several tasks waits until capacity is reserved for it and its due time has passed.
     fn should_preempt(&self, unplaced: &Unplaced) -> bool {
         let job = &self.input.jobs[unplaced.job];
         let eviction_takes_s = self.input.eviction_takes_s;
@@ -251,7 +252,7 @@
     }
 }
 
-/// Most work that may be lost for `size` tasks of a job, in seconds weighted by their size.
+/// Most work that may be lost for `size` starting tasks of a job, in seconds multiplied by `weight`.
 fn max_lost(job: &JobSnapshot, size: usize) -> f64 {
     let max_lost_s = if job.gang && size > 1 {
         MAX_LOST_FOR_GANG_S
--- a/src/placement/queue.rs
+++ b/src/placement/queue.rs
@@ -1,5 +1,5 @@
-//! The two job queues of the CVSS paper: the batch queue is ordered by due time within each priority
-//! class, the startup queue by arrival.
+//! The two job queues of the CVSS paper: the batch queue, ordered by due time, and the startup queue,
+//! ordered by arrival. In the batch queue, priority classes are compared before due times.
 
 use super::job::JobSnapshot;
 use crate::jobs::Urgency;
--- a/src/placement/quota_timeline.rs
+++ b/src/placement/quota_timeline.rs
@@ -29,8 +29,8 @@
     }
 }
 
-/// The quota of one team over time. Tasks are added one after the other, each with [`QuotaTimeline::earliest`] and
-/// then [`QuotaTimeline::take`].
+/// The quota of one team over time, as tasks take it one after the other. [`QuotaTimeline::take`] takes it at the
+/// time that [`QuotaTimeline::earliest`] returned last, at first now.
 #[derive(Debug, Clone)]
 pub(super) struct QuotaTimeline {
     available: Resources,
--- a/src/placement/service/preempt.rs
+++ b/src/placement/service/preempt.rs
@@ -16,7 +16,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Maximum number of machines from which tasks are evicted in a cycle.
+/// Once a cycle has cleared capacity on this many machines, it preempts tasks for no further job.
 const MAX_CLEARED_MACHINES: usize = 24;
 
 /// The grace period of a preempted task that saves a checkpoint is its expected time for saving, times
--- a/src/placement/service/starts.rs
+++ b/src/placement/service/starts.rs
@@ -13,7 +13,7 @@
 /// Maximum number of tasks started in a cycle.
 const MAX_STARTS: usize = 400;
 
-/// Packs waiting tasks onto free capacity and plans their starts. Returns the jobs for which there was none.
+/// Packs waiting tasks onto free capacity and plans their starts. Returns the jobs that must wait.
 pub(super) fn plan_starts(
     node: &Node,
     core: &mut Core,
