--- a/crates/rowanmill-state/src/error.rs
+++ b/crates/rowanmill-state/src/error.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum TransactionError {
     /// The preconditions of these keys did not hold; nothing was changed.
-    #[error("preconditions failed for the keys {0:?}")]
+    #[error("guards failed: {0:?}")]
     Conflict(Vec<String>),
     /// The transaction was not executed, because of the rate limit, an outage or a failed connection. It may
     /// be sent again.
