--- a/crates/rowanmill-state/src/error.rs
+++ b/crates/rowanmill-state/src/error.rs
@@ -20,7 +20,8 @@
 /// Why a transaction was not confirmed.
 #[derive(Debug, thiserror::Error)]
 pub enum TransactionError {
-    /// The preconditions of these keys did not hold; nothing was changed.
+    /// The preconditions of these keys did not hold; nothing was changed. The list is empty
+    /// if the service named no keys.
     #[error("guards failed: {0:?}")]
     Conflict(Vec<String>),
     /// The transaction was not executed, because of the rate limit, an outage or a failed connection. It may
@@ -43,7 +44,7 @@
 /// Why a read, a watch or a lease request failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The service has compacted the changes after the requested revision: the keys must be listed again.
+    /// The service no longer keeps all changes after the requested revision: the keys must be listed again.
     #[error("requested revision has been compacted")]
     Compacted,
     /// The lease has ended.
--- a/src/jobs/records.rs
+++ b/src/jobs/records.rs
@@ -14,8 +14,8 @@
     /// The job was cancelled: none of its tasks is started any more.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub cancelled: bool,
-    /// The controller that had the most free capacity for the job when it was accepted or, if it has
-    /// dependencies, released. This controller places the job as long as it is present.
+    /// The controller that had the least work per machine that the job may use, when the job was accepted or, if
+    /// it has dependencies, released. This controller places the job as long as it is present.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub placer: Option<String>,
     /// When the last of the jobs that it depends on was done, in milliseconds since the Unix epoch.
--- a/src/jobs/runtime_estimate.rs
+++ b/src/jobs/runtime_estimate.rs
@@ -23,7 +23,7 @@
     }
 
     /// The factor by which to multiply the owner's estimate: the mean plus one standard deviation. This is the
-    /// paper's run-time estimate.
+    /// run-time estimate of the CVSS paper.
     pub fn factor(&self) -> f64 {
         if self.count < MIN_SAMPLES {
             return 1.0;
--- a/src/jobs/writer/page_write.rs
+++ b/src/jobs/writer/page_write.rs
@@ -135,7 +135,7 @@
     selection: &'a Selection<'a>,
     page_id: PageId,
     page: ProgressPage,
-    /// Upper bound of the page's encoded size, in bytes.
+    /// Encoded size of the recorded page and an upper bound for each added start, in bytes.
     value_bytes: usize,
     /// Number of preconditions other than those on the machines' rentals.
     fixed_preconditions: usize,
--- a/src/jobs/writer/tests.rs
+++ b/src/jobs/writer/tests.rs
@@ -355,7 +355,7 @@
 }
 
 /// One controller's starts used its whole write quota, and it wrote no exit of another controller's job for 100 s
-/// (objective `deadline dawn-dispatch-push`, .33 on scenario `troubles` after the limits were lowered).
+/// (objective `deadline dawn-dispatch-push` was .33 on scenario `troubles` after the limits were lowered).
 #[test]
 fn overdue_exits_are_written_before_starts() {
     let (me, mut core) = core_with_a_job();
--- a/src/membership/load.rs
+++ b/src/membership/load.rs
@@ -60,7 +60,7 @@
 }
 
 impl WorkloadEstimate {
-    /// Estimates the work of all unfinished jobs, with their owners according to `assignment`.
+    /// Estimates the work of all unfinished jobs that are not cancelled, with their owners according to `assignment`.
     pub fn new(node: &Node, core: &Core, assignment: &Assignment) -> Self {
         let limited_teams = node.settings.params.teams.iter().filter(|t| t.is_limited());
         let mut estimate = Self {
--- a/src/membership/machine_assignment.rs
+++ b/src/membership/machine_assignment.rs
@@ -60,8 +60,8 @@
 
 /// Divides the machines of a type among the controllers, more urgent work first. If there are too few machines for an
 /// urgency, they are divided in proportion to demand. Machines beyond the total demand are in no target, so they keep their
-/// owners; reassigning an idle machine would only restart the time for which it is kept. Spot machines cover the work that
-/// may use them first, which leaves on-demand machines for work that may not.
+/// owners; reassigning an idle machine would only restart the time for which it is kept. Work that may use any machine gets
+/// spot machines first, which leaves on-demand machines for work that may not use spot machines.
 pub fn machine_targets(
     present: &BTreeSet<Member>,
     machine_type: &str,
@@ -259,7 +259,8 @@
 
 /// Computes which machines are reassigned, and their new owners. All machines of absent owners are reassigned,
 /// preferably to controllers with a deficit. Then machines of present owners are moved towards the targets of
-/// [`machine_targets`], those with the fewest tasks first. Of the machines with tasks, at most `max_in_use` of each pool are moved in one call.
+/// [`machine_targets`], those with the fewest tasks first. Of the machines with tasks, at most `max_in_use` of each pool
+/// are moved in one call.
 pub fn assign_machines(
     machines: &[AssignableMachine],
     present: &BTreeSet<Member>,
--- a/src/membership/rebalance.rs
+++ b/src/membership/rebalance.rs
@@ -21,7 +21,7 @@
 const MACHINES_PER_MOVE_IN_USE: usize = 50;
 /// Interval between rebalancings while no takeover is needed.
 const REBALANCE_INTERVAL: Duration = Duration::from_secs(1);
-/// The same interval while writes are scarce. Rental records then use up writes that starting tasks needs.
+/// The same interval while writes are scarce. Rental records then use up writes that are needed to start tasks.
 const INTERVAL_AT_SCARCE_WRITES: Duration = Duration::from_secs(2);
 /// Writes are scarce while the write headroom, from 0 to 1, is below this value.
 const SCARCE_WRITE_HEADROOM: f64 = 0.5;
@@ -42,7 +42,7 @@
 /// The reason for a rebalancing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Trigger {
-    /// The interval has passed, and every job and machine has a registered owner.
+    /// The interval has passed, and there is no reason for a takeover.
     Interval,
     /// The registered controllers have changed, there is no assignment of jobs yet, or a machine has no registered owner.
     /// `is_due` says whether the interval has passed too.
--- a/src/mesh/attestation.rs
+++ b/src/mesh/attestation.rs
@@ -102,8 +102,8 @@
         self.cancelled_learned_at = Some(Instant::now());
     }
 
-    /// Called once the state service is reachable again: discards all attestations, and the cancellations that were reported
-    /// before the read at `last_read`, because the replica shows those itself.
+    /// Called once the state service is reachable again: discards all attestations. Also discards all reported cancellations
+    /// if the last one was reported before the read at `last_read`, because the replica then shows them itself.
     pub fn discard_superseded(&mut self, last_read: Instant) {
         self.attested_at.clear();
         if self.cancelled_learned_at.is_some_and(|at| at < last_read) {
--- a/src/state/keys.rs
+++ b/src/state/keys.rs
@@ -33,8 +33,9 @@
     Presence(&'a str),
     /// The latest forecast summary of a controller, by the controller's name.
     ForecastSummary(&'a str),
-    /// How the limit of a team is divided among the controllers, by the team's name. Characters that a key
-    /// may not contain are encoded in hexadecimal, so that different names have different keys.
+    /// How the limit of a team is divided among the controllers, by the team's name. Bytes other than letters,
+    /// digits, `-`, `_` and `.` are encoded in hexadecimal, because a key may contain neither spaces nor
+    /// slashes, and so that different names have different keys.
     QuotaAllocations(Cow<'a, str>),
     /// Which controllers support the new record encodings, and whether these are activated; see
     /// `membership::schema_versions`.
--- a/src/state/replica.rs
+++ b/src/state/replica.rs
@@ -54,7 +54,8 @@
     pub quota_allocations: BTreeMap<String, StoredAllocations>,
     /// The latest forecast summary of each controller, by name.
     pub forecast_summaries: BTreeMap<String, Versioned<ForecastSummaryRecord>>,
-    /// Progress pages of jobs that are not in `jobs`: the job's record has not arrived yet, or the job has ended.
+    /// Progress pages of jobs that are not in `jobs`: the job's record has not arrived yet, or the job has ended or
+    /// was relinquished.
     pub orphaned_pages: BTreeMap<(String, PageId), Versioned<ProgressPage>>,
     /// The tasks that the progress pages place on each machine, by the machine's name.
     pub tasks_by_machine: HashMap<String, BTreeSet<TaskId>>,
