--- a/src/testing/documentation.rs
+++ b/src/testing/documentation.rs
@@ -1,4 +1,4 @@
-//! The pages for newcomers name files and items of the code: they must exist.
+//! Checks that the files and items that the pages for newcomers name exist.
 
 use std::path::Path;
 
--- a/src/testing/limits.rs
+++ b/src/testing/limits.rs
@@ -1,78 +1,96 @@
-//! Limits are divided once every controller is configured to, and whole again as soon as one is not.
+//! Team limits are divided among the controllers while every controller is configured to divide them. As soon as
+//! one is not, a single controller manages each whole limit again.
 
-use super::tests::{Site, job};
-use super::{Controller, PRESENT, Version};
+use super::tests::{TestCluster, job};
+use super::{Controller, ControllerConfig, DEFAULT_CONFIG};
 use rowanmill_testing::until;
 use std::time::Duration;
 
-const LIMIT: f64 = 4.0;
+const TEAM_LIMIT_CPUS: f64 = 4.0;
 
-fn version_that(divides_limits: bool) -> Version {
-    Version {
+fn config_with(divides_limits: bool) -> ControllerConfig {
+    ControllerConfig {
         divides_limits,
-        limit: LIMIT,
-        ..PRESENT
+        team_limit_cpus: TEAM_LIMIT_CPUS,
+        ..DEFAULT_CONFIG
     }
 }
 
-async fn start(site: &Site, number: usize, divides_limits: bool) -> Controller {
-    let controller = site.start_as(version_that(divides_limits), number);
-    let ready = async || site.get(number, "/healthz").await.0 == 200;
+async fn start(cluster: &TestCluster, number: usize, divides_limits: bool) -> Controller {
+    let controller = cluster.start_with(config_with(divides_limits), number);
+    let ready = async || cluster.get(number, "/healthz").await.0 == 200;
     until("the controller is healthy", ready).await;
     controller
 }
 
-/// The number of controllers that the team's limit is divided among; 0 if one controller has it whole.
-fn divided_among(site: &Site) -> usize {
-    let assignments = site.state.stored("r/shares");
-    let is_whole = |shares: &serde_json::Value| shares["teams"].get("t").is_some();
-    if assignments.values().next().is_none_or(is_whole) {
+/// The number of controllers among which the team's limit is divided. 0 if one controller manages the whole limit.
+fn controllers_with_part(cluster: &TestCluster) -> usize {
+    let assignments = cluster.state.stored("r/shares");
+    let is_undivided = |assignment: &serde_json::Value| assignment["teams"].get("t").is_some();
+    if assignments.values().next().is_none_or(is_undivided) {
         return 0;
     }
-    let records = site.state.stored("r/a/t");
+    let records = cluster.state.stored("r/a/t");
     let record = records.values().next();
     let allocations = record.and_then(|record| record["allotments"].as_object());
     allocations.map_or(0, |allocations| allocations.len())
 }
 
-/// Rule `quota` during an upgrade and a downgrade: controllers that divide limits replace those that do not, one
-/// at a time, and one of them is replaced again, while the team always has more work than its limit allows.
+/// Rule `quota` during an upgrade and a downgrade: controllers that divide limits replace those that do not, one at a
+/// time. Then one of them is replaced by a controller that does not divide limits. Throughout, the team has more work
+/// than its limit allows.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn limits_are_divided_while_every_controller_can_and_whole_otherwise() {
-    let site = Site::new(2, Duration::from_millis(250)).await;
-    site.cloud.world.lock().unwrap().quota.set_limit("t", 4000);
+async fn limits_are_divided_only_while_every_controller_divides_them() {
+    let cluster = TestCluster::new(2, Duration::from_millis(250)).await;
+    cluster
+        .cloud
+        .world
+        .lock()
+        .unwrap()
+        .quota
+        .set_limit("t", 4000);
     let submit = async |wave: usize| {
         for n in wave * 10..wave * 10 + 10 {
             let id = format!("job-{n}");
             {
-                let mut world = site.cloud.world.lock().unwrap();
+                let mut world = cluster.cloud.world.lock().unwrap();
                 world.quota.record_job(&id, "t", 1000);
             }
-            site.submit(n % 2, &job(&id, 6, 1.0)).await;
+            cluster.submit(n % 2, &job(&id, 6, 1.0)).await;
         }
     };
-    let first = start(&site, 0, false).await;
-    let second = start(&site, 1, false).await;
+    let first = start(&cluster, 0, false).await;
+    let second = start(&cluster, 1, false).await;
     submit(1).await;
-    assert_eq!(divided_among(&site), 0);
+    assert_eq!(controllers_with_part(&cluster), 0);
     drop(first);
-    let _first = start(&site, 0, true).await;
+    let _first = start(&cluster, 0, true).await;
     submit(2).await;
-    assert_eq!(divided_among(&site), 0, "one of two is not configured to");
+    assert_eq!(
+        controllers_with_part(&cluster),
+        0,
+        "one of two controllers does not divide limits"
+    );
     drop(second);
-    let second = start(&site, 1, true).await;
-    until("it is divided", async || divided_among(&site) == 2).await;
+    let second = start(&cluster, 1, true).await;
+    until("the limit is divided", async || {
+        controllers_with_part(&cluster) == 2
+    })
+    .await;
     submit(3).await;
     drop(second);
-    let _second = start(&site, 1, false).await;
-    until("it is whole again", async || divided_among(&site) == 0).await;
+    let _second = start(&cluster, 1, false).await;
+    until("the limit is undivided again", async || {
+        controllers_with_part(&cluster) == 0
+    })
+    .await;
     submit(4).await;
     for n in 10..50 {
         let id = format!("job-{n}");
-        let done = async || site.stage(0, &id).await == "done";
-        until("it is done", done).await;
+        let done = async || cluster.stage(0, &id).await == "done";
+        until("the job is done", done).await;
     }
-    assert_eq!(site.broken_rules(), Vec::<String>::new());
-    let peak = site.cloud.world.lock().unwrap().quota.peak_usage("t");
+    assert_eq!(cluster.broken_rules(), Vec::<String>::new());
+    let peak = cluster.cloud.world.lock().unwrap().quota.peak_usage("t");
     assert_eq!(peak, 4000, "the whole limit is used");
 }
--- a/src/testing/mod.rs
+++ b/src/testing/mod.rs
@@ -1,5 +1,5 @@
-//! Controllers for tests, each on a thread with its own runtime, against the stand-ins of
-//! `rowanmill-testing`.
+//! Tests of whole controllers, each on a thread with its own runtime, against the state service, the cloud and
+//! the workers of `rowanmill-testing`.
 
 pub mod compatibility;
 mod documentation;
@@ -17,84 +17,91 @@
 use std::net::SocketAddr;
 use tokio::sync::oneshot;
 
-/// The addresses of a controller, kept over its restarts.
+/// The addresses of a controller, which stay the same when it restarts.
 #[derive(Clone, Copy)]
-struct Seat {
+struct ControllerAddrs {
     api: SocketAddr,
     mesh: SocketAddr,
 }
 
-/// A running controller; dropping it ends it at once, in the middle of whatever it does.
+/// A running controller. Dropping it stops it without a shutdown, at whatever await point its tasks have reached.
 struct Controller {
     stop: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-/// What a controller is started as.
+/// The feature level and the settings with which a controller is started.
 #[derive(Clone, Copy)]
-struct Version {
-    /// What it supports; `NONE` is the version before.
+struct ControllerConfig {
+    /// The highest feature level that the controller supports. `NONE` is that of the previous version.
     supported_level: FeatureLevel,
-    /// Limits of the state service, and those that it is told of.
+    /// Maximum size of a value in the state service, in KiB.
     value_kb: f64,
-    next: Option<(f64, usize, f64)>,
+    /// Lower limits that the state service is going to apply: value size in KiB, operations per transaction and
+    /// writes per second.
+    next_state_limits: Option<(f64, usize, f64)>,
     timeouts: Timeouts,
-    /// Whether teams' limits are divided.
+    /// Whether each team's limit is divided among the controllers.
     divides_limits: bool,
-    /// The limit of the team, in CPUs.
-    limit: f64,
-    /// All controllers of a test share one process and its memory.
+    /// The team's limit, in CPUs.
+    team_limit_cpus: f64,
+    /// Memory limit in MB. It applies to the whole test process, in which all controllers of a test run.
     memory_mb: f64,
 }
 
-const PRESENT: Version = Version {
+const DEFAULT_CONFIG: ControllerConfig = ControllerConfig {
     supported_level: FeatureLevel::COMPACT_PAGES,
     value_kb: 8.0,
-    next: None,
+    next_state_limits: None,
     timeouts: DEFAULT_TIMEOUTS,
     divides_limits: false,
-    limit: 6.0,
+    team_limit_cpus: 6.0,
     memory_mb: 10_000.0,
 };
 
 impl Controller {
-    fn start(number: usize, seats: &[Seat], state: SocketAddr, cloud: SocketAddr) -> Self {
-        Self::start_as(PRESENT, number, seats, state, cloud)
+    fn start(
+        number: usize,
+        addrs: &[ControllerAddrs],
+        state: SocketAddr,
+        cloud: SocketAddr,
+    ) -> Self {
+        Self::start_with(DEFAULT_CONFIG, number, addrs, state, cloud)
     }
 
-    fn start_as(
-        version: Version,
+    fn start_with(
+        config: ControllerConfig,
         number: usize,
-        seats: &[Seat],
+        addrs: &[ControllerAddrs],
         state: SocketAddr,
         cloud: SocketAddr,
     ) -> Self {
-        let next = version.next.map(|(value_kb, txn_ops, write_rps)| {
+        let next = config.next_state_limits.map(|(value_kb, txn_ops, write_rps)| {
             json!({"value_kb": value_kb, "txn_ops": txn_ops, "write_rps": write_rps})
         });
         let name = |n: usize| format!("millstone-{n}");
-        let others = seats.iter().enumerate().filter(|(n, _)| *n != number);
-        let known: Vec<Value> = others
-            .map(|(n, s)| json!({"member": name(n), "site": "a", "addr": s.mesh}))
+        let peers = addrs.iter().enumerate().filter(|(n, _)| *n != number);
+        let known: Vec<Value> = peers
+            .map(|(n, peer)| json!({"member": name(n), "site": "a", "addr": peer.mesh}))
             .collect();
-        let settings = json!({"member": name(number), "site": "a", "api_addr": seats[number].api,
-            "mesh_addr": seats[number].mesh, "known": known,
+        let settings = json!({"member": name(number), "site": "a", "api_addr": addrs[number].api,
+            "mesh_addr": addrs[number].mesh, "known": known,
             "endpoints": {"cloud": cloud, "state": state},
-            "params": {"size": seats.len(), "zones": ["a"],
-                "teams": [{"name": "t", "cpus_max": version.limit}],
-                "workers": {"report_s": 0.3, "lease_s": version.timeouts.lease_s, "gang_wait_s": 5.0,
-                    "gang_peer_s": 2.0, "cancel_s": version.timeouts.cancel_s},
-                "state": {"rps": 1000.0, "write_rps": 500.0, "value_kb": version.value_kb,
+            "params": {"size": addrs.len(), "zones": ["a"],
+                "teams": [{"name": "t", "cpus_max": config.team_limit_cpus}],
+                "workers": {"report_s": 0.3, "lease_s": config.timeouts.lease_s, "gang_wait_s": 5.0,
+                    "gang_peer_s": 2.0, "cancel_s": config.timeouts.cancel_s},
+                "state": {"rps": 1000.0, "write_rps": 500.0, "value_kb": config.value_kb,
                     "txn_ops": 24, "next": next},
                 "cloud": {"rps": 50.0, "list_lag_s": 1.0},
-                "limits": {"core_share": 1.0, "mem_mb": version.memory_mb, "sockets": 500},
+                "limits": {"core_share": 1.0, "mem_mb": config.memory_mb, "sockets": 500},
                 "skew_ms": 25.0}});
         let settings = crate::settings::Settings::parse(&settings.to_string(), "test").unwrap();
         let configuration = Configuration {
             settings,
             policy: crate::policy::Policy::default(),
             cell: None,
-            limits: version.divides_limits.then(Default::default),
+            limits: config.divides_limits.then(Default::default),
         };
         let (stop, stopped) = oneshot::channel();
         let thread = std::thread::spawn(move || {
@@ -102,7 +109,7 @@
             let runtime = builder.enable_all().build().unwrap();
             runtime.block_on(async {
                 tokio::select! {
-                    ended = run_controller(version.supported_level, configuration) => ended.unwrap(),
+                    ended = run_controller(config.supported_level, configuration) => ended.unwrap(),
                     _ = stopped => {}
                 }
             });
--- a/src/testing/tests.rs
+++ b/src/testing/tests.rs
@@ -1,6 +1,8 @@
-//! Controllers against the stand-ins, in real time.
+//! Whole controllers against the stand-ins of `rowanmill-testing`, in real time.
 
-use super::{Controller, DEFAULT_TIMEOUTS, PRESENT, Seat, Timeouts, Version};
+use super::{
+    Controller, ControllerAddrs, ControllerConfig, DEFAULT_CONFIG, DEFAULT_TIMEOUTS, Timeouts,
+};
 use crate::membership::schema_versions::FeatureLevel;
 use hyper::Method;
 use rowanmill_testing::cloud::Cloud;
@@ -13,83 +15,93 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
 
-pub struct Site {
-    pub seats: Vec<Seat>,
+/// Controllers' addresses, and the state service and the cloud that they share.
+pub struct TestCluster {
+    pub addrs: Vec<ControllerAddrs>,
     pub state: StateService,
     pub state_addr: SocketAddr,
     pub cloud: Cloud,
     pub cloud_addr: SocketAddr,
 }
 
-impl Site {
-    pub async fn new(controllers: usize, task_takes: Duration) -> Self {
-        Self::with(controllers, task_takes, DEFAULT_TIMEOUTS).await
+impl TestCluster {
+    pub async fn new(controllers: usize, task_duration: Duration) -> Self {
+        Self::with_timeouts(controllers, task_duration, DEFAULT_TIMEOUTS).await
     }
 
-    pub async fn with(controllers: usize, task_takes: Duration, timeouts: Timeouts) -> Self {
-        let seat = |_| Seat {
+    pub async fn with_timeouts(
+        controllers: usize,
+        task_duration: Duration,
+        timeouts: Timeouts,
+    ) -> Self {
+        let new_addrs = |_| ControllerAddrs {
             api: free_addr(),
             mesh: free_addr(),
         };
-        let seats: Vec<Seat> = (0..controllers).map(seat).collect();
+        let addrs: Vec<ControllerAddrs> = (0..controllers).map(new_addrs).collect();
         let state = StateService::default();
-        let cloud = Cloud::new(seats.iter().map(|s| s.api).collect(), task_takes, timeouts);
+        let cloud = Cloud::new(
+            addrs.iter().map(|a| a.api).collect(),
+            task_duration,
+            timeouts,
+        );
         let state_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let cloud_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let site = Self {
+        let cluster = Self {
             state_addr: state_listener.local_addr().unwrap(),
             cloud_addr: cloud_listener.local_addr().unwrap(),
-            seats,
+            addrs,
             state,
             cloud,
         };
-        tokio::spawn(serve(state_listener, site.state.handler()));
-        tokio::spawn(serve(cloud_listener, site.cloud.handler()));
-        site
+        tokio::spawn(serve(state_listener, cluster.state.handler()));
+        tokio::spawn(serve(cloud_listener, cluster.cloud.handler()));
+        cluster
     }
 
     pub async fn start(&self, number: usize) -> Controller {
-        let controller = Controller::start(number, &self.seats, self.state_addr, self.cloud_addr);
+        let controller = Controller::start(number, &self.addrs, self.state_addr, self.cloud_addr);
         let ready = async || self.get(number, "/healthz").await.0 == 200;
         until("the controller is healthy", ready).await;
         controller
     }
 
-    pub fn start_as(&self, version: Version, number: usize) -> Controller {
-        Controller::start_as(
-            version,
+    pub fn start_with(&self, config: ControllerConfig, number: usize) -> Controller {
+        Controller::start_with(
+            config,
             number,
-            &self.seats,
+            &self.addrs,
             self.state_addr,
             self.cloud_addr,
         )
     }
 
-    /// Submits until it is taken.
+    /// Submits a job until it is accepted, in at most 400 attempts 100 ms apart.
     pub async fn submit(&self, number: usize, job: &Value) -> Value {
         for _ in 0..400 {
-            let (status, told) = self.post(number, "/v1/jobs", job.clone()).await;
+            let (status, body) = self.post(number, "/v1/jobs", job.clone()).await;
             if matches!(status, 200 | 201) {
-                return told;
+                return body;
             }
-            assert!(matches!(status, 0 | 429 | 503), "{status} {told}");
+            assert!(matches!(status, 0 | 429 | 503), "{status} {body}");
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
-        panic!("never taken: {job}");
+        panic!("not accepted within 400 attempts: {job}");
     }
 
-    /// A job that waits for others, of so many tasks each; the cloud's world sees to the order.
-    async fn submit_after(&self, number: usize, id: &str, awaits: &[(&str, u32)]) -> Value {
-        let tasks = awaits
+    /// Submits a job that depends on others, each given with its number of tasks. The cloud's world records a broken
+    /// rule if a task of the job starts before all of theirs are completed.
+    async fn submit_after(&self, number: usize, id: &str, dependencies: &[(&str, u32)]) -> Value {
+        let tasks = dependencies
             .iter()
             .flat_map(|(job, count)| (0..*count).map(move |n| format!("{job}/{n}")));
-        let needs = tasks.collect();
+        let required = tasks.collect();
         {
             let mut world = self.cloud.world.lock().unwrap();
-            world.dependencies.insert(id.to_owned(), needs);
+            world.dependencies.insert(id.to_owned(), required);
         }
         let mut job = job(id, 2, 1.0);
-        let ids: Vec<&str> = awaits.iter().map(|a| a.0).collect();
+        let ids: Vec<&str> = dependencies.iter().map(|d| d.0).collect();
         job["awaits"] = json!(ids);
         job["dueS"] = json!(60.0);
         self.submit(number, &job).await
@@ -100,16 +112,16 @@
     }
 
     pub async fn get(&self, number: usize, path: &str) -> (u16, Value) {
-        ask(self.seats[number].api, Method::GET, path, Value::Null).await
+        ask(self.addrs[number].api, Method::GET, path, Value::Null).await
     }
 
     pub async fn post(&self, number: usize, path: &str, body: Value) -> (u16, Value) {
-        ask(self.seats[number].api, Method::POST, path, body).await
+        ask(self.addrs[number].api, Method::POST, path, body).await
     }
 
     pub async fn stage(&self, number: usize, id: &str) -> String {
-        let (_, told) = self.get(number, &format!("/v1/jobs/{id}")).await;
-        told["stage"].as_str().unwrap_or_default().to_owned()
+        let (_, body) = self.get(number, &format!("/v1/jobs/{id}")).await;
+        body["stage"].as_str().unwrap_or_default().to_owned()
     }
 }
 
@@ -120,211 +132,222 @@
         "grindS": 1.0, "bankS": 0.0, "bankWriteS": 0.0, "dueS": 5.0})
 }
 
-/// Rules `ran_twice`, `not_done`, `forgotten` and `quota` over the end of the controller that
-/// accepted a job and placed it.
+/// Rules `ran_twice`, `not_done`, `forgotten` and `quota` when the controller that accepted and placed a job stops.
+/// Another controller must finish the job, and the first must still know it after its restart.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_job_outlives_the_controller_that_placed_it() {
-    let site = Site::new(2, Duration::from_millis(1500)).await;
-    let first = site.start(0).await;
-    let _second = site.start(1).await;
-    let (status, told) = site.post(0, "/v1/jobs", job("job-1", 12, 1.0)).await;
-    assert_eq!((status, told["stage"].as_str()), (201, Some("queued")));
-    let running = async || site.stage(1, "job-1").await == "running";
-    until("it runs", running).await;
+async fn a_job_is_finished_after_the_controller_that_placed_it_stops() {
+    let cluster = TestCluster::new(2, Duration::from_millis(1500)).await;
+    let first = cluster.start(0).await;
+    let _second = cluster.start(1).await;
+    let (status, body) = cluster.post(0, "/v1/jobs", job("job-1", 12, 1.0)).await;
+    assert_eq!((status, body["stage"].as_str()), (201, Some("queued")));
+    let running = async || cluster.stage(1, "job-1").await == "running";
+    until("the job runs", running).await;
     drop(first);
-    let done = async || site.stage(1, "job-1").await == "done";
-    until("it is done", done).await;
-    // The controller is back: another incarnation, with nothing in memory.
-    let _first = site.start(0).await;
-    assert_eq!(site.stage(0, "job-1").await, "done");
-    let again = site.post(0, "/v1/jobs", job("job-1", 12, 1.0)).await;
+    let done = async || cluster.stage(1, "job-1").await == "done";
+    until("the job is done", done).await;
+    // The first controller restarts with a new incarnation and reads all records anew.
+    let _first = cluster.start(0).await;
+    assert_eq!(cluster.stage(0, "job-1").await, "done");
+    let again = cluster.post(0, "/v1/jobs", job("job-1", 12, 1.0)).await;
     assert_eq!((again.0, again.1["stage"].as_str()), (200, Some("done")));
-    let world = site.cloud.world.lock().unwrap();
+    let world = cluster.cloud.world.lock().unwrap();
     assert_eq!(world.broken_rules, Vec::<String>::new());
     assert!(world.starts >= 12);
     assert!(world.peak_running <= 6, "the team's limit is 6 CPUs");
 }
 
-/// Rules `went_back`, `ran_cancelled` and `invented`.
+/// Rules `went_back`, `ran_cancelled` and `invented`: every controller reports a cancelled job as cancelled from the
+/// first answer on, its tasks are stopped, and an unknown job is not found.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_cancelled_job_stays_so_and_its_tasks_go() {
-    let site = Site::new(2, Duration::from_secs(600)).await;
-    let _first = site.start(0).await;
-    let _second = site.start(1).await;
-    site.post(0, "/v1/jobs", job("job-2", 4, 1.0)).await;
-    let running = async || site.stage(1, "job-2").await == "running";
-    until("it runs", running).await;
-    // Each node tells the same from the moment that any has told it.
-    let (status, told) = site.post(1, "/v1/jobs/job-2/abort", Value::Null).await;
-    assert_eq!((status, told["stage"].as_str()), (200, Some("cancelled")));
-    assert_eq!(site.stage(0, "job-2").await, "cancelled");
-    let gone = async || site.cloud.world.lock().unwrap().nothing_runs();
-    until("its tasks are gone", gone).await;
-    assert_eq!(site.stage(0, "job-2").await, "cancelled");
-    let again = site.post(0, "/v1/jobs/job-2/abort", Value::Null).await;
+async fn a_cancelled_job_stays_cancelled_and_its_tasks_stop() {
+    let cluster = TestCluster::new(2, Duration::from_secs(600)).await;
+    let _first = cluster.start(0).await;
+    let _second = cluster.start(1).await;
+    cluster.post(0, "/v1/jobs", job("job-2", 4, 1.0)).await;
+    let running = async || cluster.stage(1, "job-2").await == "running";
+    until("the job runs", running).await;
+    // Once one controller has reported the cancellation, every controller reports it.
+    let (status, body) = cluster.post(1, "/v1/jobs/job-2/abort", Value::Null).await;
+    assert_eq!((status, body["stage"].as_str()), (200, Some("cancelled")));
+    assert_eq!(cluster.stage(0, "job-2").await, "cancelled");
+    let stopped = async || cluster.cloud.world.lock().unwrap().nothing_runs();
+    until("the job's tasks are stopped", stopped).await;
+    assert_eq!(cluster.stage(0, "job-2").await, "cancelled");
+    let again = cluster.post(0, "/v1/jobs/job-2/abort", Value::Null).await;
     assert_eq!(again.1["stage"].as_str(), Some("cancelled"));
-    assert_eq!(site.get(0, "/v1/jobs/job-99").await.0, 404);
+    assert_eq!(cluster.get(0, "/v1/jobs/job-99").await.0, 404);
     assert_eq!(
-        site.post(0, "/v1/jobs/job-99/abort", Value::Null).await.0,
+        cluster
+            .post(0, "/v1/jobs/job-99/abort", Value::Null)
+            .await
+            .0,
         404
     );
 }
 
-/// An outage for all: refused at once with a time to come back, healthy all the same, and nothing
-/// accepted is forgotten. And what can never be taken is said to be so.
+/// During an outage of the state service a controller refuses submissions at once, stays healthy, and keeps the final
+/// states of jobs. Requests that can never succeed get a 4xx status.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_outage_refuses_at_once_and_forgets_nothing() {
-    let site = Site::new(1, Duration::from_millis(300)).await;
-    let _only = site.start(0).await;
+async fn an_outage_of_the_state_service_refuses_at_once_and_loses_no_job() {
+    let cluster = TestCluster::new(1, Duration::from_millis(300)).await;
+    let _controller = cluster.start(0).await;
     let statuses = [
-        site.post(0, "/v1/jobs", Value::String("{\"nameId\":".into()))
+        cluster
+            .post(0, "/v1/jobs", Value::String("{\"nameId\":".into()))
             .await
             .0,
-        site.post(0, "/v1/jobs", job("job-3", 0, 1.0)).await.0,
-        site.post(0, "/v1/jobs", job("job-3", 1, 5.0)).await.0,
-        site.post(0, "/v1/jobs", Value::String("x".repeat(70_000)))
+        cluster.post(0, "/v1/jobs", job("job-3", 0, 1.0)).await.0,
+        cluster.post(0, "/v1/jobs", job("job-3", 1, 5.0)).await.0,
+        cluster
+            .post(0, "/v1/jobs", Value::String("x".repeat(70_000)))
             .await
             .0,
-        site.get(0, "/v1/nothing").await.0,
-        site.get(0, "/v1/jobs").await.0,
-        site.post(0, "/hello", json!({"millstone": 3})).await.0,
+        cluster.get(0, "/v1/nothing").await.0,
+        cluster.get(0, "/v1/jobs").await.0,
+        cluster.post(0, "/hello", json!({"millstone": 3})).await.0,
     ];
     assert_eq!(statuses, [400, 400, 422, 400, 404, 405, 400]);
-    site.post(0, "/v1/jobs", job("job-4", 2, 1.0)).await;
-    let done = async || site.stage(0, "job-4").await == "done";
-    until("it is done", done).await;
-    site.state.set_outage(true);
+    cluster.post(0, "/v1/jobs", job("job-4", 2, 1.0)).await;
+    let done = async || cluster.stage(0, "job-4").await == "done";
+    until("the job is done", done).await;
+    cluster.state.set_outage(true);
     tokio::time::sleep(Duration::from_millis(3500)).await;
-    let asked = Instant::now();
-    assert_eq!(site.post(0, "/v1/jobs", job("job-5", 1, 1.0)).await.0, 503);
+    let sent = Instant::now();
+    assert_eq!(
+        cluster.post(0, "/v1/jobs", job("job-5", 1, 1.0)).await.0,
+        503
+    );
     assert!(
-        asked.elapsed() < Duration::from_millis(500),
-        "it is not held back"
+        sent.elapsed() < Duration::from_millis(500),
+        "the refusal is not delayed"
     );
     assert_eq!(
-        site.get(0, "/v1/jobs/job-6").await.0,
+        cluster.get(0, "/v1/jobs/job-6").await.0,
         503,
-        "not known is not never"
+        "without a read it is undecided whether the job exists"
     );
     assert_eq!(
-        site.stage(0, "job-4").await,
+        cluster.stage(0, "job-4").await,
         "done",
-        "a final state needs no read"
+        "a final state is served without a read"
     );
-    assert_eq!(site.get(0, "/healthz").await.0, 200);
-    site.state.set_outage(false);
-    let taken = async || site.post(0, "/v1/jobs", job("job-5", 1, 1.0)).await.0 == 201;
-    until("it is taken again", taken).await;
+    assert_eq!(cluster.get(0, "/healthz").await.0, 200);
+    cluster.state.set_outage(false);
+    let accepted = async || cluster.post(0, "/v1/jobs", job("job-5", 1, 1.0)).await.0 == 201;
+    until("the job is accepted after the outage", accepted).await;
 }
 
-/// Rules `forgotten`, `went_back`, `invented` and `ran_twice`: a controller back within a moment,
-/// three times in a row and amid elections; then all of them ended inside an outage. Each job is
-/// known to each of them soon after, the long ended one too.
+/// Rules `forgotten`, `went_back`, `invented` and `ran_twice`: two of three controllers restart without a pause, three
+/// times in a row and during elections. Then all of them restart during an outage of the state service. Afterwards
+/// every controller knows how each job ended, also the job that ended before the restarts.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn back_within_a_moment_and_all_within_an_outage_forget_nothing() {
-    let site = Site::new(3, Duration::from_millis(800)).await;
-    let restart = |n: usize| Controller::start(n, &site.seats, site.state_addr, site.cloud_addr);
-    let mut nodes = Vec::new();
+async fn restarts_during_elections_and_outages_lose_no_job() {
+    let cluster = TestCluster::new(3, Duration::from_millis(800)).await;
+    let restart =
+        |n: usize| Controller::start(n, &cluster.addrs, cluster.state_addr, cluster.cloud_addr);
+    let mut controllers = Vec::new();
     for number in 0..3 {
-        nodes.push(site.start(number).await);
+        controllers.push(cluster.start(number).await);
     }
-    site.post(1, "/v1/jobs", job("job-20", 2, 1.0)).await;
-    let done = async || site.stage(2, "job-20").await == "done";
-    until("the first is done", done).await;
+    cluster.post(1, "/v1/jobs", job("job-20", 2, 1.0)).await;
+    let done = async || cluster.stage(2, "job-20").await == "done";
+    until("the first job is done", done).await;
     for n in 21..25 {
         let id = format!("job-{n}");
-        let taken = async || {
+        let accepted = async || {
             matches!(
-                site.post(n % 3, "/v1/jobs", job(&id, 3, 1.0)).await.0,
+                cluster.post(n % 3, "/v1/jobs", job(&id, 3, 1.0)).await.0,
                 200 | 201
             )
         };
-        until("it is taken", taken).await;
+        until("the job is accepted", accepted).await;
     }
     for _ in 0..3 {
-        // Whoever leads by now, two of three end and are back before their leases are over.
-        drop(nodes.remove(0));
-        nodes.push(restart(0));
-        drop(nodes.remove(0));
-        nodes.push(restart(1));
-        nodes.rotate_left(1);
+        // Two of three controllers restart before their presence leases expire, possibly the leader among them.
+        drop(controllers.remove(0));
+        controllers.push(restart(0));
+        drop(controllers.remove(0));
+        controllers.push(restart(1));
+        controllers.rotate_left(1);
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
-    site.state.set_outage(true);
-    nodes.clear();
-    nodes.extend((0..3).map(restart));
+    cluster.state.set_outage(true);
+    controllers.clear();
+    controllers.extend((0..3).map(restart));
     tokio::time::sleep(Duration::from_millis(700)).await;
-    site.state.set_outage(false);
+    cluster.state.set_outage(false);
     for number in 0..3 {
         for n in 20..25 {
             let id = format!("job-{n}");
-            let done = async || site.stage(number, &id).await == "done";
+            let done = async || cluster.stage(number, &id).await == "done";
             until("each controller knows how each job ended", done).await;
-            let again = site.post(number, "/v1/jobs", job(&id, 3, 1.0)).await;
+            let again = cluster.post(number, "/v1/jobs", job(&id, 3, 1.0)).await;
             assert_eq!((again.0, again.1["stage"].as_str()), (200, Some("done")));
         }
-        assert_eq!(site.get(number, "/v1/jobs/job-99").await.0, 404);
+        assert_eq!(cluster.get(number, "/v1/jobs/job-99").await.0, 404);
     }
-    let world = site.cloud.world.lock().unwrap();
+    let world = cluster.cloud.world.lock().unwrap();
     assert_eq!(world.broken_rules, Vec::<String>::new());
 }
 
-/// Rules `ran_twice`, `forgotten` and `went_back`: a controller that has lost the state service and
-/// the other controllers, but whose workers still reach it, takes it for an outage at first. The
-/// others take over what it placed, nothing runs twice, and each job is known to all once it is back.
+/// Rules `ran_twice`, `forgotten` and `went_back`: a controller loses the state service and its peers, but its workers
+/// still reach it, which it cannot tell from an outage for all. Its peer must take over the tasks that it placed
+/// without running one twice, and both controllers must know each job once the connection is restored.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn one_cut_from_all_but_its_workers_gives_way() {
-    let site = Site::new(2, Duration::from_millis(2500)).await;
+async fn a_controller_reached_only_by_its_workers_is_taken_over() {
+    let cluster = TestCluster::new(2, Duration::from_millis(2500)).await;
     let cut = Arc::new(AtomicBool::new(false));
-    let line = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let line_addr = line.local_addr().unwrap();
-    tokio::spawn(serve(line, site.state.handler_with_cut(cut.clone())));
-    // Of the other controller it knows an address where nobody answers.
-    let mut seats = site.seats.clone();
-    seats[1].mesh = free_addr();
-    let _alone = Controller::start(0, &seats, line_addr, site.cloud_addr);
-    let ready = async || site.get(0, "/healthz").await.0 == 200;
-    until("the first is healthy", ready).await;
-    let _other = site.start(1).await;
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let cut_state_addr = listener.local_addr().unwrap();
+    tokio::spawn(serve(listener, cluster.state.handler_with_cut(cut.clone())));
+    // The first controller's address of its peer is one at which nothing listens.
+    let mut addrs = cluster.addrs.clone();
+    addrs[1].mesh = free_addr();
+    let _partitioned = Controller::start(0, &addrs, cut_state_addr, cluster.cloud_addr);
+    let ready = async || cluster.get(0, "/healthz").await.0 == 200;
+    until("the first controller is healthy", ready).await;
+    let _peer = cluster.start(1).await;
     let ids: Vec<String> = (40..46).map(|n| format!("job-{n}")).collect();
     for (n, id) in ids.iter().enumerate() {
-        let taken = site.post(n % 2, "/v1/jobs", job(id, 3, 1.0)).await.0;
-        assert_eq!(taken, 201);
+        let status = cluster.post(n % 2, "/v1/jobs", job(id, 3, 1.0)).await.0;
+        assert_eq!(status, 201);
     }
-    let running = async || site.stage(1, "job-40").await == "running";
-    until("it runs", running).await;
+    let running = async || cluster.stage(1, "job-40").await == "running";
+    until("the job runs", running).await;
     cut.store(true, Ordering::Relaxed);
     for id in &ids {
-        let done = async || site.stage(1, id).await == "done";
-        until("the other ends what the first placed", done).await;
+        let done = async || cluster.stage(1, id).await == "done";
+        until("the peer finishes the job", done).await;
     }
-    let (status, _) = site.post(0, "/v1/jobs", job("job-46", 1, 1.0)).await;
-    assert_eq!(status, 503, "it accepts nothing that it cannot record");
+    let (status, _) = cluster.post(0, "/v1/jobs", job("job-46", 1, 1.0)).await;
+    assert_eq!(status, 503, "a job that cannot be recorded is not accepted");
     cut.store(false, Ordering::Relaxed);
     for id in &ids {
-        let done = async || site.stage(0, id).await == "done";
-        until("the first knows it too", done).await;
+        let done = async || cluster.stage(0, id).await == "done";
+        until("the first controller knows that the job is done", done).await;
     }
-    let world = site.cloud.world.lock().unwrap();
+    let world = cluster.cloud.world.lock().unwrap();
     assert_eq!(world.broken_rules, Vec::<String>::new());
     assert!(world.starts >= 18);
 }
 
-/// Rules `too_early`, `orphaned` and `forgotten`: a diamond with an end, whose controllers end in the
-/// middle of it; a chain that is cancelled at its first job, and all that is refused.
+/// Rules `too_early`, `orphaned` and `forgotten`: the jobs of a diamond run in the order of their dependencies although
+/// both controllers restart meanwhile, cancelling the first job of a chain cancels the whole chain, and invalid
+/// dependencies are refused.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn pipelines_run_in_order_and_are_cancelled_whole() {
-    let site = Site::new(2, Duration::from_millis(700)).await;
-    let first = site.start(0).await;
-    let second = site.start(1).await;
-    site.submit(0, &job("job-50", 3, 1.0)).await;
-    site.submit_after(1, "job-51", &[("job-50", 3)]).await;
-    site.submit_after(0, "job-52", &[("job-50", 3)]).await;
-    let told = site
+async fn jobs_run_after_their_dependencies_and_are_cancelled_with_them() {
+    let cluster = TestCluster::new(2, Duration::from_millis(700)).await;
+    let first = cluster.start(0).await;
+    let second = cluster.start(1).await;
+    cluster.submit(0, &job("job-50", 3, 1.0)).await;
+    cluster.submit_after(1, "job-51", &[("job-50", 3)]).await;
+    cluster.submit_after(0, "job-52", &[("job-50", 3)]).await;
+    let body = cluster
         .submit_after(1, "job-53", &[("job-51", 2), ("job-52", 2)])
         .await;
-    assert_eq!(told["stage"], "queued");
-    // Refused, whatever is done about it: unknown, itself, and what is no list of ids.
+    assert_eq!(body["stage"], "queued");
+    // Refused permanently: unknown jobs, the job itself, values that are no list of ids, and a list that is too long.
     for (awaits, status) in [
         (json!(["job-99"]), 422),
         (json!(["job-50", "job-54"]), 422),
@@ -337,90 +360,110 @@
     ] {
         let mut job = job("job-54", 1, 1.0);
         job["awaits"] = awaits;
-        assert_eq!(site.post(0, "/v1/jobs", job).await.0, status);
+        assert_eq!(cluster.post(0, "/v1/jobs", job).await.0, status);
     }
-    let running = async || site.stage(0, "job-50").await == "running";
-    until("the first runs", running).await;
-    // Both end as the first job does, or soon after: what is next is released all the same.
+    let running = async || cluster.stage(0, "job-50").await == "running";
+    until("the first job runs", running).await;
+    // Both controllers stop around the end of the first job. Its dependents must still be released.
     drop(first);
-    let done = async || site.stage(1, "job-50").await == "done";
-    until("the first is done", done).await;
+    let done = async || cluster.stage(1, "job-50").await == "done";
+    until("the first job is done", done).await;
     drop(second);
-    let _first = site.start(0).await;
-    let _second = site.start(1).await;
-    assert_ne!(site.stage(0, "job-53").await, "", "known though it waits");
-    let done = async || site.stage(0, "job-53").await == "done";
-    until("the last is done", done).await;
-    // One that comes when all is over waits for nothing; a repeat gets its state.
-    site.submit_after(1, "job-55", &[("job-53", 2)]).await;
-    let again = site
+    let _first = cluster.start(0).await;
+    let _second = cluster.start(1).await;
+    assert_ne!(
+        cluster.stage(0, "job-53").await,
+        "",
+        "a blocked job is known"
+    );
+    let done = async || cluster.stage(0, "job-53").await == "done";
+    until("the last job is done", done).await;
+    // A job whose dependencies are already done is not blocked. A repeated submission returns the job's stage.
+    cluster.submit_after(1, "job-55", &[("job-53", 2)]).await;
+    let again = cluster
         .submit_after(0, "job-53", &[("job-51", 2), ("job-52", 2)])
         .await;
     assert_eq!(again["stage"], "done");
 
-    // A chain: cancelled at its first job, and all that hang on it with it, at each node at once.
-    site.submit(0, &job("job-60", 2, 1.0)).await;
+    // Cancelling the first job of a chain cancels all that depend on it, as every controller reports at once.
+    cluster.submit(0, &job("job-60", 2, 1.0)).await;
     for n in 61..70 {
         let before = format!("job-{}", n - 1);
-        site.submit_after(n % 2, &format!("job-{n}"), &[(&before, 2)])
+        cluster
+            .submit_after(n % 2, &format!("job-{n}"), &[(&before, 2)])
             .await;
     }
     let aborted = async || {
-        let told = site.post(0, "/v1/jobs/job-60/abort", Value::Null).await.1;
-        told["stage"] == "cancelled"
+        let body = cluster
+            .post(0, "/v1/jobs/job-60/abort", Value::Null)
+            .await
+            .1;
+        body["stage"] == "cancelled"
     };
-    until("it is cancelled", aborted).await;
+    until("the first job of the chain is cancelled", aborted).await;
     for number in 0..2 {
         for n in 60..70 {
-            assert_eq!(site.stage(number, &format!("job-{n}")).await, "cancelled");
+            assert_eq!(
+                cluster.stage(number, &format!("job-{n}")).await,
+                "cancelled"
+            );
         }
     }
-    let told = site.submit_after(1, "job-70", &[("job-69", 2)]).await;
-    assert_eq!(told["stage"], "cancelled", "taken all the same");
-    let ended = async || site.state.stored("r/j/").is_empty();
-    until("no record is left of them", ended).await;
+    let body = cluster.submit_after(1, "job-70", &[("job-69", 2)]).await;
+    assert_eq!(
+        body["stage"], "cancelled",
+        "a job that depends on a cancelled one is accepted and cancelled"
+    );
+    let ended = async || cluster.state.stored("r/j/").is_empty();
+    until("no open or blocked job is recorded", ended).await;
     for n in 61..71 {
-        assert_eq!(site.stage(0, &format!("job-{n}")).await, "cancelled");
+        assert_eq!(cluster.stage(0, &format!("job-{n}")).await, "cancelled");
     }
-    // An abort that comes after the end cancels nothing.
-    site.submit_after(0, "job-71", &[("job-53", 2)]).await;
-    let told = site.post(1, "/v1/jobs/job-53/abort", Value::Null).await.1;
-    assert_eq!(told["stage"], "done");
-    let done = async || site.stage(1, "job-71").await == "done";
-    until("it goes on", done).await;
-    assert_eq!(site.broken_rules(), Vec::<String>::new());
+    // An abort after the end of a job cancels neither the job nor its dependents.
+    cluster.submit_after(0, "job-71", &[("job-53", 2)]).await;
+    let body = cluster
+        .post(1, "/v1/jobs/job-53/abort", Value::Null)
+        .await
+        .1;
+    assert_eq!(body["stage"], "done");
+    let done = async || cluster.stage(1, "job-71").await == "done";
+    until("the dependent job is done", done).await;
+    assert_eq!(cluster.broken_rules(), Vec::<String>::new());
 }
 
-/// The version before is replaced a process at a time, with an old leader and with a new one, and the
-/// limits fall in the middle of it, after it, or before: what both place runs once, what waits for
-/// others is refused until all are new and then taken, and every value fits.
+/// A rolling upgrade from the previous version: controllers are replaced one at a time, the leader first or last, and
+/// the limits of the state service are lowered after, during or before the upgrade. Each task must run once, jobs with
+/// dependencies are refused until every controller is upgraded, and no transaction exceeds the limits.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn old_and_new_share_the_work_while_one_replaces_the_other() {
-    let next = Some((1.0, 8, 60.0));
-    let old = Version {
+async fn a_rolling_upgrade_under_lowered_state_limits_keeps_every_job() {
+    let next_state_limits = Some((1.0, 8, 60.0));
+    let previous = ControllerConfig {
         supported_level: FeatureLevel::NONE,
-        ..PRESENT
+        ..DEFAULT_CONFIG
+    };
+    let upgraded = ControllerConfig {
+        next_state_limits,
+        ..DEFAULT_CONFIG
     };
-    let new = Version { next, ..PRESENT };
-    let lower = StateLimits {
+    let lowered = StateLimits {
         value_bytes: 1024,
         operations: 8,
         changes_per_s: 60.0,
     };
-    for (leader_first, falls_after) in [(true, 3), (false, 1), (false, 0)] {
-        let site = Site::new(3, Duration::from_millis(900)).await;
-        let mut nodes: Vec<Option<Controller>> = Vec::new();
+    for (leader_first, lowered_after) in [(true, 3), (false, 1), (false, 0)] {
+        let cluster = TestCluster::new(3, Duration::from_millis(900)).await;
+        let mut controllers: Vec<Option<Controller>> = Vec::new();
         for number in 0..3 {
-            nodes.push(Some(site.start_as(old, number)));
-            let ready = async || site.get(number, "/healthz").await.0 == 200;
+            controllers.push(Some(cluster.start_with(previous, number)));
+            let ready = async || cluster.get(number, "/healthz").await.0 == 200;
             until("the controller is healthy", ready).await;
         }
-        // So many tasks that a page of the version before is larger than the lower limit takes.
-        site.submit(0, &job("job-80", 120, 0.05)).await;
-        let running = async || site.stage(1, "job-80").await == "running";
-        until("it runs", running).await;
+        // Enough tasks that a progress page of the previous version exceeds the lowered value size.
+        cluster.submit(0, &job("job-80", 120, 0.05)).await;
+        let running = async || cluster.stage(1, "job-80").await == "running";
+        until("the job runs", running).await;
         let leader = || {
-            let record = site.state.stored("r/leader");
+            let record = cluster.state.stored("r/leader");
             let name = record.values().next()?["member"].as_str()?.to_owned();
             name.trim_start_matches("millstone-").parse::<usize>().ok()
         };
@@ -430,35 +473,36 @@
             false => (1..4).map(|n| (first + n) % 3).collect(),
         };
         for (count, number) in order.iter().copied().enumerate() {
-            if falls_after == count {
-                site.state.set_limits(lower);
+            if lowered_after == count {
+                cluster.state.set_limits(lowered);
             }
-            let mut waits = job("job-99", 1, 1.0);
-            waits["awaits"] = json!(["job-80"]);
-            nodes[number] = None;
-            nodes[number] = Some(site.start_as(new, number));
-            let ready = async || site.get(number, "/healthz").await.0 == 200;
-            until("the new one is healthy", ready).await;
+            let mut blocked = job("job-99", 1, 1.0);
+            blocked["awaits"] = json!(["job-80"]);
+            controllers[number] = None;
+            controllers[number] = Some(cluster.start_with(upgraded, number));
+            let ready = async || cluster.get(number, "/healthz").await.0 == 200;
+            until("the upgraded controller is healthy", ready).await;
             if count < 2 {
-                let (status, _) = site.post(number, "/v1/jobs", waits).await;
-                assert_eq!(status, 503, "not before all are new");
+                let (status, _) = cluster.post(number, "/v1/jobs", blocked).await;
+                assert_eq!(status, 503, "dependencies need every controller upgraded");
             }
             let id = format!("job-{}", 81 + count);
-            site.submit((number + 1) % 3, &job(&id, 30, 0.1)).await;
+            cluster.submit((number + 1) % 3, &job(&id, 30, 0.1)).await;
         }
-        site.submit_after(0, "job-84", &[("job-81", 30), ("job-82", 30)])
+        cluster
+            .submit_after(0, "job-84", &[("job-81", 30), ("job-82", 30)])
             .await;
-        if falls_after == 3 {
-            site.state.set_limits(lower);
+        if lowered_after == 3 {
+            cluster.state.set_limits(lowered);
         }
-        site.submit_after(2, "job-85", &[("job-84", 2)]).await;
-        site.submit(1, &job("job-86", 100, 0.05)).await;
+        cluster.submit_after(2, "job-85", &[("job-84", 2)]).await;
+        cluster.submit(1, &job("job-86", 100, 0.05)).await;
         for id in ["job-80", "job-81", "job-82", "job-83", "job-85", "job-86"] {
-            let done = async || site.stage(1, id).await == "done";
-            until("it is done", done).await;
+            let done = async || cluster.stage(1, id).await == "done";
+            until("the job is done", done).await;
         }
-        assert_eq!(site.broken_rules(), Vec::<String>::new());
-        let too_many = site.state.refusals().too_many_operations;
-        assert_eq!(too_many, 0, "no transaction is too large");
+        assert_eq!(cluster.broken_rules(), Vec::<String>::new());
+        let too_many = cluster.state.refusals().too_many_operations;
+        assert_eq!(too_many, 0, "no transaction has too many operations");
     }
 }
