--- a/src/testing/load_profile.rs
+++ b/src/testing/load_profile.rs
@@ -1,6 +1,6 @@
-//! One controller under the load of a whole deployment, for profiles. It runs as in production but for
-//! its listeners: reports and submissions are handed to it directly, and the state service and the cloud
-//! are the stand-ins. `docs/design.md` says how to start it.
+//! Profiles one controller under the load that a large deployment puts on its busiest controller. The controller runs
+//! as in production, but without listeners: heartbeats and submissions are passed to it as function calls, and the
+//! state service and the cloud are stand-ins. `docs/design.md` describes how to start a profile.
 
 use crate::api::Server;
 use crate::api::limit::ConcurrencyLimit;
@@ -23,113 +23,123 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
 
-/// The sizes of a deployment as far as one controller meets them.
+/// The load of one controller.
 pub(super) struct Load {
     pub name: &'static str,
     pub report_s: f64,
     pub value_kb: f64,
-    pub plain: Kind,
-    pub with_gpus: Kind,
+    pub without_gpus: MachineType,
+    pub with_gpus: MachineType,
     pub gang_sizes: &'static [u32],
-    /// Jobs at the start, and one more each so many seconds.
+    /// Gangs submitted at the start.
     pub gangs: u32,
-    pub gang_every_s: f64,
+    /// Interval between further gangs.
+    pub gang_interval_s: f64,
+    /// Arrays submitted at the start.
     pub arrays: u32,
-    pub array_every_s: f64,
+    /// Interval between further arrays.
+    pub array_interval_s: f64,
     pub largest_array: u32,
     pub array_task_s: f64,
 }
 
-pub(super) struct Kind {
+/// A machine type that the simulated cloud rents out.
+pub(super) struct MachineType {
     pub name: &'static str,
-    pub most: usize,
+    pub max_machines: usize,
     pub boot_s: f64,
 }
 
-/// The part of xanhgio-fleet-lean that its busiest controller has.
+/// The busiest controller of the deployment xanhgio-fleet-lean.
 const XANHGIO: Load = Load {
     name: "xanhgio-fleet-lean",
     report_s: 5.0,
     value_kb: 8.0,
-    plain: Kind {
+    without_gpus: MachineType {
         name: "tre-16",
-        most: 450,
+        max_machines: 450,
         boot_s: 3.0,
     },
-    with_gpus: Kind {
+    with_gpus: MachineType {
         name: "sen-16g",
-        most: 190,
+        max_machines: 190,
         boot_s: 5.0,
     },
     gang_sizes: &[1, 2, 6],
     gangs: 171,
-    gang_every_s: 1.0,
+    gang_interval_s: 1.0,
     arrays: 20,
-    array_every_s: 3.0,
+    array_interval_s: 3.0,
     largest_array: 300,
     array_task_s: 30.0,
 };
 
-/// The part of cedarloop-previews-lean that its busiest controller has.
+/// The busiest controller of the deployment cedarloop-previews-lean.
 const CEDARLOOP: Load = Load {
     name: "cedarloop-previews-lean",
     report_s: 1.5,
     value_kb: 32.0,
-    plain: Kind {
+    without_gpus: MachineType {
         name: "fir-16",
-        most: 180,
+        max_machines: 180,
         boot_s: 3.0,
     },
-    with_gpus: Kind {
+    with_gpus: MachineType {
         name: "alder-12g",
-        most: 60,
+        max_machines: 60,
         boot_s: 5.0,
     },
     gang_sizes: &[1, 3, 6, 12, 16],
     gangs: 22,
-    gang_every_s: 7.0,
+    gang_interval_s: 7.0,
     arrays: 20,
-    array_every_s: 4.0,
+    array_interval_s: 4.0,
     largest_array: 400,
     array_task_s: 20.0,
 };
 
-const LASTS: Duration = Duration::from_secs(60);
+/// How long a profile runs.
+const PROFILE_DURATION: Duration = Duration::from_secs(60);
 const GANG_TASK_S: f64 = 60.0;
 
-/// What a machine runs, as its worker would report it.
+/// A simulated machine with its worker's state.
 pub(super) struct Machine {
-    pub kind: &'static str,
-    pub token: u64,
-    pub seq: u64,
+    pub machine_type: &'static str,
+    pub fencing_token: u64,
+    /// The number of its last heartbeat.
+    pub sequence: u64,
+    /// When it sent its last heartbeat. Before the first one, the end of its boot.
     pub reported: Instant,
-    /// Attempt and end of each task.
+    /// Attempt and end time of each task.
     pub tasks: BTreeMap<String, (u64, Instant)>,
 }
 
-/// The machines that were rented and are not released, by name.
+/// The machines that are rented and not released, by name.
 pub(super) type Fleet = Arc<Mutex<BTreeMap<String, Machine>>>;
 
+/// A simulated cloud, whose machines run no worker of their own.
 #[derive(Clone)]
 pub(super) struct Cloud {
     pub load: &'static Load,
     pub fleet: Fleet,
-    pub hires: Arc<Mutex<BTreeMap<String, Vec<String>>>>,
-    pub names: Arc<Mutex<u32>>,
+    /// The machines of each rental request, by the request's id.
+    pub rentals: Arc<Mutex<BTreeMap<String, Vec<String>>>>,
+    /// The number in the last machine name that was given.
+    pub last_number: Arc<Mutex<u32>>,
 }
 
 impl Cloud {
-    fn kinds(&self) -> [&'static Kind; 2] {
-        [&self.load.plain, &self.load.with_gpus]
+    fn machine_types(&self) -> [&'static MachineType; 2] {
+        [&self.load.without_gpus, &self.load.with_gpus]
     }
 
-    pub fn handle(&self, asked: &StubRequest) -> (u16, Value) {
-        match asked.path.as_str() {
+    pub fn handle(&self, request: &StubRequest) -> (u16, Value) {
+        match request.path.as_str() {
             "/catalog" => (200, self.catalog()),
-            "/rentals" if asked.body["hire"].is_string() => self.rent(&asked.body),
+            "/rentals" if request.body["hire"].is_string() => self.rent(&request.body),
             "/rentals/release" => {
                 let mut fleet = self.fleet.lock().unwrap();
-                for name in asked.body["millstones"].as_array().unwrap() {
+                for name in request.body["millstones"].as_array().unwrap() {
                     fleet.remove(name.as_str().unwrap());
                 }
                 (200, json!({}))
@@ -139,53 +149,61 @@
     }
 
     fn catalog(&self) -> Value {
-        let stone = |kind: &Kind, gpus: f64, price: f64| {
-            json!({"sku": kind.name, "cpus": 16.0, "cards": gpus, "memGb": 64.0 * (1.0 + gpus / 2.0),
+        let entry = |machine_type: &MachineType, gpus: f64, price: f64| {
+            json!({"sku": machine_type.name, "cpus": 16.0, "cards": gpus, "memGb": 64.0 * (1.0 + gpus / 2.0),
                 "cacheGb": 60.0, "fetchGbPerS": 0.3, "hourly": price, "marketPrice": price / 3.0,
-                "bootS": kind.boot_s, "yards": ["a", "b"]})
+                "bootS": machine_type.boot_s, "yards": ["a", "b"]})
         };
-        let [plain, with_gpus] = self.kinds();
-        json!({"stones": [stone(plain, 0.0, 0.96), stone(with_gpus, 2.0, 4.61)]})
+        let [without_gpus, with_gpus] = self.machine_types();
+        json!({"stones": [entry(without_gpus, 0.0, 0.96), entry(with_gpus, 2.0, 4.61)]})
     }
 
     fn rent(&self, body: &Value) -> (u16, Value) {
-        let hire = body["hire"].as_str().unwrap().to_owned();
-        let mut hires = self.hires.lock().unwrap();
-        if let Some(names) = hires.get(&hire) {
+        let id = body["hire"].as_str().unwrap().to_owned();
+        let mut rentals = self.rentals.lock().unwrap();
+        if let Some(names) = rentals.get(&id) {
             return (200, json!({"millstones": names}));
         }
-        let kinds = self.kinds();
-        let kind = kinds.into_iter().find(|k| body["stone"] == k.name).unwrap();
+        let machine_types = self.machine_types();
+        let machine_type = machine_types
+            .into_iter()
+            .find(|t| body["stone"] == t.name)
+            .unwrap();
         let mut fleet = self.fleet.lock().unwrap();
-        let there = fleet.values().filter(|m| m.kind == kind.name).count();
-        let count = (body["howMany"].as_u64().unwrap() as usize).min(kind.most - there);
+        let rented = fleet
+            .values()
+            .filter(|m| m.machine_type == machine_type.name)
+            .count();
+        let count =
+            (body["howMany"].as_u64().unwrap() as usize).min(machine_type.max_machines - rented);
         if count == 0 {
             return (503, json!({"error": "no capacity"}));
         }
-        let mut numbers = self.names.lock().unwrap();
+        let mut last_number = self.last_number.lock().unwrap();
         let mut names = Vec::new();
         for _ in 0..count {
-            *numbers += 1;
-            let name = format!("vm-{:06}", *numbers);
-            let boots = Duration::from_secs_f64(kind.boot_s);
+            *last_number += 1;
+            let name = format!("vm-{:06}", *last_number);
+            let boot_duration = Duration::from_secs_f64(machine_type.boot_s);
             let machine = Machine {
-                kind: kind.name,
-                token: 0,
-                seq: 0,
-                reported: Instant::now() + boots,
+                machine_type: machine_type.name,
+                fencing_token: 0,
+                sequence: 0,
+                reported: Instant::now() + boot_duration,
                 tasks: BTreeMap::new(),
             };
             fleet.insert(name.clone(), machine);
             names.push(name);
         }
-        hires.insert(hire, names.clone());
+        rentals.insert(id, names.clone());
         (200, json!({"millstones": names}))
     }
 }
 
 impl Machine {
-    pub fn report(&mut self, name: &str, now: Instant) -> Value {
-        self.seq += 1;
+    /// The machine's next heartbeat.
+    pub fn heartbeat(&mut self, name: &str, now: Instant) -> Value {
+        self.sequence += 1;
         self.reported = now;
         let tasks = self
             .tasks
@@ -194,17 +212,18 @@
                 true => json!({"sack": task, "turn": attempt, "stage": "ended", "cause": "done"}),
                 false => json!({"sack": task, "turn": attempt, "stage": "running"}),
             });
-        json!({"millstone": name, "endpoint": "", "stone": self.kind, "yard": "a", "borrowed": false,
-            "shift": 1, "tally": self.seq, "warrant": self.token, "recallS": null,
+        json!({"millstone": name, "endpoint": "", "stone": self.machine_type, "yard": "a", "borrowed": false,
+            "shift": 1, "tally": self.sequence, "warrant": self.fencing_token, "recallS": null,
             "sacks": tasks.collect::<Vec<_>>()})
     }
 
-    pub fn obey(&mut self, answer: &Value, task_s: &dyn Fn(&str) -> f64, now: Instant) {
-        self.token = answer["warrant"].as_u64().unwrap();
-        for order in answer["orders"].as_array().unwrap() {
-            let task = order["sack"].as_str().unwrap();
-            let attempt = order["turn"].as_u64().unwrap();
-            match order["verb"].as_str().unwrap() {
+    /// Carries out the commands of an answer. `task_s` is the duration of a task, by its id.
+    pub fn apply_commands(&mut self, answer: &Value, task_s: &dyn Fn(&str) -> f64, now: Instant) {
+        self.fencing_token = answer["warrant"].as_u64().unwrap();
+        for command in answer["orders"].as_array().unwrap() {
+            let task = command["sack"].as_str().unwrap();
+            let attempt = command["turn"].as_u64().unwrap();
+            match command["verb"].as_str().unwrap() {
                 "run" => {
                     let ends = now + Duration::from_secs_f64(task_s(task));
                     self.tasks.entry(task.to_owned()).or_insert((attempt, ends));
@@ -236,21 +255,21 @@
     Settings::parse(&settings.to_string(), "load").unwrap()
 }
 
-/// A job of either class, as its user submits it.
-fn job(load: &Load, number: u32, gang: bool, rng: &mut StdRng) -> Value {
-    let (shape, tasks) = match gang {
+/// The body of a submission, of a gang or of an array of tasks.
+fn job(load: &Load, number: u32, is_gang: bool, rng: &mut StdRng) -> Value {
+    let (shape, tasks) = match is_gang {
         true => {
             let sizes = load.gang_sizes;
             ("group", sizes[rng.random_range(0..sizes.len())])
         }
         false => ("array", rng.random_range(1..=load.largest_array)),
     };
-    let (cpus, memory_gb) = if gang { (15.0, 51.0) } else { (1.0, 2.4) };
-    let (class, seconds) = match gang {
+    let (cpus, memory_gb) = if is_gang { (15.0, 51.0) } else { (1.0, 2.4) };
+    let (class, seconds) = match is_gang {
         true => ("gang", GANG_TASK_S),
         false => ("array", load.array_task_s),
     };
-    let deadline = if gang {
+    let deadline = if is_gang {
         Value::Null
     } else {
         json!(seconds * 4.0)
@@ -258,40 +277,41 @@
     json!({"nameId": format!("job-{number:06}"), "grist": class, "crew": "t", "shape": shape,
         "urgency": "standard", "sacks": tasks, "cpus": cpus, "cards": 0.0, "memGb": memory_gb,
         "mould": format!("img-{}", rng.random_range(0..10)), "pullGb": 3.0, "stones": null,
-        "yard": null, "together": gang, "spread": false, "borrowed": true,
+        "yard": null, "together": is_gang, "spread": false, "borrowed": true,
         "grindS": seconds * rng.random_range(0.8..1.2), "bankS": 0.0, "bankWriteS": 0.0,
         "dueS": deadline})
 }
 
-pub(super) async fn body_of(answer: crate::http::HttpResponse) -> Value {
-    let body = answer.into_body().collect().await.unwrap().to_bytes();
+pub(super) async fn body_of(response: crate::http::HttpResponse) -> Value {
+    let body = response.into_body().collect().await.unwrap().to_bytes();
     serde_json::from_slice(&body).unwrap()
 }
 
-/// Hands the reports that are due to the controller, and lets the machines do as they are told.
-async fn work(load: &'static Load, node: Arc<Node>, fleet: Fleet) {
+/// Passes each heartbeat that is due to the controller, and the commands in its answer to the machine.
+async fn run_workers(load: &'static Load, node: Arc<Node>, fleet: Fleet) {
     let task_s = |task: &str| {
         let number: u32 = task[4..10].parse().unwrap();
+        // Gangs have even numbers.
         if number.is_multiple_of(2) {
             GANG_TASK_S
         } else {
             load.array_task_s
         }
     };
-    let every = Duration::from_secs_f64(load.report_s);
+    let heartbeat_interval = Duration::from_secs_f64(load.report_s);
     loop {
         let now = Instant::now();
-        let due = |machine: &Machine| machine.reported + every <= now;
-        let reports: Vec<(String, Value)> = {
+        let due = |machine: &Machine| machine.reported + heartbeat_interval <= now;
+        let heartbeats: Vec<(String, Value)> = {
             let mut fleet = fleet.lock().unwrap();
             let due = fleet.iter_mut().filter(|(_, machine)| due(machine));
-            due.map(|(name, machine)| (name.clone(), machine.report(name, now)))
+            due.map(|(name, machine)| (name.clone(), machine.heartbeat(name, now)))
                 .collect()
         };
-        for (name, report) in reports {
+        for (name, heartbeat) in heartbeats {
             let (node, fleet) = (node.clone(), fleet.clone());
             tokio::spawn(async move {
-                let body = report.to_string();
+                let body = heartbeat.to_string();
                 let answer =
                     crate::workers::service::handle_heartbeat(&node, body.as_bytes()).await;
                 if answer.status() != hyper::StatusCode::OK {
@@ -299,7 +319,7 @@
                 }
                 let answer = body_of(answer).await;
                 if let Some(machine) = fleet.lock().unwrap().get_mut(&name) {
-                    machine.obey(&answer, &task_s, Instant::now());
+                    machine.apply_commands(&answer, &task_s, Instant::now());
                 }
             });
         }
@@ -307,67 +327,67 @@
     }
 }
 
-/// Submits the backlog of the start and what comes later: gangs have even numbers.
+/// Submits the jobs of the start and then those that follow at intervals. Gangs get even numbers.
 async fn submit(load: &'static Load, node: Arc<Node>) {
     let server = Arc::new(Server {
         node,
         limit: ConcurrencyLimit::new(),
     });
     let mut rng = StdRng::seed_from_u64(1);
-    let began = Instant::now();
+    let started = Instant::now();
     let (mut gangs, mut arrays) = (0, 0);
     loop {
-        let passed = began.elapsed().as_secs_f64();
-        let wanted = |first: u32, every_s: f64| first + (passed / every_s) as u32;
-        let gang = gangs < wanted(load.gangs, load.gang_every_s);
-        if !gang && arrays >= wanted(load.arrays, load.array_every_s) {
+        let elapsed_s = started.elapsed().as_secs_f64();
+        let due = |first: u32, interval_s: f64| first + (elapsed_s / interval_s) as u32;
+        let is_gang = gangs < due(load.gangs, load.gang_interval_s);
+        if !is_gang && arrays >= due(load.arrays, load.array_interval_s) {
             tokio::time::sleep(Duration::from_millis(100)).await;
             continue;
         }
-        let number = if gang { gangs * 2 } else { arrays * 2 + 1 };
-        let body = job(load, number, gang, &mut rng).to_string();
+        let number = if is_gang { gangs * 2 } else { arrays * 2 + 1 };
+        let body = job(load, number, is_gang, &mut rng).to_string();
         let answer = submit::submit(&server, body.as_bytes()).await;
         if !answer.status().is_success() {
             tokio::time::sleep(Duration::from_millis(100)).await;
             continue;
         }
-        match gang {
+        match is_gang {
             true => gangs += 1,
             false => arrays += 1,
         }
     }
 }
 
-/// Starts a stand-in on a thread of its own, so that it is no part of the controller's profile.
-pub(super) fn serve_apart(
+/// Serves a stand-in on a thread of its own, so that the controller's profile does not include it.
+pub(super) fn serve_on_own_thread(
     handler: Arc<dyn Fn(StubRequest) -> ReplyFuture + Send + Sync>,
 ) -> SocketAddr {
-    let (tell, told) = std::sync::mpsc::channel();
+    let (addr_sender, addr_receiver) = std::sync::mpsc::channel();
     std::thread::Builder::new()
         .name("stand-in".into())
         .spawn(move || {
             let mut builder = tokio::runtime::Builder::new_current_thread();
             builder.enable_all().build().unwrap().block_on(async {
                 let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-                tell.send(listener.local_addr().unwrap()).unwrap();
+                addr_sender.send(listener.local_addr().unwrap()).unwrap();
                 serve(listener, handler).await;
             });
         })
         .unwrap();
-    told.recv().unwrap()
+    addr_receiver.recv().unwrap()
 }
 
 fn run(load: &'static Load) {
     let cloud = Cloud {
         load,
         fleet: Fleet::default(),
-        hires: Arc::default(),
-        names: Arc::default(),
+        rentals: Arc::default(),
+        last_number: Arc::default(),
     };
     let fleet = cloud.fleet.clone();
-    let state = serve_apart(StateService::default().handler());
-    let cloud = serve_apart(Arc::new(move |asked| {
-        let answer = cloud.handle(&asked);
+    let state = serve_on_own_thread(StateService::default().handler());
+    let cloud = serve_on_own_thread(Arc::new(move |request| {
+        let answer = cloud.handle(&request);
         Box::pin(async move { answer })
     }));
     let node = Node::new(
@@ -380,31 +400,31 @@
     let runtime = builder.enable_all().build().unwrap();
     runtime.block_on(async {
         tokio::spawn(BackgroundTasks::start(&node).supervise());
-        tokio::spawn(work(load, node.clone(), fleet.clone()));
+        tokio::spawn(run_workers(load, node.clone(), fleet.clone()));
         tokio::spawn(submit(load, node.clone()));
-        tokio::time::sleep(LASTS).await;
+        tokio::time::sleep(PROFILE_DURATION).await;
     });
     let metrics = &node.core().metrics;
     println!("{}: {} machines", load.name, fleet.lock().unwrap().len());
     println!(
-        "  longest cycle of the last period: {:?}",
+        "  longest scheduling cycle of the last period: {:?}",
         metrics.longest_cycle
     );
-    let spent = node.processor_time.totals();
+    let processor_time = node.processor_time.totals();
     for account in CpuAccount::ALL {
-        let ms = spent[account as usize].as_secs_f64() * 1000.0;
+        let ms = processor_time[account as usize].as_secs_f64() * 1000.0;
         println!("  {account:?}: {ms:.0} ms");
     }
 }
 
 #[test]
-#[ignore = "a profile of a minute"]
+#[ignore = "runs for a minute, for profiles"]
 fn xanhgio_load() {
     run(&XANHGIO);
 }
 
 #[test]
-#[ignore = "a profile of a minute"]
+#[ignore = "runs for a minute, for profiles"]
 fn cedarloop_load() {
     run(&CEDARLOOP);
 }
