--- a/src/testing/compatibility/cloud.rs
+++ b/src/testing/compatibility/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud's protocol: what is sent, and what is read out of each answer.
+//! The cloud's protocol: the requests that are sent, and how each answer is interpreted.
 
 use crate::cloud::{CloudClient, CloudError, ListedMachine, MachineType, RentalRequest};
 use rowanmill_testing::exchange::{Recorder, ScriptedAnswer};
@@ -12,7 +12,7 @@
 struct Trace(String);
 
 impl Trace {
-    /// One call, with what is replied to each of its requests.
+    /// Makes one call, whose requests get these replies, and adds requests, replies and the outcome.
     async fn call(
         &mut self,
         what: &str,
@@ -42,19 +42,19 @@
     }
 }
 
-fn kind_text(kind: &MachineType) -> String {
+fn machine_type_text(machine_type: &MachineType) -> String {
     format!(
         "{}: {} CPUs, {} cards, {} GB, cache {} GB, fetches {} GB/s, {} an hour, spot {}, boots in {} s, zones {}\n",
-        kind.name,
-        kind.cpus,
-        kind.gpus,
-        kind.memory_gb,
-        kind.cache_gb,
-        kind.fetch_gb_per_s,
-        kind.price,
-        kind.spot_price,
-        kind.boot_s,
-        kind.zones.join("+")
+        machine_type.name,
+        machine_type.cpus,
+        machine_type.gpus,
+        machine_type.memory_gb,
+        machine_type.cache_gb,
+        machine_type.fetch_gb_per_s,
+        machine_type.price,
+        machine_type.spot_price,
+        machine_type.boot_s,
+        machine_type.zones.join("+")
     )
 }
 
@@ -71,13 +71,13 @@
 }
 
 #[tokio::test]
-async fn the_catalogue_is_asked_for_and_read() {
+async fn catalogue_request_and_the_meaning_of_its_answers() {
     let mut trace = Trace::default();
-    let whole = r#"{"stones":[{"sku":"g8","cpus":96,"cards":8,"memGb":768,"cacheGb":200,"fetchGbPerS":1.0,"hourly":12.0,"marketPrice":4.5,"bootS":45,"yards":["a","b"]},{"sku":"c4","cpus":4.0,"memGb":16.5,"hourly":0.25,"later":true}]}"#;
+    let full = r#"{"stones":[{"sku":"g8","cpus":96,"cards":8,"memGb":768,"cacheGb":200,"fetchGbPerS":1.0,"hourly":12.0,"marketPrice":4.5,"bootS":45,"yards":["a","b"]},{"sku":"c4","cpus":4.0,"memGb":16.5,"hourly":0.25,"later":true}]}"#;
     let replies = [
         (
             "a type with all fields and one with the least",
-            answer(200, whole),
+            answer(200, full),
         ),
         ("no types", answer(200, r#"{"stones":[]}"#)),
         (
@@ -90,8 +90,12 @@
     ];
     for (what, reply) in replies {
         let call = async |client: CloudClient| {
-            let kinds = client.catalog().await?;
-            Ok(kinds.iter().map(kind_text).collect::<String>() + "read")
+            let machine_types = client.catalog().await?;
+            Ok(machine_types
+                .iter()
+                .map(machine_type_text)
+                .collect::<String>()
+                + "read")
         };
         trace.call(what, &[reply], call).await;
     }
@@ -99,7 +103,7 @@
 }
 
 #[tokio::test]
-async fn a_rental_is_sent_and_each_answer_read() {
+async fn rental_request_and_the_meaning_of_its_answers() {
     let mut trace = Trace::default();
     let replies = [
         (
@@ -148,7 +152,7 @@
 }
 
 #[tokio::test]
-async fn a_release_is_sent_and_each_answer_read() {
+async fn release_request_and_the_meaning_of_its_answers() {
     let mut trace = Trace::default();
     let replies = [
         ("released", answer(200, "{}")),
--- a/src/testing/compatibility/cluster_records.rs
+++ b/src/testing/compatibility/cluster_records.rs
@@ -1,4 +1,4 @@
-//! Records of the fleet, of the controllers and of what these publish.
+//! The records of rentals, controllers, the assignment, schema versions, forecasts and quota allocations.
 
 use super::trace::Trace;
 use crate::fleet::{MachinePool, MachineState, Rental, RentedMachine};
@@ -65,7 +65,7 @@
 #[test]
 fn presence_record_keeps_its_json() {
     let mut trace = Trace::default();
-    for (form, supported_level) in [
+    for (label, supported_level) in [
         ("the version before", FeatureLevel::NONE),
         ("present version", FeatureLevel::COMPACT_PAGES),
         ("divides limits", FeatureLevel::DIVIDED_QUOTAS),
@@ -76,7 +76,7 @@
             supported_level,
         };
         trace.add(
-            form,
+            label,
             RecordKey::Presence("millstone-0").to_string(),
             &record,
         );
@@ -122,8 +122,8 @@
         layout: None,
     };
     trace.add("not all seen", key(), &waiting);
-    // What a page may take is this process's own and not written.
-    let begun = SchemaVersions {
+    // `value_bytes` comes from the process's own settings and is not stored.
+    let activated = SchemaVersions {
         layout: Some(PageLayout {
             plain_tasks: 170,
             compact_tasks: 64,
@@ -131,7 +131,7 @@
         }),
         ..waiting
     };
-    trace.add("begun", key(), &begun);
+    trace.add("begun", key(), &activated);
     insta::assert_snapshot!("schema_versions_record", trace.0);
 }
 
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn allotments_record_keeps_its_json() {
+fn quota_allocation_record_keeps_its_json() {
     let mut trace = Trace::default();
     let limit = ResourceAmount {
         micro_cpus: 64_000_000,
@@ -208,7 +208,9 @@
     };
     let members = [("millstone-0", half), ("millstone-1", half)];
     let divided = AllocationRecord {
-        allocations: members.map(|(name, part)| (name.to_owned(), part)).into(),
+        allocations: members
+            .map(|(name, amount)| (name.to_owned(), amount))
+            .into(),
         ..frozen
     };
     trace.add(
@@ -219,9 +221,9 @@
     insta::assert_snapshot!("allotments_record", trace.0);
 }
 
-/// Records of an earlier version, and of a later one that added a field.
+/// Records of an earlier version lack fields, and those of a later version have unknown ones.
 #[test]
-fn fields_that_are_missing_or_unknown_do_not_keep_a_record_from_being_read() {
+fn records_with_missing_or_unknown_fields_are_readable() {
     let presence = json!({"incarnation": 7, "lease": 8, "added_later": true});
     let read: PresenceRecord = serde_json::from_value(presence).unwrap();
     let expected = PresenceRecord {
@@ -237,7 +239,7 @@
         ..ForecastSummaryRecord::default()
     };
     assert_eq!(read, expected);
-    // A use of a machine that is not known yet counts as the last one: nothing starts there.
+    // An unknown machine state is read as `Releasing`, so that no task starts on the machine.
     let rental = json!({"kind": "m4", "zone": "a", "spot": true, "count": 1, "hired_ms": 5,
         "added_later": null, "owners": [["millstone-0", 3]], "machines": [["vm-1", 0, 9, 7]]});
     let read: Rental = serde_json::from_value(rental).unwrap();
--- a/src/testing/compatibility/files.rs
+++ b/src/testing/compatibility/files.rs
@@ -1,4 +1,4 @@
-//! The settings file and the operators' policy, as read.
+//! The settings file and the operators' policy file, as this version reads them.
 
 use crate::policy::{JobFacts, MachinePoolFacts, MachineTypeFacts, Policy};
 use crate::settings::Settings;
@@ -6,7 +6,8 @@
 use serde_json::{Value, json};
 use std::fmt::Write;
 
-fn whole_settings() -> Value {
+/// Settings with all fields, and with an unknown one.
+fn full_settings() -> Value {
     json!({
         "member": "millstone-0", "site": "danang-a",
         "api_addr": "10.0.0.1:8080", "mesh_addr": "10.0.0.1:8081",
@@ -37,8 +38,8 @@
     })
 }
 
-/// All that may be left out is.
-fn least_settings() -> Value {
+/// Settings with only the required fields.
+fn minimal_settings() -> Value {
     json!({
         "member": "n", "api_addr": "127.0.0.1:1", "mesh_addr": "127.0.0.1:2",
         "known": [{"addr": "127.0.0.1:5"}],
@@ -55,11 +56,11 @@
     })
 }
 
-fn shown<T: ToString>(value: Option<T>) -> String {
+fn optional_text<T: ToString>(value: Option<T>) -> String {
     value.map_or("none".to_owned(), |value| value.to_string())
 }
 
-/// Every field under its name in the file.
+/// All settings that were read, each under its name in the file.
 fn settings_text(settings: &Settings) -> String {
     let mut text = String::new();
     let mut show = |field: &str, value: String| writeln!(text, "{field} = {value}").unwrap();
@@ -83,8 +84,8 @@
     for objective in &params.objectives {
         let bounds = format!(
             "within_s {}, times {}",
-            shown(objective.within_s),
-            shown(objective.times)
+            optional_text(objective.within_s),
+            optional_text(objective.times)
         );
         let name = format!("kind {}, class `{}`", objective.kind, objective.class);
         show("params.objectives", format!("{name}, {bounds}"));
@@ -108,10 +109,10 @@
     show("params.state.txn_ops", state.txn_ops.to_string());
     match state.next {
         Some(next) => {
-            show("params.state.next.rps", shown(next.rps));
-            show("params.state.next.write_rps", shown(next.write_rps));
-            show("params.state.next.value_kb", shown(next.value_kb));
-            show("params.state.next.txn_ops", shown(next.txn_ops));
+            show("params.state.next.rps", optional_text(next.rps));
+            show("params.state.next.write_rps", optional_text(next.write_rps));
+            show("params.state.next.value_kb", optional_text(next.value_kb));
+            show("params.state.next.txn_ops", optional_text(next.txn_ops));
         }
         None => show("params.state.next", "none".to_owned()),
     }
@@ -133,11 +134,11 @@
 #[test]
 fn settings_are_read_field_by_field() {
     let mut trace = String::new();
-    let mut partly_lower = whole_settings();
+    let mut partly_lower = full_settings();
     partly_lower["params"]["state"]["next"] = json!({"write_rps": 30.0});
     for (what, file) in [
-        ("all fields", whole_settings()),
-        ("the least", least_settings()),
+        ("all fields", full_settings()),
+        ("the least", minimal_settings()),
         ("limits to come, one alone", partly_lower),
     ] {
         let settings = Settings::parse(&file.to_string(), "settings.json").unwrap();
@@ -147,9 +148,9 @@
 }
 
 #[test]
-fn settings_without_a_field_that_must_be_there_are_refused_by_its_name() {
+fn settings_without_a_required_field_are_refused_with_its_name() {
     let mut trace = String::new();
-    for at in [
+    for pointer in [
         "/member",
         "/api_addr",
         "/mesh_addr",
@@ -182,20 +183,20 @@
         "/params/limits/sockets",
         "/params/skew_ms",
     ] {
-        let mut file = least_settings();
-        let (parent, field) = at.rsplit_once('/').unwrap();
+        let mut file = minimal_settings();
+        let (parent, field) = pointer.rsplit_once('/').unwrap();
         let parent = file.pointer_mut(parent).unwrap();
         parent.as_object_mut().unwrap().remove(field).unwrap();
         let problem = Settings::parse(&file.to_string(), "settings.json").unwrap_err();
         let problem = problem.to_string();
-        // Where in the text it was missed hangs on the order of the text's fields.
+        // The position in the error depends on the order of the fields in the text.
         let problem = problem.split(" at line").next().unwrap_or_default();
-        writeln!(trace, "without {at}: {problem}").unwrap();
+        writeln!(trace, "without {pointer}: {problem}").unwrap();
     }
     insta::assert_snapshot!(trace);
 }
 
-const KIND: MachineTypeFacts = MachineTypeFacts {
+const MACHINE_TYPE: MachineTypeFacts = MachineTypeFacts {
     machine_type: "g8",
     cpus: 96.0,
     gpus: 8.0,
@@ -207,9 +208,9 @@
 /// Wednesday, 2 December 2026, 03:30 UTC.
 const AT_MS: u64 = 1_796_182_200_000;
 
-/// What each setting says of one kind of machine, one job and one moment.
+/// The value of each policy setting for one machine type, one job and one point in time.
 fn policy_text(policy: &Policy) -> String {
-    let scaling = policy.scaling_parameters(&KIND);
+    let scaling = policy.scaling_parameters(&MACHINE_TYPE);
     let job = JobFacts {
         class: "nightly",
         urgency: "best_effort",
@@ -237,20 +238,26 @@
         ("startup_count", policy.startup_count.to_string()),
         (
             "hold, ordinary",
-            policy.idle_hold_s(&KIND, "kamloops", false).to_string(),
+            policy
+                .idle_hold_s(&MACHINE_TYPE, "kamloops", false)
+                .to_string(),
         ),
         (
             "hold, spot",
-            policy.idle_hold_s(&KIND, "kamloops", true).to_string(),
+            policy
+                .idle_hold_s(&MACHINE_TYPE, "kamloops", true)
+                .to_string(),
         ),
-        ("dearer", policy.max_price_ratio(&KIND).to_string()),
+        ("dearer", policy.max_price_ratio(&MACHINE_TYPE).to_string()),
         ("start_by", policy.start_within_factor(&job).to_string()),
         (
             "may_return",
-            policy.allows_release(&KIND, "kamloops", false).to_string(),
+            policy
+                .allows_release(&MACHINE_TYPE, "kamloops", false)
+                .to_string(),
         ),
         ("protected", policy.is_protected(&pool, AT_MS).to_string()),
-        ("protected until", shown(until)),
+        ("protected until", optional_text(until)),
     ];
     let lines = values.map(|(name, value)| format!("{name} = {value}\n"));
     lines.concat()
@@ -262,7 +269,7 @@
         alpha = 0.5 * k\n";
     assert!(
         Policy::parse(every_setting).is_err(),
-        "settings are no facts"
+        "an expression must not refer to another setting"
     );
     let every_setting = "alpha = 0.01 # of a kind\n\
         beta = if gpus > 0 and price >= 10 then 0.4 else 0.3\n\
--- a/src/testing/compatibility/frames.rs
+++ b/src/testing/compatibility/frames.rs
@@ -1,4 +1,4 @@
-//! What a controller answers over the mesh, byte for byte.
+//! The frames that a controller sends over the mesh, byte for byte.
 
 use super::trace::hex;
 use crate::membership::schema_versions::FeatureLevel;
@@ -32,36 +32,36 @@
 fn bytes(hex: &str) -> Vec<u8> {
     let digits = hex.as_bytes().chunks(2);
     digits
-        .map(|two| u8::from_str_radix(std::str::from_utf8(two).unwrap(), 16).unwrap())
+        .map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap())
         .collect()
 }
 
-/// Questions as another controller sends them, and what this one answers: a status, an attestation of
-/// what is cancelled, and a testimony of what a cell lost.
+/// The queries that another controller sends, and the answers of this one: its status, its attestation of the jobs that
+/// it knows to be cancelled, and its attestation to another cell while the ledger is unreachable.
 #[tokio::test]
-async fn questions_between_controllers_are_answered_with_the_same_bytes() {
+async fn mesh_queries_are_answered_with_the_same_bytes() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let serving = tokio::spawn(mesh::serve(Arc::new(node()), listener));
+    let server = tokio::spawn(mesh::serve(Arc::new(node()), listener));
     let mut trace = String::new();
-    let status = mesh::status::StatusFrame {
+    let frame = mesh::status::StatusFrame {
         member: "millstone-1".into(),
         state_age_ms: Some(140),
     };
-    let status = bitcode::encode(&status);
-    let status = format!("{:04x}{}", status.len(), hex(&status));
-    for (form, question) in [
-        ("status", status.as_str()),
+    let frame = bitcode::encode(&frame);
+    let status_query = format!("{:04x}{}", frame.len(), hex(&frame));
+    for (query_kind, query) in [
+        ("status", status_query.as_str()),
         ("attestation", "ffff"),
         ("testimony", "fffe000000080573746f6e650609"),
     ] {
         let mut stream = TcpStream::connect(address).await.unwrap();
-        stream.write_all(&bytes(question)).await.unwrap();
+        stream.write_all(&bytes(query)).await.unwrap();
         let mut answer = Vec::new();
         stream.read_to_end(&mut answer).await.unwrap();
-        trace.push_str(&format!("{form}: {question} -> {}\n", hex(&answer)));
+        trace.push_str(&format!("{query_kind}: {query} -> {}\n", hex(&answer)));
     }
-    serving.abort();
+    server.abort();
     insta::assert_snapshot!("mesh_answers", trace);
 }
 
--- a/src/testing/compatibility/interfaces.rs
+++ b/src/testing/compatibility/interfaces.rs
@@ -1,5 +1,5 @@
-//! What users, workers and the load balancer are answered, byte for byte, and what is read of what they
-//! send. A controller's HTTP server runs as in production; its records are put there by the test.
+//! The responses to users, workers and the load balancer, byte for byte, and how their requests are parsed. A
+//! controller's HTTP server runs as in production, but its records are written by the tests.
 
 use crate::api::admission::Admission;
 use crate::api::cancel::cancel;
@@ -33,8 +33,8 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
 
-/// An address of loopback at which nothing listens.
-const NOWHERE: &str = "127.0.0.1:4";
+/// A loopback address at which nothing listens.
+const UNUSED_ADDR: &str = "127.0.0.1:4";
 
 pub fn settings(size: u32, state: SocketAddr) -> Settings {
     let settings = json!({"member": "millstone-0", "site": "a", "api_addr": "127.0.0.1:1",
@@ -49,7 +49,7 @@
     Settings::parse(&settings.to_string(), "test").unwrap()
 }
 
-fn kind(name: &str, cpus: f64, zones: &[&str]) -> MachineType {
+fn machine_type(name: &str, cpus: f64, zones: &[&str]) -> MachineType {
     MachineType {
         name: name.to_owned(),
         cpus,
@@ -83,11 +83,11 @@
     body
 }
 
-/// A node behind its HTTP server.
+/// A controller with its HTTP server, and a trace of the requests and responses.
 struct Served {
     node: Arc<Node>,
-    /// It follows a state service, rather than being given its records by hand.
-    follows: bool,
+    /// Whether it reads its records from a state service. Otherwise the test puts them into its replica.
+    follows_state: bool,
     api: SocketAddr,
     trace: String,
 }
@@ -100,15 +100,15 @@
         tokio::spawn(api::run(node.clone(), listener));
         Self {
             node,
-            follows: false,
+            follows_state: false,
             api,
             trace: String::new(),
         }
     }
 
-    /// A node whose records are put there by hand, just read and complete.
-    async fn by_hand() -> Self {
-        let settings = settings(1, NOWHERE.parse().unwrap());
+    /// A controller whose records the test puts into its replica. It counts as connected to the state service.
+    async fn without_state() -> Self {
+        let settings = settings(1, UNUSED_ADDR.parse().unwrap());
         let served = Self::start(Node::new(
             FeatureLevel::COMPACT_PAGES,
             settings,
@@ -118,44 +118,50 @@
         {
             let mut core = served.node.core();
             core.loaded = true;
-            core.machine_types = vec![kind("c4", 4.0, &["a"])];
+            core.machine_types = vec![machine_type("c4", 4.0, &["a"])];
         }
-        served.read_now();
+        served.renew_read_barrier();
         served
     }
 
-    fn read_now(&self) {
+    /// Makes the last read barrier recent, as if the state service had just been read.
+    fn renew_read_barrier(&self) {
         self.node.core().last_read_barrier = Some(Instant::now());
     }
 
+    /// Puts a record into the replica.
     fn put(&self, key: &str, data: Value, revision: u64) {
         let mut core = self.node.core();
         core.replica.apply_put(key, &data.to_string(), revision);
     }
 
-    /// On a busy machine the last reading may be old: that is another test's subject.
+    /// Waits until the state service and the ledger were read recently, which takes longer on a busy machine. Other tests
+    /// check the responses without contact.
     fn wait_for_contact(&self) {
         let end = Instant::now() + Duration::from_secs(40);
-        let recently = Duration::from_millis(1500);
+        let max_age = Duration::from_millis(1500);
         let cells = self.node.cells.as_ref();
-        while !self.node.is_connected_within(recently)
-            || cells.is_some_and(|cells| !cells.ledger_responded_within(recently))
+        while !self.node.is_connected_within(max_age)
+            || cells.is_some_and(|cells| !cells.ledger_responded_within(max_age))
         {
-            assert!(Instant::now() < end, "no reading of the log");
+            assert!(
+                Instant::now() < end,
+                "no contact with the state service or the ledger within 40 s"
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// One request and its answer. `what` says for what it is.
+    /// Sends one request, and adds it to the trace with its response under the label `what`.
     fn ask(&mut self, what: &str, method: &str, path: &str, body: &str) {
-        if self.follows {
+        if self.follows_state {
             self.wait_for_contact();
         }
         let answer = exchange(self.api, method, path, body);
         let sent = match body.len() {
             0 => String::new(),
             1..=1000 => format!("\n> {body}"),
-            many => format!("\n> {many} bytes"),
+            length => format!("\n> {length} bytes"),
         };
         writeln!(self.trace, "== {what}\n> {method} {path}{sent}\n{answer}").unwrap();
     }
@@ -172,12 +178,12 @@
         self.ask(what, "POST", &format!("/v1/jobs/{id}/abort"), "");
     }
 
-    fn hello(&mut self, what: &str, report: &Value) {
-        self.read_now();
-        self.ask(what, "POST", "/hello", &report.to_string());
+    fn heartbeat(&mut self, what: &str, heartbeat: &Value) {
+        self.renew_read_barrier();
+        self.ask(what, "POST", "/hello", &heartbeat.to_string());
     }
 
-    fn health(&mut self, what: &str) {
+    fn check_health(&mut self, what: &str) {
         self.ask(what, "GET", "/healthz", "");
     }
 }
@@ -190,11 +196,14 @@
     (state, addr)
 }
 
-/// Serves a node that follows its state service and knows two machine types.
-async fn following(node: Node) -> Served {
-    node.core().machine_types = vec![kind("c4", 4.0, &["a"]), kind("c8", 8.0, &["a", "b"])];
+/// Serves a controller that reads its records from its state service and knows two machine types.
+async fn serve_with_state(node: Node) -> Served {
+    node.core().machine_types = vec![
+        machine_type("c4", 4.0, &["a"]),
+        machine_type("c8", 8.0, &["a", "b"]),
+    ];
     let mut served = Served::start(node).await;
-    served.follows = true;
+    served.follows_state = true;
     tokio::spawn(crate::state::watch::run(served.node.clone()));
     tokio::spawn(crate::state::watch::serve_read_barriers(
         served.node.clone(),
@@ -204,19 +213,19 @@
     served
 }
 
-/// A state service, and a node that follows it.
-async fn with_state() -> (Served, SocketAddr) {
+/// A controller with a state service, and the address of the latter.
+async fn start_with_state() -> (Served, SocketAddr) {
     let (_state, addr) = state_service().await;
     let node = Node::new(
         FeatureLevel::COMPACT_PAGES,
         settings(1, addr),
         Policy::default(),
     );
-    (following(node).await, addr)
+    (serve_with_state(node).await, addr)
 }
 
-/// The record that all controllers can do what this one can.
-fn begun(served: &Served) -> Value {
+/// The schema versions record with which the features of this version are active.
+fn activated_schema_versions(served: &Served) -> Value {
     let layout = serde_json::to_value(served.node.settings.page_layout()).unwrap();
     json!({"seen": ["millstone-0"], "layout": layout})
 }
@@ -228,12 +237,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn users_are_answered_at_each_stage_of_a_job() {
-    let (mut served, state) = with_state().await;
+async fn responses_to_users_at_each_stage_of_a_job() {
+    let (mut served, state) = start_with_state().await;
     served.submit("a new job", &job("job-1"));
     served.submit("the same again", &job("job-1"));
-    let broken = json!({"nameId": "job-1", "sacks": "many"});
-    served.submit("the same with a body that is none", &broken);
+    let invalid = json!({"nameId": "job-1", "sacks": "many"});
+    served.submit("the same with a body that is none", &invalid);
     served.poll("nothing of it runs", "job-1");
     store(state, "r/p/job-1/0", json!([[1, "vm-1", 1], true])).await;
     served.poll("one task runs and one is done", "job-1");
@@ -253,30 +262,33 @@
     served.cancel("its cancellation", "job-99");
     served.poll("no id", "train-1");
     served.cancel("cancellation of no id", "train-1");
-    let needs = |id, needed| with(job(id), json!({"awaits": [needed]}));
+    let dependent = |id, dependency| with(job(id), json!({"awaits": [dependency]}));
     served.submit(
         "one that waits, before all controllers can",
-        &needs("job-4", "job-2"),
+        &dependent("job-4", "job-2"),
     );
-    store(state, "r/forms", begun(&served)).await;
+    store(state, "r/forms", activated_schema_versions(&served)).await;
     let node = served.node.clone();
-    until("all can", async || {
+    until("the current schema is active", async || {
         node.core().replica.is_current_schema_active()
     })
     .await;
     served.submit(
         "one that waits for a job that is done",
-        &needs("job-4", "job-2"),
+        &dependent("job-4", "job-2"),
+    );
+    served.submit(
+        "one that waits for a queued job",
+        &dependent("job-5", "job-4"),
     );
-    served.submit("one that waits for a queued job", &needs("job-5", "job-4"));
     served.poll("it waits", "job-5");
     served.submit(
         "one that waits for a cancelled job",
-        &needs("job-6", "job-3"),
+        &dependent("job-6", "job-3"),
     );
     served.poll("it is cancelled with it", "job-6");
-    served.submit("one that waits for none", &needs("job-7", "job-98"));
-    served.submit("one that waits for itself", &needs("job-7", "job-7"));
+    served.submit("one that waits for none", &dependent("job-7", "job-98"));
+    served.submit("one that waits for itself", &dependent("job-7", "job-7"));
     served.cancel("cancellation of what is waited for", "job-4");
     served.poll("what waited for it is cancelled", "job-5");
     served.node.core().machine_types.clear();
@@ -286,8 +298,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn submissions_that_can_never_run_are_refused_for_good() {
-    let (mut served, _) = with_state().await;
+async fn submissions_that_can_never_run_are_refused_permanently() {
+    let (mut served, _) = start_with_state().await;
     served.ask("not JSON", "POST", "/v1/jobs", "{\"nameId\":");
     served.ask("a list", "POST", "/v1/jobs", "[]");
     served.ask("nothing", "POST", "/v1/jobs", "");
@@ -343,8 +355,8 @@
 }
 
 #[tokio::test]
-async fn each_verdict_on_a_new_job_has_its_answer() {
-    let verdicts = [
+async fn response_to_each_admission_result() {
+    let admissions = [
         ("it can never run", Admission::Ineligible("unknown team")),
         ("more than a record takes", Admission::RecordTooLarge),
         ("not decided yet", Admission::CatalogueUnknown),
@@ -356,7 +368,7 @@
         ("to be taken", Admission::Admitted),
     ];
     let mut trace = String::new();
-    for (what, admission) in verdicts {
+    for (what, admission) in admissions {
         let answer = answer_text(admission.refusal()).await;
         writeln!(trace, "== {what}\n{answer}").unwrap();
     }
@@ -364,8 +376,8 @@
 }
 
 #[tokio::test]
-async fn what_is_over_the_limit_is_sent_away_with_a_time() {
-    let served = Served::by_hand().await;
+async fn requests_over_the_concurrency_limit_get_retry_after() {
+    let served = Served::without_state().await;
     let server = Server {
         node: served.node.clone(),
         limit: ConcurrencyLimit::new(),
@@ -378,15 +390,15 @@
     let submitted = answer_text(submit(&server, body.as_bytes()).await).await;
     let polled = answer_text(poll(&server, "job-1").await).await;
     let aborted = answer_text(cancel(&server, "job-1").await).await;
-    let broken = answer_text(submit(&server, br#"{"nameId":"job-1"}"#).await).await;
+    let invalid = answer_text(submit(&server, br#"{"nameId":"job-1"}"#).await).await;
     insta::assert_snapshot!(format!(
-        "submitted\n{submitted}polled\n{polled}cancelled\n{aborted}a body that is none\n{broken}"
+        "submitted\n{submitted}polled\n{polled}cancelled\n{aborted}a body that is none\n{invalid}"
     ));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn without_the_state_service_users_are_sent_away_with_a_time() {
-    let mut served = Served::by_hand().await;
+async fn without_the_state_service_users_get_retry_after() {
+    let mut served = Served::without_state().await;
     served.node.core().last_read_barrier = None;
     served.submit("submitted", &job("job-1"));
     served.submit("a body that is none", &json!({"nameId": "job-1"}));
@@ -397,16 +409,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_load_balancer_is_told_when_others_are_better() {
-    let mut served = Served::by_hand().await;
-    served.health("with the state service");
+async fn the_health_check_fails_when_other_controllers_are_better_placed() {
+    let mut served = Served::without_state().await;
+    served.check_health("with the state service");
     served.node.core().machine_types.clear();
-    served.health("without a catalogue, no other controller better off");
+    served.check_health("without a catalogue, no other controller better off");
     served.node.peer_status().state_service_reached_at = Some(Instant::now());
-    served.health("without a catalogue, another has the state service");
+    served.check_health("without a catalogue, another has the state service");
     served.node.peer_status().state_service_reached_at = None;
     served.node.core().last_read_barrier = None;
-    served.health("never any contact");
+    served.check_health("never any contact");
     insta::assert_snapshot!(served.trace);
 }
 
@@ -421,15 +433,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn without_the_ledger_users_of_cells_are_sent_away_with_a_time() {
-    let settings = settings(1, NOWHERE.parse().unwrap());
+async fn without_the_ledger_users_get_retry_after() {
+    let settings = settings(1, UNUSED_ADDR.parse().unwrap());
     let cells = cells_config("127.0.0.1:6".parse().unwrap());
     let node =
         Node::new(FeatureLevel::COMPACT_PAGES, settings, Policy::default()).in_cell(cells, "hanoi");
-    node.core().machine_types = vec![kind("c4", 4.0, &["a"])];
+    node.core().machine_types = vec![machine_type("c4", 4.0, &["a"])];
     let mut served = Served::start(node).await;
     tokio::spawn(BackgroundTasks::of_cells(&served.node).supervise());
-    served.read_now();
+    served.renew_read_barrier();
     served.submit("submitted", &job("job-1"));
     served.submit("a body that is none", &json!({"nameId": "job-1"}));
     served.poll("polled", "job-1");
@@ -437,14 +449,14 @@
     insta::assert_snapshot!(served.trace);
 }
 
-/// A job in the ledger of the cells.
+/// A job's record in the ledger.
 fn ledger_job(id: &str, owner: &str, cancelled: bool) -> Value {
     json!({"owner": owner, "epoch": 1, "home": owner, "cancelled": cancelled, "accepted_ms": 1000,
         "description": job(id)})
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn users_of_cells_are_answered_by_the_ledger() {
+async fn responses_to_users_of_cells_follow_the_ledger() {
     let (_state, state_addr) = state_service().await;
     let (_ledger, ledger_addr) = state_service().await;
     for (key, data) in [
@@ -463,7 +475,7 @@
         Policy::default(),
     )
     .in_cell(cells, "hanoi");
-    let mut served = following(node).await;
+    let mut served = serve_with_state(node).await;
     tokio::spawn(BackgroundTasks::of_cells(&served.node).supervise());
     let coordinator = served.node.cells.clone().unwrap();
     let is_read = async || coordinator.ledger_responded_within(Duration::from_millis(1500));
@@ -483,14 +495,14 @@
     served.poll("a job that ended cancelled", "job-5");
     served.poll("a job that nobody submitted", "job-99");
     served.cancel("its cancellation", "job-99");
-    let needs = with(job("job-6"), json!({"awaits": ["job-98"]}));
-    store(state_addr, "r/forms", begun(&served)).await;
+    let dependent = with(job("job-6"), json!({"awaits": ["job-98"]}));
+    store(state_addr, "r/forms", activated_schema_versions(&served)).await;
     let node = served.node.clone();
-    until("all can", async || {
+    until("the current schema is active", async || {
         node.core().replica.is_current_schema_active()
     })
     .await;
-    served.submit("one that waits for none that the cells know", &needs);
+    served.submit("one that waits for none that the cells know", &dependent);
     served.submit("a new job", &job("job-7"));
     served.submit("the same again", &job("job-7"));
     served.submit(
@@ -500,23 +512,23 @@
     insta::assert_snapshot!(served.trace);
 }
 
-fn report(tally: u64, warrant: u64, sacks: Value) -> Value {
+fn heartbeat(sequence: u64, fencing_token: u64, tasks: Value) -> Value {
     json!({"millstone": "vm-1", "endpoint": "10.1.0.232:9000", "stone": "c4", "yard": "a",
-        "borrowed": false, "shift": 1, "tally": tally, "warrant": warrant, "recallS": null,
-        "sacks": sacks})
+        "borrowed": false, "shift": 1, "tally": sequence, "warrant": fencing_token, "recallS": null,
+        "sacks": tasks})
 }
 
 const TOKEN: u64 = 41;
 
-fn other(incarnation: u64) -> Member {
+fn peer(incarnation: u64) -> Member {
     Member {
         name: "millstone-1".to_owned(),
         incarnation,
     }
 }
 
-/// vm-1 is this owner's.
-fn own(node: &Node, owner: Member, revision: u64) {
+/// Records vm-1 as rented and owned by a controller.
+fn record_owner(node: &Node, owner: Member, revision: u64) {
     let rental = Rental {
         pool: MachinePool {
             machine_type: "c4".to_owned(),
@@ -542,14 +554,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_owner_answers_a_report_with_its_token_and_each_kind_of_order() {
-    let mut served = Served::by_hand().await;
-    let me = served.node.identity.clone();
-    own(&served.node, me, 12);
+async fn the_owner_answers_a_heartbeat_with_its_fencing_token_and_commands() {
+    let mut served = Served::without_state().await;
+    let identity = served.node.identity.clone();
+    record_owner(&served.node, identity, 12);
     let spec = without(job("job-1"), "nameId");
     let spec = with(spec, json!({"nameId": "job-1", "sacks": 5}));
     served.put("r/j/job-1", json!({"spec": spec, "accepted_ms": 0}), 5);
-    served.hello("nothing to do", &report(1, 0, json!([])));
+    served.heartbeat("nothing to do", &heartbeat(1, 0, json!([])));
     let page = json!([
         [2, "vm-1", 1],
         [1, "vm-1", 1],
@@ -565,45 +577,45 @@
     let mut core = served.node.core();
     core.workers.pending_stops.insert(stopped, 10.0);
     drop(core);
-    let sacks = json!([{"sack": "job-1/1", "turn": 1, "stage": "running"},
+    let tasks = json!([{"sack": "job-1/1", "turn": 1, "stage": "running"},
         {"sack": "job-1/2", "turn": 2, "stage": "pulling"},
         {"sack": "job-1/3", "turn": 1, "stage": "ended", "cause": "done"},
         {"sack": "job-1/4", "turn": 1, "stage": "gathering"}]);
-    served.hello(
+    served.heartbeat(
         "a start, a stop with time to save, one at once, an exit to forget",
-        &report(2, TOKEN, sacks),
+        &heartbeat(2, TOKEN, tasks),
     );
-    served.hello("a late copy", &report(1, TOKEN, json!([])));
-    served.hello(
+    served.heartbeat("a late copy", &heartbeat(1, TOKEN, json!([])));
+    served.heartbeat(
         "a higher token than its record's",
-        &report(3, TOKEN + 1, json!([])),
+        &heartbeat(3, TOKEN + 1, json!([])),
     );
     insta::assert_snapshot!(served.trace);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_worker_is_sent_to_its_owner_or_elsewhere() {
-    let mut served = Served::by_hand().await;
-    let idle = report(1, 0, json!([]));
-    served.hello("no record of it, and no leader", &idle);
+async fn a_heartbeat_to_another_than_the_owner_is_redirected() {
+    let mut served = Served::without_state().await;
+    let idle = heartbeat(1, 0, json!([]));
+    served.heartbeat("no record of it, and no leader", &idle);
     let leader = json!({"member": "millstone-2", "incarnation": 7, "lease": 3});
     served.put("r/leader", leader, 5);
-    served.hello("no record of it, another leads", &idle);
-    let me = served.node.identity.clone();
-    let leader = json!({"member": me.name, "incarnation": me.incarnation, "lease": 3});
+    served.heartbeat("no record of it, another leads", &idle);
+    let identity = served.node.identity.clone();
+    let leader = json!({"member": identity.name, "incarnation": identity.incarnation, "lease": 3});
     served.put("r/leader", leader, 6);
-    served.hello("no record of it, this node leads", &idle);
-    own(&served.node, other(1), 12);
-    served.hello("another's that is gone", &idle);
+    served.heartbeat("no record of it, this node leads", &idle);
+    record_owner(&served.node, peer(1), 12);
+    served.heartbeat("another's that is gone", &idle);
     served.put("r/n/millstone-1", json!({"incarnation": 1, "lease": 4}), 13);
-    served.hello("another's that is there", &idle);
-    let earlier = Member {
-        incarnation: me.incarnation + 1,
-        ..me.clone()
+    served.heartbeat("another's that is there", &idle);
+    let previous = Member {
+        incarnation: identity.incarnation + 1,
+        ..identity.clone()
     };
-    own(&served.node, earlier, 14);
-    served.hello("this node's before its restart", &idle);
-    own(&served.node, me, 15);
+    record_owner(&served.node, previous, 14);
+    served.heartbeat("this node's before its restart", &idle);
+    record_owner(&served.node, identity, 15);
     served.node.core().last_read_barrier = None;
     let text = idle.to_string();
     served.ask(
@@ -616,27 +628,27 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn reports_that_cannot_be_read_are_refused_by_the_field() {
-    let mut served = Served::by_hand().await;
+async fn malformed_heartbeats_are_refused_with_the_field() {
+    let mut served = Served::without_state().await;
     served.ask("not JSON", "POST", "/hello", "{");
     served.ask("a list", "POST", "/hello", "[]");
-    let whole = report(1, 0, json!([]));
+    let full = heartbeat(1, 0, json!([]));
     for field in ["millstone", "endpoint", "stone", "yard", "shift", "tally"] {
         let what = format!("without `{field}`");
-        served.hello(&what, &without(whole.clone(), field));
+        served.heartbeat(&what, &without(full.clone(), field));
     }
-    let whole = json!({"sack": "job-1/1", "turn": 1, "stage": "running"});
+    let task = json!({"sack": "job-1/1", "turn": 1, "stage": "running"});
     for field in ["sack", "turn", "stage"] {
         let what = format!("a task without `{field}`");
-        let sacks = json!([without(whole.clone(), field)]);
-        served.hello(&what, &report(1, 0, sacks));
+        let tasks = json!([without(task.clone(), field)]);
+        served.heartbeat(&what, &heartbeat(1, 0, tasks));
     }
-    let sacks = json!([with(whole, json!({"stage": "asleep"}))]);
-    served.hello("a task in a state of no protocol", &report(1, 0, sacks));
+    let tasks = json!([with(task, json!({"stage": "asleep"}))]);
+    served.heartbeat("a task in a state of no protocol", &heartbeat(1, 0, tasks));
     insta::assert_snapshot!(served.trace);
 }
 
-/// In the words of the protocol's page.
+/// A task's state as the snapshots show it.
 fn state_text(state: TaskState) -> &'static str {
     match state {
         TaskState::PullingImage => "waits for its image",
@@ -692,7 +704,7 @@
 }
 
 #[test]
-fn a_report_is_read_with_all_its_fields_and_with_the_least() {
+fn a_heartbeat_is_parsed_with_all_fields_and_with_only_required_ones() {
     let stages = ["pulling", "gathering", "running", "flushing"];
     let stages = stages.map(|stage| json!({"sack": "job-000412/3", "turn": 2, "stage": stage}));
     let causes = [
@@ -711,16 +723,16 @@
     });
     let no_cause = json!({"sack": "job-000399/7", "turn": 18_446_744_073_709_551_615_u64,
         "stage": "ended", "cause": null});
-    let mut sacks = stages.to_vec();
-    sacks.extend(causes);
-    sacks.push(no_cause);
-    let whole = json!({"millstone": "vm-000231", "endpoint": "10.1.0.232:9000", "stone": "g8",
+    let mut tasks = stages.to_vec();
+    tasks.extend(causes);
+    tasks.push(no_cause);
+    let full = json!({"millstone": "vm-000231", "endpoint": "10.1.0.232:9000", "stone": "g8",
         "yard": "a", "borrowed": true, "shift": 3, "tally": 88, "warrant": 41, "recallS": 27.5,
-        "sacks": sacks, "later": {"unknown": true}});
-    let least = json!({"millstone": "vm-000232", "endpoint": "10.1.0.233:9000", "stone": "c4",
+        "sacks": tasks, "later": {"unknown": true}});
+    let minimal = json!({"millstone": "vm-000232", "endpoint": "10.1.0.233:9000", "stone": "c4",
         "yard": "b", "shift": 1, "tally": 1});
     let mut trace = String::new();
-    for (what, body) in [("all fields", whole), ("the least", least)] {
+    for (what, body) in [("all fields", full), ("the least", minimal)] {
         let heartbeat: Heartbeat = serde_json::from_str(&body.to_string()).unwrap();
         writeln!(trace, "== {what}\n> {body}\n{}", heartbeat_text(&heartbeat)).unwrap();
     }
@@ -728,8 +740,8 @@
 }
 
 #[test]
-fn a_submission_is_read_with_all_its_fields_and_with_the_least() {
-    let whole = json!({"nameId": "job-000412", "grist": "train", "crew": "vision",
+fn a_submission_is_parsed_with_all_fields_and_with_only_required_ones() {
+    let full = json!({"nameId": "job-000412", "grist": "train", "crew": "vision",
         "shape": "group", "urgency": "urgent", "sacks": 16, "cpus": 8.0, "cards": 1.0,
         "memGb": 64.0, "mould": "img-07", "pullGb": 6.2, "stones": ["g8", "g4"], "yard": "a",
         "together": true, "spread": false, "borrowed": true, "grindS": 240.0, "bankS": 30.0,
@@ -737,7 +749,7 @@
         "later": {"unknown": true}});
     let nulls = json!({"stones": null, "yard": null, "dueS": null, "awaits": null});
     let mut cases = vec![
-        ("all fields".to_owned(), whole.clone()),
+        ("all fields".to_owned(), full.clone()),
         ("the least".to_owned(), job("job-1")),
         ("nulls".to_owned(), with(job("job-1"), nulls)),
         (
@@ -756,21 +768,21 @@
     let mut trace = String::new();
     for (what, body) in cases {
         let text = body.to_string();
-        let read = Submission::parse(text.as_bytes()).unwrap();
-        let spec = serde_json::to_string(&read.spec).unwrap();
-        let awaits = read.depends_on.join(", ");
+        let submission = Submission::parse(text.as_bytes()).unwrap();
+        let spec = serde_json::to_string(&submission.spec).unwrap();
+        let dependencies = submission.depends_on.join(", ");
         writeln!(
             trace,
-            "== {what}\n> {text}\nread {spec}\nwaits for: {awaits}\n"
+            "== {what}\n> {text}\nread {spec}\nwaits for: {dependencies}\n"
         )
         .unwrap();
     }
     insta::assert_snapshot!(trace);
 }
 
-/// The token and all orders, as a worker reads them, at the ends of their ranges.
+/// The response to a heartbeat with each command, also with the highest token and attempt.
 #[test]
-fn orders_are_written_in_the_workers_words() {
+fn commands_keep_their_json() {
     let response = HeartbeatResponse {
         fencing_token: u64::MAX,
         commands: vec![
--- a/src/testing/compatibility/job_records.rs
+++ b/src/testing/compatibility/job_records.rs
@@ -1,4 +1,4 @@
-//! Jobs: their record in each form, what is kept once they ended, and both encodings of progress pages.
+//! The records of jobs in each form, the records of ended jobs, and both encodings of progress pages.
 
 use super::trace::{Trace, written};
 use crate::jobs::{
@@ -57,7 +57,7 @@
     }
 }
 
-/// A record of a job as it is accepted.
+/// The record of a job that was just accepted.
 fn accepted(spec: JobSpec) -> JobRecord {
     JobRecord {
         spec,
@@ -101,11 +101,11 @@
         ..plain.clone()
     };
     trace.add("released", key(), &StoredJob::Open(released));
-    let stamped = JobRecord {
+    let from_ledger = JobRecord {
         ledger: Some(VERSION),
         ..plain.clone()
     };
-    trace.add("stamp of the ledger", key(), &StoredJob::Open(stamped));
+    trace.add("stamp of the ledger", key(), &StoredJob::Open(from_ledger));
     let foreign = JobRecord {
         ledger: Some(VERSION),
         foreign: true,
@@ -115,7 +115,7 @@
     insta::assert_snapshot!("open_job_record", trace.0);
 }
 
-/// The time of adoption is a field of its own, which an earlier version leaves out and passes over.
+/// `adopted_ms` is a field of its own, omitted unless set. Earlier versions do not write it and ignore it.
 #[test]
 fn adopted_job_record_keeps_its_json() {
     let adopted = JobRecord {
@@ -130,10 +130,10 @@
     assert!(plain.get("adopted_ms").is_none());
 }
 
-/// Waiting counts from the adoption. Without one, or with one that is too far ahead to be true, it counts from
-/// the acceptance.
+/// The waiting time counts from the adoption by the cell. Without an adoption, or with one that is implausibly far in
+/// the future, it counts from the acceptance.
 #[test]
-fn waiting_counts_from_when_the_cell_could_run_the_job() {
+fn waiting_time_counts_from_the_adoption_by_the_cell() {
     let accepted = accepted(plain_spec());
     let now_ms = accepted.accepted_ms + 100_000;
     let waited_ms = |adopted_ms| {
@@ -145,13 +145,19 @@
     };
     assert_eq!(waited_ms(None), 100_000);
     assert_eq!(waited_ms(Some(now_ms - 5)), 5);
-    assert_eq!(waited_ms(Some(now_ms + 25)), 0, "another clock is ahead");
+    assert_eq!(
+        waited_ms(Some(now_ms + 25)),
+        0,
+        "another controller's clock is ahead"
+    );
     assert_eq!(waited_ms(Some(u64::MAX)), 100_000);
     assert_eq!(waited_ms(Some(0)), 100_000);
 }
 
+/// The allowed machine types and the zone may be long. They are cleared, because the maximum size of values may have
+/// been lowered since the job was accepted.
 #[test]
-fn cancelled_and_withdrawn_job_records_leave_out_what_may_be_long() {
+fn cancelled_and_withdrawn_job_records_omit_machine_types_and_zone() {
     let full = accepted(full_spec());
     let mut trace = Trace::default();
     let cancelled = full.clone().into_cancelled();
@@ -188,9 +194,9 @@
 #[test]
 fn blocked_job_record_keeps_its_json() {
     let mut trace = Trace::default();
-    let blocked = |spec, awaits: &[&str]| StoredJob::Blocked {
+    let blocked = |spec, dependencies: &[&str]| StoredJob::Blocked {
         record: accepted(spec),
-        depends_on: awaits.iter().map(|id| (*id).to_owned()).collect(),
+        depends_on: dependencies.iter().map(|id| (*id).to_owned()).collect(),
     };
     let one = blocked(plain_spec(), &["job-000411"]);
     trace.add("no optional field", key(), &one);
@@ -202,17 +208,17 @@
 #[test]
 fn finished_job_record_keeps_its_json() {
     let mut trace = Trace::default();
-    for (form, outcome) in [
+    for (label, outcome) in [
         ("done", TerminalState::Done),
         ("cancelled", TerminalState::Cancelled),
     ] {
-        trace.add(form, key(), &StoredJob::Finished { outcome });
+        trace.add(label, key(), &StoredJob::Finished { outcome });
     }
     insta::assert_snapshot!("finished_job_record", trace.0);
 }
 
 #[test]
-fn what_is_kept_of_an_ended_job_keeps_its_json() {
+fn records_of_ended_jobs_keep_their_json() {
     let mut trace = Trace::default();
     let id = "job-000412";
     trace.add(
@@ -241,7 +247,7 @@
     }
 }
 
-/// Pages with each kind of entry, and those of which an encoding leaves something out.
+/// Pages with each kind of entry, and pages for which an encoding omits something.
 fn pages() -> Vec<(&'static str, ProgressPage)> {
     vec![
         (
@@ -271,11 +277,11 @@
 }
 
 #[test]
-fn wide_progress_pages_keep_their_json() {
+fn plain_progress_pages_keep_their_json() {
     let mut trace = Trace::default();
-    for (form, page) in pages() {
+    for (label, page) in pages() {
         trace.add(
-            form,
+            label,
             RecordKey::page("job-000412", PageId::Plain(3)).to_string(),
             &page,
         );
@@ -284,13 +290,13 @@
 }
 
 #[test]
-fn dense_progress_pages_keep_their_json() {
+fn compact_progress_pages_keep_their_json() {
     let mut trace = Trace::default();
-    for (form, page) in pages() {
+    for (label, page) in pages() {
         let key = RecordKey::page("job-000412", PageId::Compact(3)).to_string();
         let (key, json) = written(key, &page.to_compact());
-        assert_eq!(ProgressPage::from_compact(&json).unwrap(), page, "{form}");
-        trace.add_text(form, &key, &json);
+        assert_eq!(ProgressPage::from_compact(&json).unwrap(), page, "{label}");
+        trace.add_text(label, &key, &json);
     }
     insta::assert_snapshot!("dense_progress_page", trace.0);
 }
--- a/src/testing/compatibility/keys.rs
+++ b/src/testing/compatibility/keys.rs
@@ -1,4 +1,4 @@
-//! Every key of this scheduler's own state service.
+//! The keys of all kinds of records in the scheduler's own state service.
 
 use crate::jobs::PageId;
 use crate::state::{LIVE_PREFIX, RecordKey};
--- a/src/testing/compatibility/mod.rs
+++ b/src/testing/compatibility/mod.rs
@@ -1,8 +1,8 @@
-//! Kept traces of every interface. What they show was fixed before names in the code changed: a
-//! snapshot here changes only with the protocol, never with the code's own names.
+//! Snapshots of every interface, for the compatibility with other versions, clients and workers. A snapshot changes only
+//! when the protocol changes, not when a name in the code does.
 //!
-//! Of stored records and of frames between controllers a snapshot holds only what is written (keys, JSON,
-//! bytes in hexadecimal), never the `Debug` form of a type.
+//! For stored records and for frames between controllers, a snapshot holds only what is written (keys, JSON, bytes in
+//! hexadecimal), never the `Debug` form of a type.
 
 mod cloud;
 mod cluster_records;
--- a/src/testing/compatibility/observability.rs
+++ b/src/testing/compatibility/observability.rs
@@ -1,4 +1,4 @@
-//! What a controller logs of itself at the end of each period: scripts read the fields.
+//! The log lines that a controller writes about itself at the end of each period. Scripts read their fields.
 
 use crate::membership::schema_versions::FeatureLevel;
 use crate::metrics::log_period;
@@ -23,8 +23,8 @@
     }
 }
 
-/// What is logged meanwhile, in the form in which a controller writes it.
-fn logged(level: Level, during: impl FnOnce()) -> String {
+/// The log lines that a function writes, in a controller's log format.
+fn capture_log(level: Level, run: impl FnOnce()) -> String {
     let output = Output::default();
     let writer = output.clone();
     let subscriber = tracing_subscriber::fmt()
@@ -34,12 +34,12 @@
         .without_time()
         .with_target(false)
         .finish();
-    tracing::subscriber::with_default(subscriber, during);
+    tracing::subscriber::with_default(subscriber, run);
     let bytes = output.0.lock().unwrap().clone();
     String::from_utf8(bytes).unwrap()
 }
 
-/// The values of fields that differ from run to run are left out.
+/// Replaces the values of fields that differ between runs.
 fn without_measured(log: &str) -> String {
     let measured = |line: &str, field: &str| {
         let is_time = line.contains("processor time") && field != "us";
@@ -95,21 +95,22 @@
 }
 
 #[test]
-fn a_period_is_logged_field_by_field_and_the_next_begins_at_nothing() {
+fn a_period_is_logged_field_by_field_and_its_counters_are_reset() {
     let node = node();
-    let log = logged(Level::DEBUG, || {
+    let log = capture_log(Level::DEBUG, || {
         log_period(&node, Instant::now());
         log_period(&node, Instant::now());
     });
     insta::assert_snapshot!(without_measured(&log));
 }
 
-/// `LOG_LEVEL` tells how much: what is for finding faults is not in the usual log.
+/// At level info a period is logged without the longest unfinished jobs, which are logged at level
+/// debug. At level error nothing is logged.
 #[test]
-fn a_period_is_logged_at_the_usual_level_without_single_jobs() {
+fn a_period_is_logged_at_level_info_without_single_jobs() {
     let node = node();
-    let log = logged(Level::INFO, || log_period(&node, Instant::now()));
+    let log = capture_log(Level::INFO, || log_period(&node, Instant::now()));
     insta::assert_snapshot!(without_measured(&log));
-    let log = logged(Level::ERROR, || log_period(&node, Instant::now()));
+    let log = capture_log(Level::ERROR, || log_period(&node, Instant::now()));
     assert_eq!(log, "");
 }
--- a/src/testing/compatibility/recorded_run.rs
+++ b/src/testing/compatibility/recorded_run.rs
@@ -1,5 +1,5 @@
-//! All records of one run, as the state service held them: three cells on loopback, one of them stored
-//! here, with jobs that ran, waited, ended, were cancelled and changed cells.
+//! All records that the state service of one cell held during a run of three cells on loopback, in which jobs ran,
+//! waited, ended, were cancelled and moved between cells.
 
 use super::trace::written;
 use crate::jobs::{PageId, PageLayout, Relinquished, StoredJob};
@@ -10,13 +10,14 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One pair a line, as the state service lists them.
+/// One pair of key and value per line, as the state service lists them.
 const RECORDS: &str = include_str!("records.json");
 
 /// Keys with their JSON and revision.
 type Records = BTreeMap<String, (Value, u64)>;
 
-fn stored() -> Records {
+/// All recorded records.
+fn recorded() -> Records {
     let lines = RECORDS.lines().map(|line| {
         let mut pair: Value = serde_json::from_str(line).unwrap();
         let key = pair["k"].as_str().unwrap().to_owned();
@@ -26,15 +27,17 @@
     lines.collect()
 }
 
-fn live(records: Records) -> Records {
-    let of_replica = |key: &String| key.starts_with(LIVE_PREFIX);
+/// Only the records that a replica holds.
+fn held_by_replica(records: Records) -> Records {
+    let is_held = |key: &String| key.starts_with(LIVE_PREFIX);
     records
         .into_iter()
-        .filter(|(key, _)| of_replica(key))
+        .filter(|(key, _)| is_held(key))
         .collect()
 }
 
-fn loaded() -> Replica {
+/// A replica that has read the recorded records.
+fn loaded_replica() -> Replica {
     let pairs = RECORDS
         .lines()
         .map(|line| serde_json::from_str::<KeyValue>(line).unwrap());
@@ -47,7 +50,7 @@
     replica
 }
 
-/// Records as a replica would write them again.
+/// The records of a replica, serialized again.
 #[derive(Default)]
 struct Rewritten(Records);
 
@@ -55,15 +58,15 @@
     fn add(&mut self, key: String, record: &impl Serialize, revision: u64) {
         let (key, json) = written(key, record);
         let value = serde_json::from_str(&json).unwrap();
-        let before = self.0.insert(key.clone(), (value, revision));
-        assert!(before.is_none(), "{key} is held once");
+        let duplicate = self.0.insert(key.clone(), (value, revision));
+        assert!(duplicate.is_none(), "the replica holds {key} once");
     }
 
     fn add_job(&mut self, id: &str, job: &Job) {
         let record = StoredJob::Open(job.record.clone());
         self.add(RecordKey::Job(id).to_string(), &record, job.revision);
-        for (page, kept) in &job.pages {
-            self.add_page(id, *page, &kept.record, kept.revision);
+        for (page, stored) in &job.pages {
+            self.add_page(id, *page, &stored.record, stored.revision);
         }
     }
 
@@ -85,8 +88,8 @@
         for (id, job) in &replica.jobs {
             self.add_job(id, job);
         }
-        for ((id, page), kept) in &replica.orphaned_pages {
-            self.add_page(id, *page, &kept.record, kept.revision);
+        for ((id, page), stored) in &replica.orphaned_pages {
+            self.add_page(id, *page, &stored.record, stored.revision);
         }
         for (id, blocked) in replica.pipelines.iter() {
             let record = StoredJob::Blocked {
@@ -106,40 +109,40 @@
     }
 
     fn add_cluster(&mut self, replica: &Replica) {
-        for (name, kept) in &replica.fleet.rentals {
+        for (name, stored) in &replica.fleet.rentals {
             self.add(
                 RecordKey::Rental(name).to_string(),
-                &kept.record,
-                kept.revision,
+                &stored.record,
+                stored.revision,
             );
         }
-        for (name, kept) in &replica.presence {
+        for (name, stored) in &replica.presence {
             self.add(
                 RecordKey::Presence(name).to_string(),
-                &kept.record,
-                kept.revision,
+                &stored.record,
+                stored.revision,
             );
         }
-        for (name, kept) in &replica.forecast_summaries {
+        for (name, stored) in &replica.forecast_summaries {
             self.add(
                 RecordKey::ForecastSummary(name).to_string(),
-                &kept.record,
-                kept.revision,
+                &stored.record,
+                stored.revision,
             );
         }
-        for (team, kept) in &replica.quota_allocations {
-            let record = kept.record.as_ref().unwrap();
+        for (team, stored) in &replica.quota_allocations {
+            let record = stored.record.as_ref().unwrap();
             self.add(
                 RecordKey::quota_allocations(team).to_string(),
                 record,
-                kept.revision,
+                stored.revision,
             );
         }
-        let forms = replica.schema_versions.as_ref().unwrap();
+        let schema_versions = replica.schema_versions.as_ref().unwrap();
         self.add(
             RecordKey::SchemaVersions.to_string(),
-            &forms.record,
-            forms.revision,
+            &schema_versions.record,
+            schema_versions.revision,
         );
         let leader = replica.leader.as_ref().unwrap();
         self.add(
@@ -156,7 +159,7 @@
     }
 }
 
-fn rewritten(replica: &Replica) -> Records {
+fn serialize_again(replica: &Replica) -> Records {
     let mut records = Rewritten::default();
     records.add_jobs(replica);
     records.add_cluster(replica);
@@ -164,18 +167,18 @@
 }
 
 #[test]
-fn records_of_a_run_come_out_of_the_replica_as_they_were_written() {
-    let replica = loaded();
-    assert_eq!(rewritten(&replica), live(stored()));
+fn recorded_records_are_serialized_unchanged_by_the_replica() {
+    let replica = loaded_replica();
+    assert_eq!(serialize_again(&replica), held_by_replica(recorded()));
 }
 
-/// What lies outside the replica: final states, and that jobs were given up to other cells.
+/// Records that the replica does not hold: final states, and jobs that were relinquished to other cells.
 #[test]
-fn records_of_ended_jobs_of_a_run_read_back_as_they_were_written() {
-    let mut replica = loaded();
-    let (mut ended, mut given_up) = (0, 0);
-    for (key, (value, _)) in stored() {
-        let again = match key.split_once('/').unwrap() {
+fn recorded_records_of_ended_jobs_are_serialized_unchanged() {
+    let mut replica = loaded_replica();
+    let (mut ended, mut relinquished) = (0, 0);
+    for (key, (value, _)) in recorded() {
+        let rewritten = match key.split_once('/').unwrap() {
             ("e", id) => {
                 ended += 1;
                 replica.record_final_state(id, serde_json::from_value(value.clone()).unwrap());
@@ -185,20 +188,23 @@
                 )
             }
             ("x", id) => {
-                given_up += 1;
+                relinquished += 1;
                 let record: Relinquished = serde_json::from_value(value.clone()).unwrap();
                 written(RecordKey::Relinquished(id).to_string(), &record)
             }
             _ => continue,
         };
-        assert_eq!((again.0, json!(again.1)), (key, json!(value.to_string())));
+        assert_eq!(
+            (rewritten.0, json!(rewritten.1)),
+            (key, json!(value.to_string()))
+        );
     }
-    assert!(ended > 0 && given_up > 0);
+    assert!(ended > 0 && relinquished > 0);
 }
 
-/// The fixture has a record of each kind, so that the traces above leave none out.
+/// The recorded records include every kind, so that the tests above check all kinds.
 #[test]
-fn records_of_a_run_are_of_every_kind() {
+fn recorded_records_are_of_every_kind() {
     let kind = |key: &String| {
         let parts: Vec<&str> = key.split('/').collect();
         match parts[..] {
@@ -206,7 +212,7 @@
             _ => parts[0].to_owned(),
         }
     };
-    let kinds: BTreeSet<String> = stored().keys().map(kind).collect();
+    let kinds: BTreeSet<String> = recorded().keys().map(kind).collect();
     let kinds: Vec<String> = kinds.into_iter().collect();
     insta::assert_snapshot!("kinds_of_records", kinds.join("\n"));
 }
--- a/src/testing/compatibility/trace.rs
+++ b/src/testing/compatibility/trace.rs
@@ -1,11 +1,11 @@
-//! Records and frames as text.
+//! Text forms of records and frames for snapshots.
 
 use crate::state::Operation;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
 
-/// The key and the JSON that one put sends to the state service.
+/// The key and the JSON that a put of this record sends to the state service.
 pub fn written(key: String, record: &impl Serialize) -> (String, String) {
     match Operation::put(key, record) {
         Operation::Put { key, value, .. } => (key, value.get().to_owned()),
@@ -13,24 +13,25 @@
     }
 }
 
-/// Records of one type in the order they are added, each proven to read back as it was written.
+/// Records of one type as text, in the order in which they are added. Each must deserialize to the same record.
 #[derive(Default)]
 pub struct Trace(pub String);
 
 impl Trace {
-    /// Adds a record under its key, after a line that names its form.
-    pub fn add<T>(&mut self, form: &str, key: String, record: &T)
+    /// Adds a record with its key, after a line with a label that describes the record.
+    pub fn add<T>(&mut self, label: &str, key: String, record: &T)
     where
         T: Serialize + DeserializeOwned + PartialEq + Debug,
     {
         let (key, json) = written(key, record);
         let read: T = serde_json::from_str(&json).unwrap();
-        assert_eq!(read, *record, "{form} reads back as written");
-        self.add_text(form, &key, &json);
+        assert_eq!(read, *record, "{label} deserializes to the same record");
+        self.add_text(label, &key, &json);
     }
 
-    pub fn add_text(&mut self, form: &str, key: &str, json: &str) {
-        self.0.push_str(&format!("# {form}\n{key} {json}\n"));
+    /// Adds a record that is already serialized.
+    pub fn add_text(&mut self, label: &str, key: &str, json: &str) {
+        self.0.push_str(&format!("# {label}\n{key} {json}\n"));
     }
 }
 
