--- a/crates/rowanmill-testing/src/cloud/mod.rs
+++ b/crates/rowanmill-testing/src/cloud/mod.rs
@@ -17,13 +17,13 @@
 /// The machines of each rental request, by the request's id.
 type Rentals = HashMap<String, Vec<String>>;
 
-/// A cloud, and the workers on its machines. Clones are the same cloud.
+/// A cloud, and the workers on its machines. Clones share all state.
 #[derive(Clone)]
 pub struct Cloud {
-    /// What its machines see.
+    /// What its machines and users observed, and the faults of its machines.
     pub world: Arc<Mutex<World>>,
     rentals: Arc<Mutex<Rentals>>,
-    /// The most machines that are rented out at a time.
+    /// The maximum number of machines that are rented out at a time.
     capacity: Arc<AtomicUsize>,
     controllers: Vec<SocketAddr>,
     task_duration: Duration,
@@ -43,23 +43,23 @@
         }
     }
 
-    /// The same cloud, whose machines are seen along with those of others.
+    /// The same cloud, but with the machines in a world that it may share with other clouds.
     pub fn in_world(mut self, world: &Arc<Mutex<World>>) -> Self {
         self.world = world.clone();
         self
     }
 
-    /// Sets the most machines that are rented out at a time from now on.
+    /// Sets the maximum number of machines that are rented out at a time.
     pub fn set_capacity(&self, machines: usize) {
         self.capacity.store(machines, Ordering::Relaxed);
     }
 
-    /// How many machines were rented out so far.
+    /// The number of machines that were ever rented out.
     pub fn rented_count(&self) -> usize {
         self.rentals.lock().unwrap().values().map(Vec::len).sum()
     }
 
-    /// Ends all machines at once, with what runs on them.
+    /// Stops all machines at once, with the tasks that run on them.
     pub fn power_off(&self) {
         let mut world = self.world.lock().unwrap();
         let rentals = self.rentals.lock().unwrap();
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Answers the cloud's requests.
+    /// The handler of requests to the cloud.
     pub fn handler(&self) -> Handler {
         let cloud = self.clone();
         Arc::new(move |request| {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Rents out machines, as many as there is capacity for. A repeated request gets the same ones.
+    /// Rents out as many of the requested machines as the capacity permits. A repeated request gets the same machines.
     fn rent(&self, body: &Value) -> (u16, Value) {
         let id = body["hire"].as_str().unwrap().to_owned();
         let mut world = self.world.lock().unwrap();
@@ -127,7 +127,7 @@
     }
 }
 
-/// The only machine type.
+/// The catalogue, with a single machine type.
 fn catalog() -> Value {
     json!({"stones": [{"sku": "m4", "cpus": 4.0, "cards": 0.0, "memGb": 16.0, "cacheGb": 50.0,
         "fetchGbPerS": 100.0, "hourly": 1.0, "marketPrice": 0.5, "bootS": 1.0, "yards": ["a"]}]})
--- a/crates/rowanmill-testing/src/cloud/worker.rs
+++ b/crates/rowanmill-testing/src/cloud/worker.rs
@@ -1,5 +1,5 @@
-//! The worker on a machine: it sends heartbeats, obeys the commands in their answers, heeds fencing tokens
-//! and its lease, and runs each task for a set time.
+//! The worker on a machine: it sends heartbeats, executes the commands in the answers, checks their fencing tokens, ends
+//! its tasks when its lease expires, and runs each task for a fixed duration.
 
 use super::Cloud;
 use crate::ask;
@@ -11,7 +11,7 @@
 /// The pause between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A task that a controller gave to the worker and has not told it to forget.
+/// A task that a controller has started on the worker and has not reaped.
 struct Task {
     attempt: u64,
     started: Instant,
@@ -27,12 +27,12 @@
     sequence: u64,
     /// The index of the controller that it reports to.
     controller: usize,
-    /// When the last answered heartbeat was sent, or this incarnation began.
+    /// When the last answered heartbeat was sent. Before the first answer, when this incarnation began.
     lease_renewed: Instant,
     tasks: BTreeMap<String, Task>,
 }
 
-/// What becomes of a worker's messages, by the faults of its machine.
+/// The faults of a worker's machine.
 struct Faults {
     is_hung: bool,
     cannot_send: bool,
@@ -56,7 +56,7 @@
     pub async fn run(mut self) {
         loop {
             tokio::time::sleep(HEARTBEAT_INTERVAL).await;
-            let faults = self.observe_world();
+            let faults = self.check_world();
             if faults.is_hung {
                 continue;
             }
@@ -70,7 +70,8 @@
         }
     }
 
-    fn observe_world(&self) -> Faults {
+    /// Checks for tasks that run for too long after a cancellation, and returns the machine's faults.
+    fn check_world(&self) -> Faults {
         let mut world = self.cloud.world.lock().unwrap();
         world.check_cancelled(self.cloud.timeouts.cancel());
         Faults {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Sends a heartbeat, and waits for the answer no longer than its lease holds.
+    /// Sends a heartbeat, and waits for the answer until the lease expires at the latest.
     async fn send_heartbeat(&mut self) {
         let heartbeat = self.heartbeat();
         let addr = self.cloud.controllers[self.controller];
@@ -127,7 +128,7 @@
             "warrant": self.fencing_token, "recallS": null, "sacks": tasks.collect::<Vec<_>>()})
     }
 
-    /// Kills and forgets every task, and continues with the next incarnation.
+    /// Kills and removes every task, and continues with the next incarnation.
     fn expire_lease(&mut self) {
         let mut world = self.cloud.world.lock().unwrap();
         world.expired_leases += usize::from(!self.tasks.is_empty());
@@ -149,7 +150,8 @@
         }
     }
 
-    /// Renews the lease and carries out the commands, unless the answer is from an owner that was replaced.
+    /// Renews the lease and executes the commands. An answer with a lower fencing token than an earlier one comes from a
+    /// replaced owner and is ignored.
     fn handle_answer(&mut self, answer: &Value, sent: Instant) {
         let token = answer["warrant"].as_u64().unwrap();
         if token < self.fencing_token {
--- a/crates/rowanmill-testing/src/cloud/world.rs
+++ b/crates/rowanmill-testing/src/cloud/world.rs
@@ -1,4 +1,4 @@
-//! What the machines of one cloud or several see, and the rules that they find broken by it.
+//! What the machines of one or several clouds observe, and the rules that these observations show to be broken.
 
 use crate::history::{Event, History, job_of};
 use crate::quota::QuotaMonitor;
@@ -6,38 +6,38 @@
 use std::time::{Duration, Instant};
 use tokio::task::AbortHandle;
 
-/// What the machines see, whichever controllers they belong to. Clouds may share one world: then a
-/// task that runs on machines of two clouds is noticed too.
+/// What machines observe, independently of the controllers that own them. Several clouds may share a world, which then
+/// also detects a task that runs on machines of two clouds.
 #[derive(Default)]
 pub struct World {
     machines: BTreeMap<String, AbortHandle>,
     released: HashSet<String>,
-    /// Which machine each running task is on.
+    /// The machine on which each running task is.
     machine_by_task: HashMap<String, String>,
     completed: HashSet<String>,
     /// By job, the tasks that must be completed before any of its own starts.
     pub dependencies: HashMap<String, Vec<String>>,
-    /// Jobs that users were told are cancelled, and when first.
+    /// Jobs that were reported to users as cancelled, with the time of the first report.
     cancelled: HashMap<String, Instant>,
-    /// Machines that do nothing.
+    /// Machines whose worker is hung: it neither sends heartbeats nor checks its lease, and completes no task.
     pub hung: HashSet<String>,
     /// Machines whose heartbeats reach no controller.
     pub cannot_send: HashSet<String>,
-    /// Machines that no answer reaches.
+    /// Machines that no answer of a controller reaches.
     pub cannot_receive: HashSet<String>,
-    /// Worker leases that expired while there were tasks.
+    /// The number of worker leases that expired while the worker had tasks.
     pub expired_leases: usize,
-    /// How often each task started.
+    /// The number of starts of each task.
     pub starts_by_task: BTreeMap<String, usize>,
-    /// Starts of all tasks.
+    /// The number of starts of all tasks.
     pub starts: usize,
-    /// The most tasks that ran at a time.
+    /// The maximum number of tasks that ran at a time.
     pub peak_running: usize,
-    /// What users were told and machines ran, for the checker.
+    /// The events that users and machines observed, for the checker.
     pub history: History,
-    /// What the teams' tasks use, against their limits.
+    /// The teams' usage and limits.
     pub quota: QuotaMonitor,
-    /// Rules that were broken.
+    /// Descriptions of the broken rules.
     pub broken_rules: Vec<String>,
 }
 
@@ -47,14 +47,14 @@
         self.machine_by_task.is_empty()
     }
 
-    /// Records that a user was told that a job is cancelled.
+    /// Records that a job was reported to a user as cancelled.
     pub fn record_cancellation(&mut self, job: &str) {
         self.cancelled
             .entry(job.to_owned())
             .or_insert_with(Instant::now);
     }
 
-    /// How many tasks of a job run.
+    /// The number of tasks of a job that run.
     pub fn running_tasks(&self, job: &str) -> usize {
         let tasks = self.machine_by_task.keys();
         tasks.filter(|task| job_of(task) == job).count()
@@ -78,7 +78,7 @@
             .collect()
     }
 
-    /// How many machines were ever rented.
+    /// The number of machines that were ever rented.
     pub(super) fn machine_count(&self) -> usize {
         self.machines.len()
     }
@@ -87,12 +87,12 @@
         self.released.contains(machine)
     }
 
-    /// Adds a rented machine with the handle that ends its worker.
+    /// Adds a rented machine with the handle that stops its worker.
     pub(super) fn add_machine(&mut self, name: &str, worker: AbortHandle) {
         self.machines.insert(name.to_owned(), worker);
     }
 
-    /// Ends a machine, with what runs on it.
+    /// Stops a machine, with the tasks that run on it.
     pub(super) fn release(&mut self, machine: &str) {
         if let Some(worker) = self.machines.get(machine) {
             worker.abort();
@@ -101,7 +101,7 @@
         self.end_tasks_on(machine);
     }
 
-    /// Records that a machine starts a task, and which rules that breaks.
+    /// Records that a machine starts a task, and the rules that this breaks.
     pub(super) fn record_start(&mut self, task: &str, machine: &str) {
         self.history.record(Event::Started {
             task: task.to_owned(),
@@ -125,7 +125,7 @@
     fn check_cancellation_and_dependencies(&mut self, task: &str) {
         let job = job_of(task);
         if self.cancelled.contains_key(job) {
-            self.record_broken_rule(format!("{task} is started after its cancellation"));
+            self.record_broken_rule(format!("{task} starts after its job was cancelled"));
         }
         let dependencies = self.dependencies.get(job).into_iter().flatten();
         let missing: Vec<&String> = dependencies
@@ -184,7 +184,9 @@
         let tasks = self.machine_by_task.keys();
         let late: Vec<String> = tasks.filter(is_late).cloned().collect();
         for task in late {
-            self.record_broken_rule(format!("{task} runs on, too long after its cancellation"));
+            self.record_broken_rule(format!(
+                "{task} still runs too long after its job was cancelled"
+            ));
         }
     }
 }
--- a/crates/rowanmill-testing/src/exchange.rs
+++ b/crates/rowanmill-testing/src/exchange.rs
@@ -1,5 +1,5 @@
-//! HTTP as it is on the wire: a server that records the requests it gets, and a client that shows the answer
-//! it gets. For tests that freeze an interface.
+//! A server that records HTTP requests and a client that returns HTTP responses as text, for tests that compare the
+//! messages of an interface byte by byte.
 
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -7,19 +7,19 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How long a message may take to arrive.
+/// Timeout for each read of a message.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What a [`Recorder`] does with a request.
 #[derive(Debug, Clone)]
 pub enum ScriptedAnswer {
-    /// It answers with this status and this body.
+    /// It responds with this status and this body.
     Answer(u16, String),
-    /// It closes the connection without an answer.
+    /// It closes the connection without a response.
     HangUp,
 }
 
-/// A server that answers by a script, each request on a connection of its own, and keeps the requests.
+/// A server that gives scripted answers and records the requests. It expects each request on a new connection.
 pub struct Recorder {
     /// The address at which it listens.
     pub addr: SocketAddr,
@@ -27,10 +27,10 @@
 }
 
 impl Recorder {
-    /// Starts a recorder with an answer for each request to come.
+    /// Starts a recorder with the answers to its first requests, in order. It stops after the last answer.
     pub fn start(answers: Vec<ScriptedAnswer>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
-        let addr = listener.local_addr().expect("it is bound");
+        let addr = listener.local_addr().expect("the listener is bound");
         let requests: Arc<Mutex<Vec<String>>> = Arc::default();
         let recorded = requests.clone();
         std::thread::spawn(move || {
@@ -47,20 +47,20 @@
                         body.len()
                     );
                     let sent = stream.write_all((head + &body).as_bytes());
-                    sent.expect("the client reads its answer");
+                    sent.expect("the client reads the response");
                 }
             }
         });
         Self { addr, requests }
     }
 
-    /// All requests so far, each as its first line, its content type and its body.
+    /// The requests so far, each as text: the request line, the content type and the body.
     pub fn requests(&self) -> Vec<String> {
         self.requests.lock().unwrap().clone()
     }
 }
 
-/// A request or an answer.
+/// A request or a response.
 struct Message {
     first_line: String,
     headers: Vec<String>,
@@ -75,7 +75,9 @@
     let mut lines = Vec::new();
     loop {
         let mut line = String::new();
-        let read = reader.read_line(&mut line).expect("the head is text");
+        let read = reader
+            .read_line(&mut line)
+            .expect("the headers are UTF-8 text");
         let line = line.trim_end();
         if read == 0 || line.is_empty() {
             break;
@@ -85,14 +87,19 @@
     let length = lines.iter().find_map(|line| {
         let (name, value) = line.split_once(':')?;
         let is_length = name.eq_ignore_ascii_case("content-length");
-        is_length.then(|| value.trim().parse::<usize>().expect("a length"))
+        is_length.then(|| {
+            value
+                .trim()
+                .parse::<usize>()
+                .expect("content-length is a number")
+        })
     });
     let mut body = vec![0; length.unwrap_or(0)];
-    reader.read_exact(&mut body).expect("the body is whole");
+    reader.read_exact(&mut body).expect("the body is complete");
     Message {
         first_line: lines.first().cloned().unwrap_or_default(),
         headers: lines.into_iter().skip(1).collect(),
-        body: String::from_utf8(body).expect("bodies are text"),
+        body: String::from_utf8(body).expect("the body is UTF-8 text"),
     }
 }
 
@@ -109,8 +116,8 @@
     text
 }
 
-/// Sends one request with this body and returns the answer as text: the status, all headers but `date`, the
-/// body. Blocks until the answer is complete.
+/// Sends one request with this body and returns the response as text: the status, all headers except `date`, and the
+/// body. Blocks until the response is complete.
 pub fn exchange(addr: SocketAddr, method: &str, path: &str, body: &str) -> String {
     let mut stream = TcpStream::connect(addr).expect("the server listens");
     let head = format!(
@@ -118,7 +125,7 @@
         body.len()
     );
     let sent = stream.write_all((head + body).as_bytes());
-    sent.expect("the server reads its request");
+    sent.expect("the server reads the request");
     let answer = read_message(&mut stream);
     let mut text = format!("< {}\n", answer.first_line);
     let is_kept = |line: &&String| !line.to_lowercase().starts_with("date:");
--- a/crates/rowanmill-testing/src/folder.rs
+++ b/crates/rowanmill-testing/src/folder.rs
@@ -1,13 +1,13 @@
-//! Temporary folders of tests.
+//! Temporary folders for tests.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A folder of its own, deleted with all it contains when dropped.
+/// A temporary folder, deleted with its contents when dropped.
 pub struct TestFolder(PathBuf);
 
 impl TestFolder {
-    /// Creates a folder whose name begins with `prefix`, different from all others.
+    /// Creates a folder with a unique name that begins with `prefix`.
     pub fn new(prefix: &str) -> Self {
         static FOLDERS: AtomicUsize = AtomicUsize::new(0);
         let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
@@ -32,7 +32,7 @@
 
 impl Drop for TestFolder {
     fn drop(&mut self) {
-        // A folder that stays behind does no harm, and a panic here would hide the test's own.
+        // A folder that is not deleted does no harm, whereas a panic here would hide that of the test.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
--- a/crates/rowanmill-testing/src/history.rs
+++ b/crates/rowanmill-testing/src/history.rs
@@ -1,12 +1,12 @@
-//! What users were told and what machines ran, and a checker of both. It knows nothing of controllers,
-//! cells or records.
+//! The events that users and machines observe, and a checker for contradictions among them. It uses no knowledge of
+//! controllers, cells or records.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The stage of a job that a user was told.
+/// The stage of a job as it is reported to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReportedStage {
-    /// Accepted, and not ended.
+    /// Accepted and not ended.
     Open,
     /// All its tasks completed.
     Done,
@@ -16,7 +16,7 @@
     Unknown,
 }
 
-/// Something that was observed from outside.
+/// An event that a user or a machine observed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// A user submitted a job.
@@ -26,7 +26,7 @@
         /// The number of its tasks.
         tasks: u32,
     },
-    /// A user was told the stage of a job.
+    /// The stage of a job was reported to a user.
     StageReported {
         /// The job.
         job: String,
@@ -40,7 +40,7 @@
         /// The machine.
         machine: String,
     },
-    /// A task has left its machine: it completed, or was lost.
+    /// A task no longer runs on its machine, because it completed or was stopped.
     Left {
         /// The task.
         task: String,
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     /// A task ran on two machines at a time.
-    #[error("{task} starts on {second} while it is on {first}")]
+    #[error("{task} starts on {second} while it runs on {first}")]
     Overlap {
         /// The task.
         task: String,
@@ -62,47 +62,47 @@
         /// The machine that it started on.
         second: String,
     },
-    /// Users were told a final stage, and then another stage.
-    #[error("{job} was told {first:?} and then {second:?}")]
+    /// A job was reported in a final stage, and then in another stage.
+    #[error("{job} was reported as {first:?} and then as {second:?}")]
     FinalStageChanged {
         /// The job.
         job: String,
-        /// What was told first.
+        /// The stage that was reported first.
         first: ReportedStage,
-        /// What was told later.
+        /// The stage that was reported later.
         second: ReportedStage,
     },
-    /// Users were told that a job is done before all its tasks had completed.
-    #[error("{job} was told done with {completed} of {tasks} tasks completed")]
+    /// A job was reported as done before all its tasks had completed.
+    #[error("{job} was reported as done with {completed} of {tasks} tasks completed")]
     DoneTooEarly {
         /// The job.
         job: String,
-        /// Tasks that had completed.
+        /// The number of tasks that had completed.
         completed: u32,
-        /// Its tasks.
+        /// The number of its tasks.
         tasks: u32,
     },
-    /// A task started after users were told of its job's cancellation.
-    #[error("{task} starts after its job's cancellation was told")]
+    /// A task started after its job was reported as cancelled.
+    #[error("{task} starts after its job was reported as cancelled")]
     StartedCancelled {
         /// The task.
         task: String,
     },
-    /// An accepted job became unknown, or users were never told a final stage.
+    /// An accepted job became unknown, or was never reported in a final stage.
     #[error("{job} is lost")]
     Lost {
         /// The job.
         job: String,
     },
-    /// Users were told a stage of a job that was never submitted.
-    #[error("{job} was never submitted")]
+    /// A job was reported that was never submitted.
+    #[error("{job} was reported but never submitted")]
     NeverSubmitted {
         /// The job.
         job: String,
     },
 }
 
-/// All that was observed, in order.
+/// All observed events, in order.
 #[derive(Debug, Clone, Default)]
 pub struct History {
     events: Vec<Event>,
@@ -113,9 +113,9 @@
 struct Checker {
     /// The number of each job's tasks.
     submitted: BTreeMap<String, u32>,
-    /// The last stage of each job that users were told.
+    /// The last stage in which each job was reported.
     reported: BTreeMap<String, ReportedStage>,
-    /// The machine that each running task is on.
+    /// The machine on which each running task is.
     machine_by_task: BTreeMap<String, String>,
     completed: BTreeSet<String>,
     violations: Vec<Violation>,
@@ -132,7 +132,7 @@
         self.events.push(event);
     }
 
-    /// All violations. `is_over`: every accepted job should have ended by now.
+    /// All violations. If `is_over`, each accepted job that was not reported in a final stage counts as lost.
     pub fn violations(&self, is_over: bool) -> Vec<Violation> {
         let mut checker = Checker::default();
         for event in &self.events {
--- a/crates/rowanmill-testing/src/history/tests.rs
+++ b/crates/rowanmill-testing/src/history/tests.rs
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_consistent_history_has_no_violations() {
-    let right = [
+    let consistent = [
         submitted("job-1"),
         reported("job-1", ReportedStage::Open),
         started("job-1/0", "vm-1"),
@@ -49,21 +49,21 @@
         reported("job-2", ReportedStage::Cancelled),
         reported("job-3", ReportedStage::Unknown),
     ];
-    assert_eq!(violations(&right), Vec::<String>::new());
+    assert_eq!(violations(&consistent), Vec::<String>::new());
 }
 
-/// The checker is able to fail, on each kind of wrong history.
+/// The checker reports each kind of contradiction.
 #[test]
 fn each_kind_of_violation_is_found() {
     let accepted = [submitted("job-1"), reported("job-1", ReportedStage::Open)];
-    let wrong: [(&str, &[Event]); 8] = [
+    let contradictory: [(&str, &[Event]); 8] = [
         ("a lost job", &[]),
         (
             "an overlap",
             &[started("job-1/0", "vm-1"), started("job-1/0", "vm-2")],
         ),
         (
-            "two ends",
+            "another final stage",
             &[
                 reported("job-1", ReportedStage::Cancelled),
                 started("job-2/0", "vm-1"),
@@ -71,7 +71,7 @@
             ],
         ),
         (
-            "an end taken back",
+            "no longer in a final stage",
             &[
                 reported("job-1", ReportedStage::Cancelled),
                 reported("job-1", ReportedStage::Open),
@@ -85,9 +85,12 @@
                 started("job-1/0", "vm-1"),
             ],
         ),
-        ("forgotten", &[reported("job-1", ReportedStage::Unknown)]),
         (
-            "invented",
+            "an accepted job that is unknown",
+            &[reported("job-1", ReportedStage::Unknown)],
+        ),
+        (
+            "a job that was not submitted",
             &[
                 reported("job-1", ReportedStage::Cancelled),
                 reported("job-9", ReportedStage::Open),
@@ -95,20 +98,20 @@
         ),
     ];
     let mut trace = String::new();
-    for (what, events) in wrong {
+    for (what, events) in contradictory {
         let all: Vec<Event> = accepted.iter().chain(events).cloned().collect();
         let found = violations(&all);
-        assert!(!found.is_empty(), "{what} goes unnoticed");
+        assert!(!found.is_empty(), "{what} is not detected");
         trace.push_str(&format!("{what}: {}\n", found.join("; ")));
     }
     insta::assert_snapshot!(trace, @r"
     a lost job: job-1 is lost
-    an overlap: job-1/0 starts on vm-2 while it is on vm-1; job-1 is lost
-    two ends: job-1 was told Cancelled and then Done
-    an end taken back: job-1 was told Cancelled and then Open
-    done too early: job-1 was told done with 0 of 1 tasks completed
-    a start after a cancellation: job-1/0 starts after its job's cancellation was told
-    forgotten: job-1 is lost; job-1 is lost
-    invented: job-9 was never submitted
+    an overlap: job-1/0 starts on vm-2 while it runs on vm-1; job-1 is lost
+    another final stage: job-1 was reported as Cancelled and then as Done
+    no longer in a final stage: job-1 was reported as Cancelled and then as Open
+    done too early: job-1 was reported as done with 0 of 1 tasks completed
+    a start after a cancellation: job-1/0 starts after its job was reported as cancelled
+    an accepted job that is unknown: job-1 is lost; job-1 is lost
+    a job that was not submitted: job-9 was reported but never submitted
     ");
 }
--- a/crates/rowanmill-testing/src/http.rs
+++ b/crates/rowanmill-testing/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP of the stand-ins, and requests of users and workers.
+//! An HTTP server for the stand-ins, and an HTTP client for users and workers.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -22,7 +22,7 @@
 /// The port of all addresses that [`free_addr`] returns.
 const PORT: u16 = 7070;
 
-/// A stand-in's answer to come: the status and the body.
+/// A future of a stand-in's answer: the status and the body.
 pub type ReplyFuture = Pin<Box<dyn Future<Output = (u16, Value)> + Send>>;
 
 /// A request as a stand-in receives it.
@@ -33,14 +33,14 @@
     pub path: String,
     /// The query's pairs.
     pub query: HashMap<String, String>,
-    /// The body; null if there is none.
+    /// The body as JSON. Null if there is none or it is malformed.
     pub body: Value,
 }
 
-/// What answers a stand-in's requests.
+/// Handles a stand-in's requests.
 pub type Handler = Arc<dyn Fn(StubRequest) -> ReplyFuture + Send + Sync>;
 
-/// Serves a stand-in until its listener fails.
+/// Serves a stand-in until accepting a connection fails.
 pub async fn serve(listener: TcpListener, handler: Handler) {
     while let Ok((stream, _)) = listener.accept().await {
         let handler = handler.clone();
@@ -53,7 +53,7 @@
     }
 }
 
-/// Serves a stand-in on a free port of loopback; returns its address.
+/// Serves a stand-in on a free loopback port, and returns its address.
 pub async fn serve_on_loopback(handler: Handler) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await;
     let listener = listener.expect("loopback has a free port");
@@ -84,17 +84,17 @@
     Ok(response)
 }
 
-/// An address that stays free while a controller restarts: on a loopback host of its own, which the system
-/// gives to no outgoing connection, as it could a port of 127.0.0.1 that was only probed.
+/// An address that stays free while a controller restarts. It has its own loopback host, because a port of 127.0.0.1 that
+/// was found free may be assigned to an outgoing connection in the meantime.
 pub fn free_addr() -> SocketAddr {
     static USED_HOSTS: AtomicU8 = AtomicU8::new(1);
     let [.., high, low] = std::process::id().to_be_bytes();
-    let own = USED_HOSTS.fetch_add(1, Ordering::Relaxed);
-    SocketAddr::from(([127, 1 + high % 250, low, own], PORT))
+    let host = USED_HOSTS.fetch_add(1, Ordering::Relaxed);
+    SocketAddr::from(([127, 1 + high % 250, low, host], PORT))
 }
 
-/// Sends one request of a user or a worker; returns the status and the body, 0 and null without an answer. A
-/// string is sent as it stands, any other body as JSON.
+/// Sends one request of a user or a worker, and returns the status and the body. Without a response, these are 0 and
+/// null. A string is sent as it is, any other body as JSON.
 pub async fn ask(addr: SocketAddr, method: Method, path: &str, body: Value) -> (u16, Value) {
     let client = rowanmill_state::http::Client::new(addr, 0);
     let body = match body {
--- a/crates/rowanmill-testing/src/jobs.rs
+++ b/crates/rowanmill-testing/src/jobs.rs
@@ -1,31 +1,31 @@
-//! Jobs as users submit them.
+//! Bodies of users' submissions.
 
 use serde_json::{Value, json};
 
-/// A job of tasks that are alike and of medium urgency. What it does not name is the same for all.
+/// A job of identical tasks with the standard urgency. All fields that are not listed here have fixed values.
 #[derive(Debug, Clone)]
 pub struct JobRequest<'a> {
-    /// The job's number, from which its id follows.
+    /// The job's number. Its id is `job-` and the number.
     pub number: usize,
     /// The team.
     pub team: &'a str,
     /// The number of tasks.
     pub tasks: u32,
-    /// CPUs of a task.
+    /// CPUs per task.
     pub cpus: f64,
-    /// Memory of a task, in GB.
+    /// Memory per task, in GB.
     pub memory_gb: f64,
-    /// When it is to be done, in seconds after it was submitted.
+    /// The deadline, in seconds after the submission.
     pub deadline_s: f64,
 }
 
 impl JobRequest<'_> {
-    /// The request's body for a job whose tasks start one by one.
+    /// The body for a job whose tasks start independently.
     pub fn array(&self) -> Value {
         self.body("array")
     }
 
-    /// The request's body for a job whose tasks start together.
+    /// The body for a job whose tasks start together.
     pub fn gang(&self) -> Value {
         self.body("group")
     }
--- a/crates/rowanmill-testing/src/quota.rs
+++ b/crates/rowanmill-testing/src/quota.rs
@@ -1,17 +1,19 @@
-//! What the teams' tasks use at each instant, by what the machines run, checked against the teams' limits.
+//! The CPUs that the running tasks of each team use, checked against the teams' limits at each start of a task.
 
 use crate::history::job_of;
 use std::collections::{BTreeMap, HashMap};
 
-/// The tasks of a team use more than its limit.
+/// The tasks of a team use more CPUs than its limit.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("with {task} team {team} uses {used} of {limit} thousandths of a CPU")]
+#[error(
+    "{task} raises the usage of team {team} to {used} thousandths of a CPU, above its limit of {limit}"
+)]
 pub struct OverLimit {
-    /// The task with whose start the limit was exceeded.
+    /// The task whose start exceeded the limit.
     pub task: String,
     /// Its team.
     pub team: String,
-    /// What the team uses with it, in thousandths of a CPU.
+    /// The team's usage including the task, in thousandths of a CPU.
     pub used: u64,
     /// The team's limit, in thousandths of a CPU.
     pub limit: u64,
@@ -41,13 +43,13 @@
 }
 
 impl QuotaMonitor {
-    /// Sets a team's limit, in thousandths of a CPU, from now on.
+    /// Sets a team's limit, in thousandths of a CPU.
     pub fn set_limit(&mut self, team: &str, millicpus: u64) {
         self.teams.entry(team.to_owned()).or_default().limit = Some(millicpus);
     }
 
-    /// Records a job of a team, each task of which uses this many thousandths of a CPU. Tasks of jobs that
-    /// were not recorded are not counted.
+    /// Records a job of a team, each task of which uses this many thousandths of a CPU. Tasks of jobs that were not
+    /// recorded are ignored.
     pub fn record_job(&mut self, job: &str, team: &str, task_millicpus: u64) {
         let team = team.to_owned();
         let recorded = Job {
@@ -60,7 +62,7 @@
     /// Records that a machine starts a task.
     ///
     /// # Errors
-    /// If the team uses more than its limit with it. The task is counted all the same.
+    /// If the team's usage including the task exceeds its limit. The task still counts as running.
     pub fn record_start(&mut self, task: &str) -> Result<(), OverLimit> {
         let Some(job) = self.jobs.get(job_of(task)) else {
             return Ok(());
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Records that a task that was started has left its machine.
+    /// Records that a started task no longer runs.
     pub fn record_end(&mut self, task: &str) {
         if let Some(job) = self.jobs.get(job_of(task))
             && let Some(team) = self.teams.get_mut(&job.team)
@@ -88,7 +90,7 @@
         }
     }
 
-    /// The most that a team's tasks used at a time, in thousandths of a CPU.
+    /// The maximum usage of a team so far, in thousandths of a CPU.
     pub fn peak_usage(&self, team: &str) -> u64 {
         self.teams.get(team).map_or(0, |team| team.peak)
     }
--- a/crates/rowanmill-testing/src/quota/tests.rs
+++ b/crates/rowanmill-testing/src/quota/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn one_unit_too_many_is_found_and_ended_tasks_are_not_counted() {
+fn usage_above_the_limit_is_reported_and_ended_tasks_do_not_count() {
     let mut quota = QuotaMonitor::default();
     quota.set_limit("t", 3000);
     quota.record_job("job-1", "t", 1500);
@@ -11,12 +11,12 @@
     assert_eq!(
         quota.record_start("job-1/1"),
         Ok(()),
-        "a limit may be reached"
+        "usage may equal the limit"
     );
     assert_eq!(
         quota.record_start("job-3/0"),
         Ok(()),
-        "its team has no limit"
+        "the team has no limit"
     );
     let over = quota.record_start("job-2/0").unwrap_err();
     assert_eq!((over.used, over.limit), (3001, 3000));
--- a/crates/rowanmill-testing/src/state/faults.rs
+++ b/crates/rowanmill-testing/src/state/faults.rs
@@ -1,25 +1,25 @@
-//! Faults that single transactions meet.
+//! Faults that are injected into single transactions.
 
 use super::store;
 use crate::StubRequest;
 use serde_json::Value;
 
-/// What happens to a transaction that gets no answer.
+/// A fault because of which a transaction gets no answer.
 #[derive(Clone, Copy, PartialEq)]
 pub enum TransactionFault {
-    /// It is applied at once.
+    /// The transaction is applied at once, but its answer is lost.
     AnswerLost,
-    /// It is applied when the test delivers it.
+    /// The transaction is applied only when the test delivers it.
     Delayed,
 }
 
-/// Transactions that are to meet a fault.
+/// The transactions into which a fault is injected.
 pub(super) struct FaultRule {
-    /// What one of a transaction's changes must contain.
+    /// The text that must occur in one of a transaction's changes.
     text: String,
     fault: TransactionFault,
-    /// How many more transactions meet it.
-    left: usize,
+    /// The number of transactions that are still to get the fault.
+    remaining: usize,
 }
 
 impl FaultRule {
@@ -27,12 +27,12 @@
         Self {
             text: text.to_owned(),
             fault,
-            left: count,
+            remaining: count,
         }
     }
 }
 
-/// The fault of the first rule that a request matches, which then counts against the rule.
+/// The fault of the first rule that a request matches. The request counts against the rule's number.
 pub(super) fn take_matching(
     rules: &mut [FaultRule],
     request: &StubRequest,
@@ -43,9 +43,9 @@
     let changes = request.body["then"].as_array()?.iter();
     let changes: Vec<String> = changes.map(Value::to_string).collect();
     let matches = |rule: &&mut FaultRule| {
-        rule.left > 0 && changes.iter().any(|change| change.contains(&rule.text))
+        rule.remaining > 0 && changes.iter().any(|change| change.contains(&rule.text))
     };
     let rule = rules.iter_mut().find(matches)?;
-    rule.left -= 1;
+    rule.remaining -= 1;
     Some(rule.fault)
 }
--- a/crates/rowanmill-testing/src/state/limits.rs
+++ b/crates/rowanmill-testing/src/state/limits.rs
@@ -1,32 +1,32 @@
-//! What the state service accepts of transactions.
+//! The state service's limits on transactions.
 
 use super::Response;
 use serde_json::{Value, json};
 use std::time::Instant;
 
-/// The limits of the service.
+/// The limits of the state service.
 #[derive(Clone, Copy)]
 pub struct StateLimits {
-    /// The most bytes of a value.
+    /// Maximum size of a value, in bytes.
     pub value_bytes: usize,
-    /// The most changes of a transaction.
+    /// Maximum number of changes in a transaction.
     pub operations: usize,
-    /// The most changes a second.
+    /// Maximum rate of changes.
     pub changes_per_s: f64,
 }
 
-/// Transactions that were refused.
+/// The numbers of refused transactions, by reason.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Refusals {
-    /// Because a value was too large.
+    /// A value was too large.
     pub too_large: usize,
-    /// Because of too many changes at once.
+    /// The transaction had too many changes.
     pub too_many_operations: usize,
-    /// Because of too many changes a second.
+    /// The rate of changes was too high.
     pub too_frequent: usize,
 }
 
-/// Enforces the limits: changes draw from a bucket that holds those of one second.
+/// Enforces the limits. The rate is limited by a token bucket with a capacity of one second's changes.
 #[derive(Default)]
 pub(super) struct Limiter {
     limits: Option<StateLimits>,
@@ -34,7 +34,7 @@
     pub refusals: Refusals,
 }
 
-/// The changes that may be made now.
+/// The token bucket: the changes that were permitted at `as_of`.
 struct Bucket {
     changes: f64,
     as_of: Instant,
@@ -46,7 +46,7 @@
         self.bucket = None;
     }
 
-    /// Accounts for a transaction with these changes, or refuses it.
+    /// Admits a transaction with these changes and takes them from the bucket, or refuses it.
     pub fn admit(&mut self, changes: &[Value]) -> Result<(), Response> {
         let Some(limits) = self.limits else {
             return Ok(());
--- a/crates/rowanmill-testing/src/state/mod.rs
+++ b/crates/rowanmill-testing/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the state service: keys with revisions, conditional transactions, leases and the log. Tests
-//! can make it fail, for all or for single transactions.
+//! A stand-in for the state service: keys with revisions, conditional transactions, leases and the log. Tests can inject
+//! outages and faults of single transactions.
 
 mod faults;
 mod limits;
@@ -27,33 +27,33 @@
     (503, json!({"error": "trouble"}))
 }
 
-/// A state service in memory. Clones are the same service.
+/// A state service in memory. Clones share all state.
 #[derive(Clone, Default)]
 pub struct StateService(Arc<Mutex<Inner>>);
 
 #[derive(Default)]
 struct Inner {
     store: Store,
-    is_out: bool,
+    in_outage: bool,
     faults: Vec<FaultRule>,
-    /// Bodies of transactions that are to be applied later.
+    /// Bodies of the delayed transactions, which are applied when the test delivers them.
     delayed: Vec<Value>,
 }
 
 impl StateService {
-    /// Begins or ends an outage; after it every lease has its full time again.
-    pub fn set_outage(&self, is_out: bool) {
+    /// Begins or ends an outage. Either extends all leases by their full duration.
+    pub fn set_outage(&self, in_outage: bool) {
         let mut inner = self.0.lock().unwrap();
-        inner.is_out = is_out;
+        inner.in_outage = in_outage;
         inner.store.renew_leases();
     }
 
-    /// Sets the limits from now on. What is stored stays.
+    /// Sets the limits for future transactions. Stored values are kept even if they are larger.
     pub fn set_limits(&self, limits: StateLimits) {
         self.0.lock().unwrap().store.limiter.set(limits);
     }
 
-    /// Lets the next `count` transactions with `text` in one of their changes meet a fault.
+    /// Injects a fault into the next `count` transactions in which `text` occurs in a change.
     pub fn inject_fault(&self, text: &str, fault: TransactionFault, count: usize) {
         let rule = FaultRule::new(text, fault, count);
         self.0.lock().unwrap().faults.push(rule);
@@ -64,7 +64,7 @@
         !self.0.lock().unwrap().delayed.is_empty()
     }
 
-    /// Applies the delayed transactions; returns how many of them succeeded.
+    /// Applies the delayed transactions, and returns the number of those that succeeded.
     pub fn deliver_delayed(&self) -> usize {
         let mut inner = self.0.lock().unwrap();
         let delayed = std::mem::take(&mut inner.delayed);
@@ -72,12 +72,13 @@
         delayed.iter().filter(succeeded).count()
     }
 
-    /// The transactions that were refused because of the limits.
+    /// The numbers of transactions that were refused because of the limits.
     pub fn refusals(&self) -> Refusals {
         self.0.lock().unwrap().store.limiter.refusals
     }
 
-    /// The revision: transactions that succeeded, leases granted and keys deleted with their leases so far.
+    /// The current revision, which increases with each transaction, each granted lease and each key that is deleted with
+    /// its lease.
     pub fn revision(&self) -> u64 {
         self.0.lock().unwrap().store.revision
     }
@@ -87,7 +88,7 @@
         self.0.lock().unwrap().store.values(prefix)
     }
 
-    /// Answers the requests of all controllers.
+    /// The handler of requests from all controllers.
     pub fn handler(&self) -> Handler {
         let state = self.clone();
         Arc::new(move |request| {
@@ -105,20 +106,20 @@
         })
     }
 
-    /// Answers the requests of one controller, whose connection can be cut: it then gets 503, and its leases
-    /// expire while the others are served.
+    /// The handler of requests from one controller, whose connection the test can cut. While it is cut, the controller
+    /// gets status 503 and its leases expire, but the others are served.
     pub fn handler_with_cut(&self, is_cut: Arc<AtomicBool>) -> Handler {
-        let uncut = self.handler();
+        let handler = self.handler();
         Arc::new(move |request| {
             if is_cut.load(Ordering::Relaxed) {
                 Box::pin(async { unavailable() })
             } else {
-                uncut(request)
+                handler(request)
             }
         })
     }
 
-    /// Answers a request for the log once there are changes, or none until its time is over.
+    /// Answers a request that follows the log as soon as there are changes, or without any when its hold time has passed.
     async fn follow(&self, request: &StubRequest) -> Response {
         let from: u64 = request.query["from"].parse().unwrap();
         let hold = Duration::from_millis(request.query["holdMs"].parse().unwrap());
@@ -126,10 +127,10 @@
         loop {
             {
                 let mut inner = self.0.lock().unwrap();
-                if inner.is_out && hold.is_zero() {
+                if inner.in_outage && hold.is_zero() {
                     return unavailable();
                 }
-                if !inner.is_out {
+                if !inner.in_outage {
                     inner.store.expire_leases();
                     let log = inner.store.log_since(&request.query["prefix"], from);
                     if !log.is_empty() || Instant::now() >= deadline {
@@ -144,9 +145,9 @@
 }
 
 impl Inner {
-    /// The answer to a request; `None` if it gets none.
+    /// The answer to a request. `None` if a fault prevents it.
     fn answer(&mut self, request: &StubRequest) -> Option<Response> {
-        if self.is_out {
+        if self.in_outage {
             return Some(unavailable());
         }
         self.store.expire_leases();
--- a/crates/rowanmill-testing/src/state/routes.rs
+++ b/crates/rowanmill-testing/src/state/routes.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 impl Store {
-    /// Carries out a request, all but those that follow the log.
+    /// Executes a request. Requests that follow the log are handled by the service itself.
     pub fn route(&mut self, request: &StubRequest) -> Response {
         let segments: Vec<&str> = request.path.trim_matches('/').split('/').collect();
         match (request.method.as_str(), segments.as_slice()) {
@@ -38,7 +38,7 @@
             ("GET", ["store", ..]) => {
                 let key = request.path.trim_start_matches("/store/");
                 match self.get(key) {
-                    Some(shown) => (200, shown),
+                    Some(entry) => (200, entry),
                     None => (404, json!({"ledger": self.revision})),
                 }
             }
--- a/crates/rowanmill-testing/src/state/store.rs
+++ b/crates/rowanmill-testing/src/state/store.rs
@@ -47,18 +47,18 @@
             .collect()
     }
 
-    /// The keys with a prefix that come after `after`, as the service lists them.
+    /// The keys with a prefix that sort after `after`, in the form of the service's listings.
     pub fn list(&self, prefix: &str, after: &str) -> Vec<Value> {
         self.keys
             .iter()
             .filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after)
-            .map(|(key, stored)| shown(key, stored))
+            .map(|(key, stored)| entry(key, stored))
             .collect()
     }
 
-    /// A key as the service shows it.
+    /// A key with its value, in the form of the service's answers.
     pub fn get(&self, key: &str) -> Option<Value> {
-        self.keys.get(key).map(|stored| shown(key, stored))
+        self.keys.get(key).map(|stored| entry(key, stored))
     }
 
     /// The changes of keys with a prefix after a revision.
@@ -82,7 +82,7 @@
         self.revision
     }
 
-    /// Extends a lease by its full time; returns whether it had not expired.
+    /// Extends a lease by its full duration. Returns whether the lease exists.
     pub fn extend_lease(&mut self, id: u64) -> bool {
         let Some(lease) = self.leases.get_mut(&id) else {
             return false;
@@ -91,13 +91,13 @@
         true
     }
 
-    /// Ends a lease, and deletes the keys that it holds.
+    /// Ends a lease, and deletes the keys that are bound to it.
     pub fn end_lease(&mut self, id: u64) {
         self.leases.remove(&id);
         self.expire_leases();
     }
 
-    /// Extends all leases by their full time.
+    /// Extends all leases by their full duration.
     pub fn renew_leases(&mut self) {
         let now = Instant::now();
         for lease in self.leases.values_mut() {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Forgets leases whose time is over, and deletes keys whose lease has ended.
+    /// Removes expired leases, and deletes the keys that are bound to leases that have ended.
     pub fn expire_leases(&mut self) {
         let now = Instant::now();
         self.leases.retain(|_, lease| lease.expires > now);
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Applies a transaction whole, or not at all if a precondition or a limit does not permit it.
+    /// Applies a transaction atomically, unless a limit, a precondition or an ended lease prevents it.
     pub fn transact(&mut self, body: &Value) -> Response {
         let none = Vec::new();
         let changes = body["then"].as_array().unwrap_or(&none);
@@ -146,7 +146,7 @@
         (200, json!({"ledger": self.revision}))
     }
 
-    /// The keys that do not have the revision that a transaction requires.
+    /// The keys whose revision differs from the one that a transaction requires.
     fn failed_preconditions<'a>(&self, preconditions: &'a [Value]) -> Vec<&'a str> {
         let required = preconditions.iter().map(|precondition| {
             let key = precondition["k"].as_str().unwrap();
@@ -159,7 +159,7 @@
         required.filter(differs).map(|(key, _)| key).collect()
     }
 
-    /// Applies one change at the present revision.
+    /// Applies one change at the current revision.
     fn apply(&mut self, change: &Value) {
         if let Some(key) = change["set"].as_str() {
             let stored = StoredValue {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Deletes a key at the present revision, if there is one.
+    /// Deletes a key at the current revision, if it exists.
     fn delete(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
             self.log.push(LogEntry {
@@ -190,6 +190,6 @@
     }
 }
 
-fn shown(key: &str, stored: &StoredValue) -> Value {
+fn entry(key: &str, stored: &StoredValue) -> Value {
     json!({"k": key, "data": stored.data, "mark": stored.revision})
 }
--- a/crates/rowanmill-testing/src/timeouts.rs
+++ b/crates/rowanmill-testing/src/timeouts.rs
@@ -1,23 +1,23 @@
-//! The timeouts of the settings that workers keep to.
+//! The timeouts from the settings that workers apply.
 
 use std::time::Duration;
 
-/// How long a worker's lease holds, and how long a cancelled job's tasks may stay.
+/// The duration of a worker's lease, and how long the tasks of a cancelled job may still run.
 #[derive(Debug, Clone, Copy)]
 pub struct Timeouts {
-    /// A worker's lease, in seconds.
+    /// The duration of a worker's lease, in seconds.
     pub lease_s: f64,
-    /// How long tasks may run on after their job's cancellation was confirmed, in seconds.
+    /// How long tasks may still run after the cancellation of their job was confirmed, in seconds.
     pub cancel_s: f64,
 }
 
 impl Timeouts {
-    /// A worker's lease.
+    /// The duration of a worker's lease.
     pub fn lease(self) -> Duration {
         Duration::from_secs_f64(self.lease_s)
     }
 
-    /// How long tasks may run on after their job's cancellation was confirmed.
+    /// How long tasks may still run after the cancellation of their job was confirmed.
     pub fn cancel(self) -> Duration {
         Duration::from_secs_f64(self.cancel_s)
     }
--- a/crates/rowanmill-testing/src/wait.rs
+++ b/crates/rowanmill-testing/src/wait.rs
@@ -3,7 +3,7 @@
 use std::task::Poll;
 use std::time::{Duration, Instant};
 
-/// How long [`until`] waits: longer than a takeover takes.
+/// How long [`until`] waits. It exceeds the duration of a takeover.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(40);
 /// The pause between two checks of a condition.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -18,7 +18,10 @@
 pub async fn until_within(timeout: Duration, what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let deadline = Instant::now() + timeout;
     while !holds().await {
-        assert!(Instant::now() < deadline, "waited in vain: {what}");
+        assert!(
+            Instant::now() < deadline,
+            "condition not met within {timeout:?}: {what}"
+        );
         tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
