--- a/tests/compatibility/check.rs
+++ b/tests/compatibility/check.rs
@@ -1,4 +1,4 @@
-//! `check`, and files that `serve` and the client do not start with.
+//! `check`, and how `serve` refuses invalid files.
 
 use crate::run::{folder, run, write};
 use serde_json::{Value, json};
@@ -22,12 +22,12 @@
 }
 
 #[test]
-fn files_are_checked_and_what_is_wrong_is_told_with_an_exit_code() {
+fn invalid_files_are_reported_with_an_exit_code() {
     let folder = folder();
     write(&folder, "settings.json", &settings().to_string());
-    let mut over = settings();
-    over["params"]["teams"][0]["cpus"] = json!(7.0);
-    write(&folder, "over.json", &over.to_string());
+    let mut over_limit = settings();
+    over_limit["params"]["teams"][0]["cpus"] = json!(7.0);
+    write(&folder, "over.json", &over_limit.to_string());
     write(&folder, "broken.json", "{");
     write(&folder, "cells.json", CELLS);
     write(&folder, "limits.json", LIMITS);
@@ -79,9 +79,9 @@
     insta::assert_snapshot!(trace);
 }
 
-/// Words that are no command have a code of their own; what is printed then is the parser's.
+/// Invalid arguments have their own exit code. The output is that of the argument parser and is not compared.
 #[test]
-fn wrong_arguments_exit_with_their_own_code() {
+fn invalid_arguments_exit_with_their_own_code() {
     let folder = folder();
     let commands: [&[&str]; 8] = [
         &[],
@@ -94,7 +94,7 @@
         &["cells", "status", "--cells", "c", "--output", "yaml"],
     ];
     for arguments in commands {
-        let shown = run(&folder, arguments);
-        assert!(shown.contains("exit code 2\n"), "{shown}");
+        let output = run(&folder, arguments);
+        assert!(output.contains("exit code 2\n"), "{output}");
     }
 }
--- a/tests/compatibility/client.rs
+++ b/tests/compatibility/client.rs
@@ -1,4 +1,4 @@
-//! The client's answers for people and for scripts.
+//! The output of the client for people and for scripts.
 
 use crate::run::{folder, run, write};
 use hyper::Method;
@@ -9,15 +9,15 @@
 use std::path::PathBuf;
 use tokio::net::TcpListener;
 
-/// A state service, or a ledger, with these records, each under a revision of its own.
-async fn store(records: &[(&str, Value)]) -> (StateService, SocketAddr) {
+/// Starts a state service, which also serves as a ledger, and writes these records one by one.
+async fn start_with_records(records: &[(&str, Value)]) -> (StateService, SocketAddr) {
     let state = StateService::default();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     tokio::spawn(serve(listener, state.handler()));
     for (key, data) in records {
-        let then = json!({"guards": [], "then": [{"set": key, "data": data}]});
-        assert_eq!(ask(addr, Method::POST, "/multi", then).await.0, 200);
+        let transaction = json!({"guards": [], "then": [{"set": key, "data": data}]});
+        assert_eq!(ask(addr, Method::POST, "/multi", transaction).await.0, 200);
     }
     (state, addr)
 }
@@ -35,17 +35,17 @@
     folder
 }
 
-fn ledger_job(owner: &str, home: &str, more: Value) -> Value {
+fn ledger_job(owner: &str, home: &str, more_fields: Value) -> Value {
     let mut job = json!({"owner": owner, "epoch": 3, "home": home, "accepted_ms": 1000,
         "description": {"nameId": "job"}});
-    for (field, value) in more.as_object().unwrap() {
+    for (field, value) in more_fields.as_object().unwrap() {
         job[field] = value.clone();
     }
     job
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_client_tells_of_cells_and_exits_with_a_code_for_each_outcome() {
+async fn the_cells_commands_print_and_exit_with_a_code_for_each_outcome() {
     let records = [
         ("c/l/g/hanoi", json!({"count": 4})),
         (
@@ -65,7 +65,7 @@
         ("c/l/j/job-4", json!("?")),
         ("c/e/job-3", json!("cancelled")),
     ];
-    let (ledger, addr) = store(&records).await;
+    let (ledger, addr) = start_with_records(&records).await;
     let folder = cells_folder(addr);
     let mut trace = String::new();
     let mut show = |arguments: &[&str]| {
@@ -73,29 +73,29 @@
         arguments.insert(0, "cells");
         trace.push_str(&run(&folder, &arguments));
     };
-    let file = ["--cells", "cells.json"];
-    let script = ["--cells", "cells.json", "--output", "json"];
-    show(&[&["status"][..], &file].concat());
-    show(&[&["status"][..], &script].concat());
+    let for_people = ["--cells", "cells.json"];
+    let for_scripts = ["--cells", "cells.json", "--output", "json"];
+    show(&[&["status"][..], &for_people].concat());
+    show(&[&["status"][..], &for_scripts].concat());
     for job in ["job-1", "job-2", "job-3", "job-4"] {
-        show(&[&["explain", job][..], &file].concat());
-        show(&[&["explain", job][..], &script].concat());
+        show(&[&["explain", job][..], &for_people].concat());
+        show(&[&["explain", job][..], &for_scripts].concat());
     }
-    show(&[&["explain", "job-77"][..], &script].concat());
-    show(&[&["drain", "hanoi"][..], &file].concat());
+    show(&[&["explain", "job-77"][..], &for_scripts].concat());
+    show(&[&["drain", "hanoi"][..], &for_people].concat());
     let drained = ledger.stored("c/l/d/");
     assert!(drained["c/l/d/hanoi"]["since_ms"].is_u64(), "{drained:?}");
-    show(&[&["status"][..], &script].concat());
-    show(&[&["undrain", "hanoi"][..], &file].concat());
+    show(&[&["status"][..], &for_scripts].concat());
+    show(&[&["undrain", "hanoi"][..], &for_people].concat());
     assert!(ledger.stored("c/l/d/").is_empty());
-    show(&[&["drain", "danang"][..], &script].concat());
-    show(&[&["undrain", "danang"][..], &script].concat());
-    show(&[&["drain", "nowhere"][..], &script].concat());
+    show(&[&["drain", "danang"][..], &for_scripts].concat());
+    show(&[&["undrain", "danang"][..], &for_scripts].concat());
+    show(&[&["drain", "nowhere"][..], &for_scripts].concat());
     show(&["status", "--cells", "absent.json"]);
     show(&["status", "--cells", "broken.json"]);
     ledger.set_outage(true);
     for command in [&["status"][..], &["explain", "job-1"], &["drain", "hanoi"]] {
-        show(&[command, &script].concat());
+        show(&[command, &for_scripts].concat());
     }
     insta::assert_snapshot!(trace);
 }
@@ -128,11 +128,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_client_tells_of_limits_and_exits_with_a_code_for_each_outcome() {
+async fn the_limits_commands_print_and_exit_with_a_code_for_each_outcome() {
     let members = json!([{"name": "n-0", "incarnation": 1}, {"name": "n-1", "incarnation": 1}]);
     let assignment = json!({"members": members, "teams": {"whole": 1}, "gangs": [0, 1],
         "had_gangs": true, "slots": [0, 1]});
-    // The assignment's revision is 1: the record is of it.
+    // The assignment is the first record and gets revision 1, to which this record refers.
     let divided = json!({"assignment": 1, "limit": [10_000_000, 4_000_000],
         "allotments": {"n-0": [6_000_000, 4_000_000], "n-1": [4_000_000, 0]}});
     let records = [
@@ -149,7 +149,7 @@
         ("r/p/job-7/0", json!([[1, "vm-1", 1]])),
         ("e/job-8", json!("done")),
     ];
-    let (state, addr) = store(&records).await;
+    let (state, addr) = start_with_records(&records).await;
     let folder = limits_folder(addr);
     let mut trace = String::new();
     let mut show = |arguments: &[&str]| {
@@ -157,34 +157,34 @@
         arguments.insert(0, "limits");
         trace.push_str(&run(&folder, &arguments));
     };
-    let file = ["--config", "settings.json"];
-    let script = ["--config", "settings.json", "--output", "json"];
-    show(&[&["status"][..], &file].concat());
-    show(&[&["status"][..], &script].concat());
+    let for_people = ["--config", "settings.json"];
+    let for_scripts = ["--config", "settings.json", "--output", "json"];
+    show(&[&["status"][..], &for_people].concat());
+    show(&[&["status"][..], &for_scripts].concat());
     for number in 1..=7 {
         let job = format!("job-{number}");
-        show(&[&["explain", &job][..], &file].concat());
-        show(&[&["explain", &job][..], &script].concat());
+        show(&[&["explain", &job][..], &for_people].concat());
+        show(&[&["explain", &job][..], &for_scripts].concat());
     }
-    show(&[&["explain", "job-8"][..], &script].concat());
-    show(&[&["explain", "job-77"][..], &script].concat());
+    show(&[&["explain", "job-8"][..], &for_scripts].concat());
+    show(&[&["explain", "job-77"][..], &for_scripts].concat());
     show(&["status", "--config", "absent.json"]);
     show(&["status", "--config", "broken.json"]);
     state.set_outage(true);
-    show(&[&["status"][..], &script].concat());
-    show(&[&["explain", "job-1"][..], &script].concat());
+    show(&[&["status"][..], &for_scripts].concat());
+    show(&[&["explain", "job-1"][..], &for_scripts].concat());
     insta::assert_snapshot!(trace);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_client_asks_for_patience_during_a_takeover() {
-    let (_state, addr) = store(&[]).await;
+async fn the_limits_commands_ask_to_retry_during_a_takeover() {
+    let (_state, addr) = start_with_records(&[]).await;
     let folder = limits_folder(addr);
-    let file = ["--config", "settings.json"];
-    let status = run(&folder, &[&["limits", "status"][..], &file].concat());
+    let arguments = ["--config", "settings.json"];
+    let status = run(&folder, &[&["limits", "status"][..], &arguments].concat());
     let explain = run(
         &folder,
-        &[&["limits", "explain", "job-1"][..], &file].concat(),
+        &[&["limits", "explain", "job-1"][..], &arguments].concat(),
     );
     insta::assert_snapshot!(status + &explain);
 }
--- a/tests/compatibility/main.rs
+++ b/tests/compatibility/main.rs
@@ -1,5 +1,5 @@
-//! The program as operators and their scripts meet it: what its client and its check print, and the codes
-//! they exit with. The records that it reads are put there by the test.
+//! The program as operators and their scripts use it: the output and the exit codes of the client and of `check`. The
+//! records that the client reads are written by the tests.
 #![allow(clippy::too_many_lines, reason = "a test plays a whole scenario")]
 
 mod check;
--- a/tests/compatibility/run.rs
+++ b/tests/compatibility/run.rs
@@ -1,10 +1,10 @@
-//! Runs the program once, and shows what it did.
+//! Runs the program, and returns its output as text.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A folder of its own for a test's files.
+/// Creates a folder for the files of one test.
 pub fn folder() -> PathBuf {
     static FOLDERS: AtomicUsize = AtomicUsize::new(0);
     let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
@@ -18,7 +18,7 @@
     std::fs::write(folder.join(name), text).unwrap();
 }
 
-/// The command, its exit code and both outputs.
+/// Runs the program in `folder`. Returns the command, the exit code, standard output and standard error as text.
 pub fn run(folder: &Path, arguments: &[&str]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_rowanmill"));
     let output = command.current_dir(folder).args(arguments).output();
