--- a/src/jobs/writer.rs
+++ b/src/jobs/writer.rs
@@ -100,7 +100,7 @@
     // record as their precondition.
     core.update_ownership(&node.identity, now);
     discard_unstartable_starts(core, &node.identity);
-    limits::withdraw_uncovered_starts(core);
+    limits::discard_uncovered_starts(core);
     discard_incomplete_gangs(core);
     let selection = Selection {
         core,
--- a/src/limits/withdrawal.rs
+++ b/src/limits/discard.rs
@@ -1,14 +1,14 @@
-//! Withdraws planned starts that this controller's allocations do not cover.
+//! Discards planned starts that this controller's allocations do not cover.
 
 use super::{DividedTeam, refresh_usage};
 use crate::jobs::{TaskId, TaskRecord};
 use crate::node::Core;
 use std::collections::HashMap;
 
-/// Withdraws planned starts that this controller's allocations do not cover: the records may have changed
-/// since the starts were planned. Starts that come first in the plan are kept; a gang is kept or withdrawn as
+/// Discards planned starts that this controller's allocations do not cover: the records may have changed
+/// since the starts were planned. Starts that come first in the plan are kept; a gang is kept or discarded as
 /// a whole.
-pub fn withdraw_uncovered_starts(core: &mut Core) {
+pub fn discard_uncovered_starts(core: &mut Core) {
     refresh_usage(core);
     let overcommitted = core
         .limits
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -7,6 +7,7 @@
 
 mod blocked;
 mod charge;
+mod discard;
 mod leader;
 mod report;
 mod team;
@@ -14,13 +15,13 @@
 mod tests;
 mod transfer;
 mod usage;
-mod withdrawal;
 
 use crate::node::Core;
 use crate::settings::Settings;
 use crate::state::records::Versioned;
 pub use blocked::{MAX_PUBLISHED_GANG_BYTES, record_blocked_gangs};
 pub use charge::QuotaCharge;
+pub use discard::discard_uncovered_starts;
 pub use leader::allocate_limits;
 pub use report::log_team_quotas;
 use rowanmill_limits::{AllocationRecord, LimitsConfig, QuotaHolder, TeamLimit, WaitingUnit};
@@ -29,7 +30,6 @@
 pub use transfer::change_own_allocations;
 use usage::TeamUsage;
 pub use usage::refresh_usage;
-pub use withdrawal::withdraw_uncovered_starts;
 
 /// A record of quota allocations as the replica keeps it; the inner value is `None` if it cannot be read.
 pub type StoredAllocations = Versioned<Option<AllocationRecord>>;
--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -54,10 +54,10 @@
         .sum()
 }
 
-/// Planned starts that the record no longer covers after a change are withdrawn, gangs as a whole. The other
+/// Planned starts that the record no longer covers after a change are discarded, gangs as a whole. The other
 /// planned starts are charged to the record.
 #[test]
-fn starts_that_the_allocation_does_not_cover_are_withdrawn() {
+fn starts_that_the_allocation_does_not_cover_are_discarded() {
     let mut core = core(10.0, 5_000_000);
     add_job(&mut core, "job-1", "array", 4);
     add_job(&mut core, "job-2", "group", 3);
@@ -65,7 +65,7 @@
     (0..3).for_each(|task| plan_start(&mut core, "job-2", task));
     core.pending_changes
         .rank_starts(["job-1", "job-2"].into_iter());
-    withdraw_uncovered_starts(&mut core);
+    discard_uncovered_starts(&mut core);
     assert_eq!(
         planned_starts(&core),
         4,
@@ -79,7 +79,7 @@
     assert_eq!(charge.precondition().key, "r/a/t");
     let smaller = json!({"assignment": 5, "limit": [10_000_000, 0], "allotments": {OWN_NAME: [2_500_000, 0]}});
     put(&mut core, "r/a/t", smaller, 8);
-    withdraw_uncovered_starts(&mut core);
+    discard_uncovered_starts(&mut core);
     assert_eq!(planned_starts(&core), 2);
 }
 
@@ -109,7 +109,7 @@
         add_job(&mut core, "job-1", "array", 1);
         plan_start(&mut core, "job-1", 0);
         put(&mut core, key, data.clone(), 9);
-        withdraw_uncovered_starts(&mut core);
+        discard_uncovered_starts(&mut core);
         assert_eq!(planned_starts(&core), 0, "{data}");
     }
 }
