--- a/crates/rowanmill-limits/src/config.rs
+++ b/crates/rowanmill-limits/src/config.rs
@@ -13,13 +13,14 @@
     pub change_every_s: f64,
     /// The minimum size of a transfer, as a fraction of the limit. A smaller transfer is made only if it
     /// covers the recipient's whole shortfall, or if the recipient's oldest waiting work does not fit into
-    /// its allocation.
+    /// the free part of its allocation.
     pub step: f64,
     /// How long a controller keeps headroom that its waiting work does not use, in seconds, before it
     /// transfers that headroom to others. Such work waits for machines, not for the limit.
     pub idle_after_s: f64,
-    /// How long a gang waits, in seconds, before headroom that becomes free is reserved for it. Applies to
-    /// gangs that only their team's limit keeps from starting.
+    /// How long a gang waits, in seconds, before headroom that becomes free is reserved for it, if only its
+    /// team's limit keeps it from starting. The same applies to a single task that exceeds the headroom. A gang
+    /// or task that needs only a fraction of the limit waits for that fraction of the time.
     pub reserve_after_s: f64,
 }
 
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -77,9 +77,9 @@
         Self::new(config, &settings.member, limits.collect())
     }
 
-    /// How long a gang waits, in seconds, before headroom is reserved for it. Applies to gangs that only
-    /// their team's limit keeps from starting.
-    pub fn gang_reservation_delay_s(&self) -> f64 {
+    /// How long a gang or a task that needs the whole limit waits, in seconds, before headroom is reserved for
+    /// it; see [`LimitsConfig::reserve_after_s`].
+    pub fn reservation_delay_s(&self) -> f64 {
         self.config.reserve_after_s
     }
 
--- a/src/placement/service/starts.rs
+++ b/src/placement/service/starts.rs
@@ -23,7 +23,7 @@
         let _charge = node.processor_time.charge(CpuAccount::Placement);
         let limits = packing::PackingLimits {
             headroom: &snapshot.headroom,
-            reservation_delay_s: core.limits.gang_reservation_delay_s(),
+            reservation_delay_s: core.limits.reservation_delay_s(),
         };
         packing::pack(
             &snapshot.jobs,
