--- a/crates/rowanmill-limits/src/amount.rs
+++ b/crates/rowanmill-limits/src/amount.rs
@@ -5,8 +5,8 @@
 
 /// Units in one CPU or GPU.
 const UNITS_PER_RESOURCE: f64 = 1e6;
-/// Tolerance, in units, for decimal fractions without an exact binary representation: a smaller excess is a
-/// rounding error.
+/// Tolerance, in units, for decimal fractions without an exact binary representation: a smaller difference
+/// from a whole unit is treated as a rounding error.
 const REPRESENTATION_TOLERANCE: f64 = 0.01;
 /// The largest amount of either resource, in CPUs or GPUs. In units, the sum of a million such amounts fits
 /// into 64 bits.
--- a/crates/rowanmill-limits/src/demand.rs
+++ b/crates/rowanmill-limits/src/demand.rs
@@ -77,9 +77,10 @@
 }
 
 /// Whether a controller leaves its headroom to others for now. It does so if it has no machine while a
-/// controller that has machines also has waiting tasks. Without such a controller the headroom stays where it
-/// is, since the next machine may be rented for any of them. A controller whose oldest unit is a gang yields
-/// nothing: a gang asks for the limit only once its machines are nearly available or it has waited for long.
+/// controller that has machines also has waiting tasks. Without such a controller nobody could use the
+/// headroom, so it stays where it is: the next machine may be rented for this controller. A controller whose
+/// oldest unit is a gang yields nothing: a gang asks for the limit only once its machines are nearly available
+/// or it has waited for long.
 pub(crate) fn yields_headroom(demand: &MemberDemand, members: &[MemberDemand]) -> bool {
     let could_use_it = |other: &MemberDemand| !other.lacks_machines && !other.waiting.is_zero();
     let asks_for_gang = demand.oldest.as_ref().is_some_and(|unit| unit.is_gang);
--- a/crates/rowanmill-limits/src/holder.rs
+++ b/crates/rowanmill-limits/src/holder.rs
@@ -118,7 +118,7 @@
 
     /// The resources with which the controller may start tasks now, in addition to `charged`, which its tasks
     /// use or are planned to use. While another controller needs a part of its allocation to start waiting
-    /// work, this is less than the allocation leaves.
+    /// work, this may be less than the allocation leaves.
     pub fn headroom(&self, team: &str, view: &TeamView, charged: ResourceAmount) -> ResourceAmount {
         let mut usable = self.allocation(view);
         if let Some(versioned) = view.valid_record() {
--- a/crates/rowanmill-limits/src/key.rs
+++ b/crates/rowanmill-limits/src/key.rs
@@ -21,7 +21,7 @@
     encoded
 }
 
-/// Decodes what [`encode_team`] returned; `None` if the text is not an encoded name.
+/// Decodes what [`encode_team`] returned; `None` if an escape is invalid or the name is not UTF-8.
 pub fn decode_team(encoded: &str) -> Option<String> {
     let mut name = Vec::with_capacity(encoded.len());
     let mut rest = encoded.bytes();
--- a/crates/rowanmill-limits/src/report/explanation.rs
+++ b/crates/rowanmill-limits/src/report/explanation.rs
@@ -12,7 +12,8 @@
 pub enum WaitReason {
     /// None of its tasks is waiting.
     Nothing,
-    /// Its team has no limit, or the limit leaves enough: the job waits for machines or for its turn.
+    /// Its team has no divided limit, or its controller's allocation leaves enough: the job waits for machines
+    /// or for its turn.
     Machines,
     /// The team's limit leaves too little: tasks of the team must end first.
     Limit,
@@ -98,9 +99,9 @@
         }
     }
 
-    /// Explains a job that does not wait for a divided limit: its team has none, or none of its tasks is
-    /// waiting. `unit` is the smallest part of it that can start, if any waits. `since_ms` is when its tasks
-    /// could first start, in milliseconds since the epoch.
+    /// Explains a job that does not wait for a divided limit: its team has no limit or one that is not divided,
+    /// or none of its tasks is waiting. `unit` is the smallest part of it that can start, if any waits.
+    /// `since_ms` is when its tasks could first start, in milliseconds since the epoch.
     pub fn without_limit(identity: JobIdentity, unit: Option<&WaitingUnit>, since_ms: u64) -> Self {
         let reason = match unit {
             Some(_) => WaitReason::Machines,
--- a/crates/rowanmill-limits/src/targets.rs
+++ b/crates/rowanmill-limits/src/targets.rs
@@ -8,7 +8,8 @@
 /// `limit`.
 ///
 /// If the limit covers all demand, each controller gets its demand and an equal share of the rest, so that
-/// the next job finds headroom wherever it is submitted. Otherwise the limit is distributed in this order:
+/// the next job finds headroom wherever it is submitted. Otherwise the limit is distributed in this order, as
+/// far as it suffices:
 /// - the controller of the oldest waiting gang gets the amount that the gang needs in addition to the tasks
 ///   that run there;
 /// - each other controller gets at least the amount that its own oldest unit needs, gangs first and then by
--- a/src/limits/charge.rs
+++ b/src/limits/charge.rs
@@ -5,8 +5,8 @@
 use crate::state::{Precondition, RecordKey};
 use rowanmill_limits::{InDoubtTransaction, ResourceAmount};
 
-/// The part of a team's allocation that a transaction takes, and the revisions for which that was checked
-/// against the headroom.
+/// The part of a team's allocation that a transaction takes, and the revisions of the records from which the
+/// headroom for it was computed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QuotaCharge {
     /// The team.
--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -161,7 +161,8 @@
     assert_eq!(headroom_cpus(&mut core), 1.0);
 }
 
-/// Limits the size of the stored records with 200 limited teams and 2,000 jobs.
+/// Guards against records that no longer fit into a value of the state service. With 200 limited teams and 2,000
+/// jobs, the record of a team stays small, and the published gangs take no more room than is kept for them.
 #[test]
 fn records_of_200_teams_stay_small() {
     let members = 5;
--- a/src/limits/usage.rs
+++ b/src/limits/usage.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 /// For how long work at a controller without a machine leaves the limit to others, as a multiple of
-/// `reserve_after_s`. After the same time, a gang without machines asks for the limit, too.
+/// `reserve_after_s`. After at most the same time, a gang without machines asks for the limit, too.
 const MAX_YIELD_FACTOR: f64 = 3.0;
 
 /// The usage and demand of a team's unfinished jobs.
@@ -66,7 +66,7 @@
     teams
 }
 
-/// The divided teams with the usage of teams that have no jobs.
+/// The divided teams, with their usage before any job is counted.
 fn idle_teams(core: &Core) -> BTreeMap<String, TeamUsage> {
     let Some(assignment) = &core.replica.assignment else {
         return BTreeMap::new();
--- a/src/renting/cloud_list.rs
+++ b/src/renting/cloud_list.rs
@@ -8,15 +8,16 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How far in the past the preemption time of a failed machine is set, so that the machine counts as preempted now.
+/// How far in the past the preemption time of a failed machine is set, so that the machine counts as preempted once
+/// its heartbeats are missing.
 const FAILED_MACHINE_PREEMPTION_AGE: Duration = Duration::from_secs(1);
 /// A leader adopts machines from the list after it has led for this many times the list's lag plus the margin.
 const ADOPTION_LAG_FACTOR: f64 = 2.0;
 const ADOPTION_MARGIN_S: f64 = 5.0;
 const MS_PER_S: f64 = 1000.0;
 
-/// Reads the cloud's list, adopts machines that no record names, and marks failed machines for release. Called on the
-/// leader only.
+/// Reads the cloud's list, adopts machines that no record names, and marks failed machines that report to this
+/// controller for release. Called on the leader only.
 pub(super) async fn reconcile_with_cloud_list(node: &Arc<Node>, leader_revision: u64) {
     let Ok(list) = node.cloud.list().await else {
         return; // the list is read again after the next interval
@@ -42,7 +43,7 @@
 }
 
 /// Whether no record names the machine and no release of it is known here. A recorded machine that failed is marked
-/// for release.
+/// for release if it reports to this controller.
 fn is_unrecorded(core: &mut Core, listed: &ListedMachine) -> bool {
     let fleet = &core.replica.fleet;
     if !fleet.machines.contains_key(&listed.name) {
--- a/src/renting/decide.rs
+++ b/src/renting/decide.rs
@@ -63,7 +63,8 @@
     })
 }
 
-/// Handles a provisioning event (algorithm 1): decides for each machine type whether to rent, release or hold.
+/// Handles a provisioning event (algorithm 1 of the CVSS paper): decides for each machine type whether to rent,
+/// release or hold.
 pub fn apply_periodic_policy(node: &Node, core: &mut Core, now_ms: u64) {
     for (machine_type, forecast) in sum_forecasts(node, core, now_ms) {
         let Some(facts) = machine_type_facts(core, &machine_type, &forecast) else {
--- a/src/renting/forecast.rs
+++ b/src/renting/forecast.rs
@@ -161,7 +161,8 @@
     queues
 }
 
-/// Computes the demand by machine type from the placement forecast: steps 1 to 6 of algorithm 1.
+/// Computes the demand by machine type from the placement forecast: steps 1 to 6 of algorithm 1 of
+/// the CVSS paper.
 fn demand_by_machine_type(
     node: &Node,
     core: &Core,
@@ -312,8 +313,8 @@
 }
 
 /// Maximum number of idle machines per machine type in the format with hold times, which the previous version
-/// reads. The format with names only is limited by the record's size alone: a value of 2 KiB holds just 6 machines
-/// with hold times, and hundreds of machines stayed idle for minutes when 6 per period were offered.
+/// reads. The format with names only is limited by the record's size alone. A value of 2 KiB holds only 6 machines
+/// with hold times, and with 6 offered per period, hundreds of machines stayed idle for minutes.
 const MAX_IDLE_WITH_HOLD: usize = 30;
 /// Bytes per idle machine in the format with hold times.
 const IDLE_MACHINE_BYTES: usize = 160;
--- a/src/renting/forecast/waiting_work.rs
+++ b/src/renting/forecast/waiting_work.rs
@@ -20,7 +20,8 @@
 }
 
 impl WaitingWork<'_> {
-    /// Logs the forecast of a limited team's job, and the number of machines wanted for it.
+    /// Logs the forecast of a limited team's job, the number of machines wanted for it, and the values that limit
+    /// this number.
     pub fn log_if_limited(&self) {
         if self.job.team.is_none() {
             return;
@@ -70,8 +71,8 @@
     }
 
     /// Number of machines that would be filled by those late tasks that new machines help, if each task fills
-    /// `share` of a machine. Tasks beyond the team's headroom add at most the machines that the team's unused quota
-    /// could fill at once.
+    /// `share` of a machine. Tasks beyond the team's headroom raise the number at most to the machines that the
+    /// team's unused quota could fill at once.
     fn machines_filled(&self, share: f64) -> f64 {
         let per_slot = tasks_per_slot(self.job.due, self.job.duration, self.machine_type.boot_s);
         let BeyondHeadroom {
--- a/src/renting/provision.rs
+++ b/src/renting/provision.rs
@@ -82,8 +82,8 @@
     substitute_requests(request, remaining.count)
 }
 
-/// Rents machines of one pool, in as many rentals as the size of their records requires. Stops at the first rental
-/// that the cloud does not fill. Returns the number of machines received.
+/// Rents machines of one pool, in as many rentals as the maximum number of machines per rental requires. Stops at
+/// the first rental that the cloud does not fill. Returns the number of machines received.
 async fn rent_from_pool(
     node: &Arc<Node>,
     leader_revision: u64,
@@ -112,8 +112,9 @@
     received
 }
 
-/// Returns requests for substitutes of the missing machines. The paper has only one machine type. If the cloud has
-/// no more machines of a type, running late work on another type is better than not running it.
+/// Returns requests for substitutes of the missing machines. The CVSS paper has only one machine type. If the cloud
+/// has no more machines of a type, it is better that work runs on another type, even late, than that it does not
+/// run at all.
 fn substitute_requests(request: &ScaleOutRequest, missing: u32) -> Vec<ScaleOutRequest> {
     let substitutes = request.substitutes.iter();
     substitutes
--- a/src/renting/release.rs
+++ b/src/renting/release.rs
@@ -1,5 +1,6 @@
-//! Releases machines in four steps: records them as draining, records them as releasing, asks the cloud to
-//! release them, and removes them from the records. `decide` and `release_decision` select the machines.
+//! Releases machines: records them as releasing, asks the cloud to release them, and removes them from the records.
+//! Machines that are released to scale in are recorded as draining before that. `decide` selects the machines to
+//! drain, and `release_decision` those to release.
 
 use super::machine_writes::write_machine_changes;
 use super::release_decision::{Release, ReleaseDecision, decide_releases};
--- a/src/renting/rental.rs
+++ b/src/renting/rental.rs
@@ -78,7 +78,8 @@
     received
 }
 
-/// Returns the names of the machines received, or `None` if the request failed, so that the rental stays
+/// Returns the names of the machines received, which are none if the cloud has no capacity or rejects the request as
+/// malformed. Returns `None` if the request was not executed or its outcome is unknown, so that the rental stays
 /// unconfirmed.
 async fn request_machines(node: &Node, name: &str, rental: &Rental) -> Option<Vec<String>> {
     let pool = &rental.pool;
--- a/src/renting/rules.rs
+++ b/src/renting/rules.rs
@@ -1,4 +1,4 @@
-//! The paper's two provisioning policies, as pure functions of a forecast and the operators' parameters.
+//! The CVSS paper's two provisioning policies, as pure functions of a forecast and the operators' parameters.
 
 use super::summary::{DemandForecast, IdleMachine};
 use crate::policy::ScalingParameters;
--- a/src/renting/service.rs
+++ b/src/renting/service.rs
@@ -87,8 +87,8 @@
     apply_remedial_policy(node, &mut core, now, now_ms);
 }
 
-/// Whether there is any work or machine to decide on. The first provisioning event waits for it: an event
-/// before the first forecasts with work would delay the decision on them by a period.
+/// Whether there is any work or machine to decide on. A provisioning event waits for it: an event before the first
+/// forecasts with work would delay the decision on them by a period.
 fn has_demand_or_machines(node: &Node, core: &Core, now_ms: u64) -> bool {
     let forecasts = sum_forecasts(node, core, now_ms);
     forecasts.values().any(DemandForecast::has_work) || !core.replica.fleet.machines.is_empty()
--- a/src/renting/state.rs
+++ b/src/renting/state.rs
@@ -1,4 +1,5 @@
-//! In-memory state of a controller for scaling. It is not durable: a new leader starts with empty state.
+//! In-memory state of a controller for scaling. It is not durable, and a new leader does not get the
+//! state of the previous one.
 
 use super::release_decision::ReleaseReason;
 use super::summary::ForecastSummaryRecord;
@@ -18,7 +19,7 @@
     pub scale_out_requests: Vec<ScaleOutRequest>,
     /// Machines whose release is in progress.
     pub releasing: BTreeMap<String, ReleaseReason>,
-    /// Machines to be recorded as draining.
+    /// Leader: machines to be recorded as draining.
     pub to_drain: Vec<String>,
     /// Pools in which the cloud had no capacity, with the time until which they are not requested again.
     pub exhausted_pools: HashMap<MachinePool, Instant>,
@@ -118,7 +119,7 @@
         self.arrivals_before_last_period
     }
 
-    /// Arrivals per completion. This is the paper's coefficient k, "based on the arrival rate" (algorithm 1).
+    /// Arrivals per completion. This is the CVSS paper's coefficient k, "based on the arrival rate" (algorithm 1).
     pub fn arrivals_per_completion(&self) -> f64 {
         self.arrivals / self.completions.max(1.0)
     }
--- a/src/renting/summary.rs
+++ b/src/renting/summary.rs
@@ -8,12 +8,13 @@
 
 /// Demand for one machine type, as one controller forecasts it or as the leader sums it.
 ///
-/// Amounts of work weight each task by the fraction of a machine that it fills. The paper counts tasks, since its
-/// tasks are alike; here, a few gangs that wait for whole machines would hardly count among thousands of small
+/// Amounts of work weight each task by the fraction of a machine that it fills. The CVSS paper counts tasks, since
+/// its tasks are alike; here, a few gangs that wait for whole machines would hardly count among thousands of small
 /// tasks.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct DemandForecast {
-    /// Work that is late now: finished late since the last provisioning event, or waiting past its deadline.
+    /// Work that is late now: finished late since the controller's last periodic forecast, or waiting past its
+    /// deadline.
     pub late_now: f64,
     /// Total work that `late_now` is a part of.
     pub counted_now: f64,
@@ -43,9 +44,9 @@
         skip_serializing_if = "BTreeMap::is_empty"
     )]
     pub wanted_substitutes: BTreeMap<String, f64>,
-    /// Number of tasks that arrived since the last provisioning event.
+    /// Number of tasks that arrived within the last period.
     pub arrived: u32,
-    /// Number of tasks that finished since the last provisioning event.
+    /// Number of tasks that finished since the controller's last periodic forecast.
     pub finished: u32,
     /// Idle machines whose hold is over and to which the forecast mapped no task.
     #[serde(rename = "held")]
@@ -64,7 +65,8 @@
     pub remaining_hold_s: f64,
 }
 
-/// The forecasts and the write rate that a controller publishes.
+/// What a controller publishes: its forecasts, the state of its writes, and its gangs that are blocked by team
+/// limits.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct ForecastSummaryRecord {
     /// Time of the forecast, in milliseconds since the Unix epoch.
@@ -123,7 +125,7 @@
             }));
     }
 
-    /// Whether any work is waiting, running, or finished since the last provisioning event.
+    /// Whether any work is waiting, running, or finished since the last periodic forecast.
     pub fn has_work(&self) -> bool {
         self.counted_next + self.counted_now + self.running > 0.0
     }
