--- a/crates/rowanmill-cells/src/config.rs
+++ b/crates/rowanmill-cells/src/config.rs
@@ -40,14 +40,14 @@
 #[derive(Debug, Clone, Deserialize)]
 pub struct SpillConfig {
     /// Seconds for which a job must have waited, with no task started, before it spills. If absent, waiting
-    /// jobs do not spill.
+    /// jobs spill only from a cell that is being drained.
     #[serde(default)]
     pub after_s: Option<f64>,
-    /// Largest number of jobs that leave a cell at a time.
+    /// Number of jobs that may be leaving a cell at a time. While so many are leaving, no further job spills.
     #[serde(default = "default_at_once")]
     pub at_once: usize,
     /// Number of times that a job spills after the usual wait; before each further spill it waits longer. With
-    /// 0, jobs leave only a cell that is being drained.
+    /// 0, waiting jobs spill only from a cell that is being drained.
     #[serde(default = "default_moves")]
     pub moves: u32,
     /// Path of a script that chooses the receiving cell, relative to the directory of this file.
--- a/crates/rowanmill-cells/src/contact.rs
+++ b/crates/rowanmill-cells/src/contact.rs
@@ -27,7 +27,8 @@
     /// When the other controllers were last queried with the result that all of them attested that they have
     /// lost contact.
     pub last_attestation_at: Option<Instant>,
-    /// Jobs in this cell's own records that it must not run.
+    /// Jobs that this cell must not run: jobs in its own records and, after attestations, all jobs that these
+    /// listed as revoked.
     pub halted: Arc<BTreeSet<String>>,
 }
 
--- a/crates/rowanmill-cells/src/plan.rs
+++ b/crates/rowanmill-cells/src/plan.rs
@@ -99,7 +99,8 @@
     fn is_halted(&self, replica: &LedgerReplica, job: &TrackedJob) -> bool {
         match replica.jobs.get(&job.id) {
             Some(current) => current.record.cancelled || current.record.owner != self.cell,
-            // The job has ended, unless the replica has not read its acceptance yet.
+            // The job has ended or its record is unreadable, unless the replica has not read its acceptance
+            // yet.
             None => replica.revision >= job.ownership.revision,
         }
     }
@@ -162,8 +163,8 @@
         actions
     }
 
-    /// Forgets relinquished and ineligible jobs whose epoch has changed, and ineligible ones after
-    /// [`INELIGIBILITY_TTL`].
+    /// Forgets relinquished and ineligible jobs that are no longer open or whose epoch has changed, and
+    /// ineligible ones after [`INELIGIBILITY_TTL`].
     fn discard_outdated(&mut self, round: Round<'_>) {
         let is_current = |id: &String, epoch: u64| {
             let job = round.replica.jobs.get(id);
--- a/crates/rowanmill-cells/src/plan/action.rs
+++ b/crates/rowanmill-cells/src/plan/action.rs
@@ -30,7 +30,8 @@
     Withdraw {
         /// The job.
         id: String,
-        /// The version of the ledger's record because of which it leaves.
+        /// The version of the ledger's record from which the withdrawal was planned; if the job has ended,
+        /// the version from which the cell's own record was written.
         ownership: OwnershipVersion,
         /// Whether it leaves even if some of its tasks have started.
         condition: WithdrawalCondition,
@@ -88,7 +89,7 @@
 pub struct LocalJobs {
     /// State of each job that the ledger says this cell owns.
     pub owned: Vec<(String, LocalJobState)>,
-    /// All jobs of the cell's records that have a record in the ledger.
+    /// All open jobs of the cell's records that were written from a record of the ledger.
     pub tracked: Vec<TrackedJob>,
 }
 
--- a/crates/rowanmill-cells/src/plan/dependencies.rs
+++ b/crates/rowanmill-cells/src/plan/dependencies.rs
@@ -11,7 +11,8 @@
     Pending,
     /// At least one was cancelled.
     Cancelled,
-    /// This job is no longer open, and its final state has to be read from the ledger.
+    /// The dependency with this identifier has no open record in the replica, and its final state has to be
+    /// read from the ledger.
     NotCached(String),
 }
 
--- a/crates/rowanmill-cells/src/plan/handover.rs
+++ b/crates/rowanmill-cells/src/plan/handover.rs
@@ -9,8 +9,9 @@
 /// Largest age at which a capacity summary is used, counted from when it was read. It is five times the
 /// interval at which cells publish their summaries.
 pub(super) const MAX_SUMMARY_AGE: Duration = Duration::from_secs(15);
-/// Factor on the wait of a job that has spilled `moves` times. Such a job waits [`MAX_SUMMARY_AGE`] in
-/// addition, so that every summary by which its next cell is chosen was read after its last move.
+/// Factor on the wait of a job that has spilled `spill.moves` times or more. Such a job waits
+/// [`MAX_SUMMARY_AGE`] in addition, so that every summary by which its next cell is chosen was read after its
+/// last move.
 const SLOWED_WAIT_FACTOR: u32 = 2;
 
 /// The free capacity of the other cells as this cell knows it in one round.
@@ -69,7 +70,7 @@
     }
 
     /// The next owner of a job that this cell cannot run: the cell that accepted it, if it is another one
-    /// and is present, or else a cell with free capacity.
+    /// and is present, or else a cell with capacity.
     pub(super) fn choose_cell_for_declined(
         &self,
         round: Round<'_>,
@@ -83,8 +84,8 @@
         self.choose_cell_with_capacity(capacity, job)
     }
 
-    /// The next owner of a job: the one that the ranking chooses among the cells that have capacity and
-    /// have not declined the job.
+    /// The next owner of a job: the one that the ranking chooses among the cells that have capacity (free
+    /// CPUs, or permission to rent machines) and have not declined the job.
     pub(super) fn choose_cell_with_capacity(
         &self,
         capacity: &AvailableCapacity,
--- a/crates/rowanmill-cells/src/plan/outside_records.rs
+++ b/crates/rowanmill-cells/src/plan/outside_records.rs
@@ -1,5 +1,5 @@
 //! Counts owned jobs that wait but are not counted by the cell's own records. The cell publishes them as
-//! waiting, so that other cells send it no further jobs.
+//! waiting, so that other cells spill no jobs to it.
 
 use super::Planner;
 use super::dependencies::DependencyState;
--- a/crates/rowanmill-cells/src/plan/takeover.rs
+++ b/crates/rowanmill-cells/src/plan/takeover.rs
@@ -13,7 +13,8 @@
 
 impl Planner {
     /// Jobs that this cell may take over now: their owners have been absent for so long that none of the
-    /// jobs' tasks can run there any more. The ranking of the cells differs from job to job.
+    /// jobs' tasks can run there any more, and the delay for this cell's rank has passed. The rank differs
+    /// from job to job.
     pub fn takeover_candidates<'a>(
         &self,
         replica: &'a LedgerReplica,
--- a/crates/rowanmill-cells/src/ranking.rs
+++ b/crates/rowanmill-cells/src/ranking.rs
@@ -16,7 +16,7 @@
 pub struct Candidate {
     /// Its name.
     pub name: String,
-    /// CPUs of its machines that no task uses.
+    /// CPUs of its machines that no task uses, less those of jobs that it received after it published them.
     pub free_cpus: f64,
     /// Whether the cell may rent machines: its cloud has not recently refused a rental.
     pub can_rent: bool,
--- a/crates/rowanmill-cells/src/record.rs
+++ b/crates/rowanmill-cells/src/record.rs
@@ -137,8 +137,8 @@
         }
     }
 
-    /// The record with the same owner and the next epoch. A handover that was sent earlier and is applied
-    /// after this change fails on its precondition.
+    /// The record with the same owner and the next epoch. A handover that was sent earlier and arrives after
+    /// this change fails on its precondition.
     pub fn reclaimed(&self) -> Self {
         self.with_owner(&self.owner)
     }
@@ -184,8 +184,8 @@
     /// When it was computed, in milliseconds since the Unix epoch.
     #[serde(rename = "at_ms")]
     pub computed_ms: u64,
-    /// Number of tasks that wait for a machine. An owned job that is not in the cell's own records, or that
-    /// is leaving them, counts as one task.
+    /// Number of tasks that wait for a machine. An owned job that waits for one and is not in the cell's own
+    /// records, or is leaving them, counts as one task.
     #[serde(rename = "waiting")]
     pub waiting_tasks: u64,
     /// CPUs of the cell's machines that no task uses.
--- a/crates/rowanmill-cells/src/replica.rs
+++ b/crates/rowanmill-cells/src/replica.rs
@@ -52,7 +52,7 @@
     pub jobs: BTreeMap<String, Versioned<LedgerJob>>,
     /// The cells of the operators' file. Records of other cells are counted as malformed and ignored.
     pub cells: BTreeMap<String, CellState>,
-    /// Number of records that could not be parsed or that belong to an unknown cell.
+    /// Number of records that could not be parsed, that belong to an unknown cell or whose kind is unknown.
     pub malformed_records: u64,
     /// Open jobs whose record is malformed, with its revision. Only their existence is known.
     unreadable: BTreeMap<String, u64>,
--- a/crates/rowanmill-cells/src/replica/tests.rs
+++ b/crates/rowanmill-cells/src/replica/tests.rs
@@ -109,8 +109,8 @@
     assert_eq!(replica.revoked_since("a", 6), Some(Vec::new()));
 }
 
-/// Just after a cancellation was read, another controller may still start the job by an earlier read. A
-/// cancellation that is read anew from a listing counts as just read.
+/// Just after a cancellation was read, another controller may still start the job by an earlier read. A reload
+/// from a listing discards the time of that read, so that a cancellation in the listing counts as just read.
 #[test]
 fn cancellation_takes_effect_after_a_delay() {
     let start = Instant::now();
--- a/crates/rowanmill-cells/src/scheduler.rs
+++ b/crates/rowanmill-cells/src/scheduler.rs
@@ -29,14 +29,14 @@
     Cancelled,
 }
 
-/// A job of the cell's own records that has a record in the ledger.
+/// A job of the cell's own records that was written from a record of the ledger.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TrackedJob {
     /// The job's identifier.
     pub id: String,
     /// The version of the ledger's record from which the cell's own record was written.
     pub ownership: OwnershipVersion,
-    /// Whether no more of its tasks are started. Running ones may still be being stopped.
+    /// Whether it was cancelled or withdrawn. None of its tasks is started any more, but some may still run.
     pub is_stopping: bool,
 }
 
@@ -80,7 +80,7 @@
     fn is_leader(&self) -> bool;
     /// The states of these jobs, in the same order.
     fn local_job_states(&self, ids: &[String]) -> Vec<LocalJobState>;
-    /// All open jobs in the cell's records that have a record in the ledger.
+    /// All open jobs in the cell's records that were written from a record of the ledger.
     fn tracked_jobs(&self) -> Vec<TrackedJob>;
     /// The capacity that the cell publishes to the other cells.
     fn capacity_summary(&self) -> CapacitySummary;
@@ -103,8 +103,8 @@
     ) -> impl Future<Output = Result<bool, Unavailable>> + Send;
     /// Marks a job as cancelled in the cell's records.
     fn cancel(&self, id: &str) -> impl Future<Output = Result<(), Unavailable>> + Send;
-    /// Marks a job as leaving the cell, in the cell's records. `ownership` is the version of the ledger's
-    /// record because of which it leaves.
+    /// Marks a job as leaving the cell, in the cell's records. `ownership` replaces the version of the ledger's
+    /// record that the cell's own record contains; the job is relinquished under its epoch.
     fn withdraw(
         &self,
         id: &str,
--- a/crates/rowanmill-cells/src/service.rs
+++ b/crates/rowanmill-cells/src/service.rs
@@ -177,7 +177,7 @@
         self.view().replica.jobs.get(id).cloned()
     }
 
-    /// Commits a transaction, and returns the ledger's revision after it.
+    /// Commits a transaction, and returns the ledger's revision of its changes.
     async fn commit(&self, transaction: &Transaction) -> Result<u64, TransactionError> {
         let Transaction {
             preconditions,
@@ -190,8 +190,8 @@
 }
 
 /// The controller's share of the ledger's rate limits. Requests are divided among all controllers, because
-/// all of them send requests. Writes are divided among the cells only: nearly all of a cell's writes are
-/// acceptances of jobs and writes of its leader, for which its controllers share one part.
+/// all of them send requests. Writes are divided among the cells only, and each controller may use the whole
+/// part of its cell: nearly all of a cell's writes are acceptances of jobs and writes of its leader.
 fn ledger_share(config: &CellsConfig) -> ServiceQuota {
     let cells = config.cells.iter();
     let controllers: usize = cells.map(|cell| cell.controllers.len()).sum();
--- a/crates/rowanmill-cells/src/service/outcome.rs
+++ b/crates/rowanmill-cells/src/service/outcome.rs
@@ -61,6 +61,7 @@
 pub struct LedgerLossAttestation {
     /// The controller has loaded the ledger's records and has lost contact with the ledger since.
     pub is_disconnected: bool,
-    /// Jobs that changed after the revision of the query and that the querying cell must not run.
+    /// Jobs that changed after the revision of the query and that the querying cell must not run, and all
+    /// jobs that the attesting controller has halted.
     pub revoked_jobs: Vec<String>,
 }
--- a/crates/rowanmill-cells/src/service/presence.rs
+++ b/crates/rowanmill-cells/src/service/presence.rs
@@ -60,7 +60,8 @@
         Some(lease)
     }
 
-    /// Registers the cell if this process has not done so, or publishes its capacity when that is due.
+    /// Registers the cell unless its presence in the ledger was written by this process; otherwise publishes
+    /// its capacity when that is due.
     async fn publish_presence<S: Scheduler>(&self, scheduler: &S, lease: u64) {
         let presence = CellPresence {
             controller: self.controller.clone(),
--- a/crates/rowanmill-cells/src/service/requests.rs
+++ b/crates/rowanmill-cells/src/service/requests.rs
@@ -101,7 +101,8 @@
     }
 
     /// Waits until a recorded cancellation may be confirmed, because the job ended as cancelled or no
-    /// controller can start it any more. Returns false if neither is established before the deadline.
+    /// controller can start it any more. Returns false if neither is established before the deadline, or at
+    /// once if the job is open, completed or unknown.
     pub async fn await_cancellation(&self, id: &str) -> bool {
         let deadline = Instant::now() + CANCELLATION_EFFECT_DELAY + RETRY_DELAY;
         while Instant::now() < deadline {
--- a/crates/rowanmill-cells/src/service/watch.rs
+++ b/crates/rowanmill-cells/src/service/watch.rs
@@ -37,8 +37,8 @@
         let Some(mut revoked_jobs) = view.replica.revoked_since(cell, revision) else {
             return LedgerLossAttestation::default();
         };
-        // Includes what other controllers attested to this one: the querying controller may be unable to
-        // reach the controller that confirmed a change.
+        // Includes what other controllers attested to this one, and the jobs that it halted itself. The
+        // querying controller may be unable to reach the controller that confirmed a change.
         revoked_jobs.extend(view.contact.halted.iter().cloned());
         LedgerLossAttestation {
             is_disconnected: view.has_lost_ledger(),
@@ -76,7 +76,8 @@
         Ok(())
     }
 
-    /// Updates the set of jobs in the cell's own records that must not run.
+    /// Sets the halted jobs to those in the cell's own records that must not run according to the replica.
+    /// Jobs that only attestations listed are no longer halted.
     pub(super) fn update_halted<S: Scheduler>(&self, scheduler: &S) {
         let tracked = scheduler.tracked_jobs();
         let mut view = self.view();
--- a/crates/rowanmill-cells/src/transaction.rs
+++ b/crates/rowanmill-cells/src/transaction.rs
@@ -1,6 +1,7 @@
 //! Builds the transactions on the ledger; [`crate::service`] sends them.
 //!
-//! Each transaction has preconditions under which it fails, without an effect, if it arrives late or twice.
+//! Each transaction has preconditions that make it harmless if it arrives late or twice: it fails without an
+//! effect if one of the keys that it was built from has changed since.
 
 use crate::plan::{Action, HandoverReason};
 use crate::record::{
@@ -72,7 +73,7 @@
 }
 
 /// Registers a cell under a lease and increments its generation. If a takeover that was sent while the cell
-/// was absent is applied after the cell has returned and left again, the changed generation makes it fail.
+/// was absent arrives after the cell has returned and left again, the changed generation makes it fail.
 pub fn register(
     replica: &LedgerReplica,
     cell: &str,
@@ -123,8 +124,8 @@
 
 impl LedgerChange {
     /// The change that an action of `cell` requires, given the records in the replica. `None` if the action
-    /// changes only the cell's own records or if the job is no longer open. `max_operations` is the ledger's
-    /// limit on the number of operations in a transaction.
+    /// does not change the ledger or if the job is no longer open. `max_operations` is the ledger's limit on
+    /// the number of operations in a transaction.
     pub fn for_action(
         replica: &LedgerReplica,
         cell: &str,
--- a/crates/rowanmill-cells/tests/model/cell.rs
+++ b/crates/rowanmill-cells/tests/model/cell.rs
@@ -87,7 +87,8 @@
         self.controllers[controller].read_ledger(ledger, &tracked, now);
     }
 
-    /// Extends the cell's lease; returns the transaction that updates its presence, if one is needed.
+    /// Extends the cell's lease; returns the transaction that registers the cell or updates its presence, if one
+    /// is needed.
     pub fn renew_presence(
         &mut self,
         controller: usize,
--- a/crates/rowanmill-cells/tests/model/controller.rs
+++ b/crates/rowanmill-cells/tests/model/controller.rs
@@ -15,7 +15,8 @@
 pub const RENEW_WITHOUT_LEDGER: Duration = Duration::from_secs(3);
 /// `takeover_after_s` of the file: the sum of [`RENEW_WITHOUT_LEDGER`] and a worker's lease, with margins.
 const TAKEOVER_AFTER_S: f64 = 8.1;
-/// `takeover_after_s` with [`Defect::TakeOverAtOnce`]: too short for the workers' leases to expire.
+/// `takeover_after_s` with [`Defect::TakeOverAtOnce`]: the shortest that the file may set, and too short for the
+/// workers' leases to expire.
 const TAKEOVER_AT_ONCE_S: f64 = 0.1;
 
 fn config(defect: Defect) -> CellsConfig {
--- a/crates/rowanmill-cells/tests/model/users.rs
+++ b/crates/rowanmill-cells/tests/model/users.rs
@@ -1,4 +1,4 @@
-//! Simulated users, who submit jobs, cancel them and query their final states at any cell.
+//! Simulated users, who submit and cancel jobs at any cell and query the jobs' final states.
 
 use super::delivery::DelayedWrite;
 use super::records::RecordChange;
