--- a/crates/rowanmill-config/src/lib.rs
+++ b/crates/rowanmill-config/src/lib.rs
@@ -26,8 +26,8 @@
     /// The file does not exist, or reading it failed.
     #[error("cannot be read: {0}")]
     Unreadable(#[source] std::io::Error),
-    /// The text is not JSON, or does not have the structure of the type: a required field is missing, for
-    /// example, or has a value of another type.
+    /// The text is not JSON, or does not have the structure of the type: a required field is missing, a value
+    /// has another type, or a field is unknown to a type that rejects unknown fields.
     #[error("{0}")]
     Malformed(#[source] serde_json::Error),
     /// The value of a field is invalid.
--- a/crates/rowanmill-limits/tests/idle_headroom.rs
+++ b/crates/rowanmill-limits/tests/idle_headroom.rs
@@ -143,8 +143,8 @@
     assert_eq!(release(&members), (None, None));
 }
 
-/// A gang that asks for the limit also accumulates headroom without a machine: it has already waited long
-/// enough for that.
+/// A gang that asks for the limit accumulates headroom even if its controller has no machine. It asks only once
+/// its machines are nearly available or it has waited for long.
 #[test]
 fn a_gang_that_waits_for_the_limit_releases_no_headroom() {
     let mut members = two_run_and_one_lacks_machines(true);
--- a/crates/rowanmill-limits/tests/model/mod.rs
+++ b/crates/rowanmill-limits/tests/model/mod.rs
@@ -27,9 +27,10 @@
     InDoubtStarts,
     /// Transfers in doubt are not charged.
     InDoubtTransfers,
-    /// A controller concludes from the revision of its own changes that it has applied all earlier changes.
+    /// A controller resolves transactions in doubt without reading first, as if it had applied all changes
+    /// that came before its own.
     ReadBeforeResolving,
-    /// The leader allocates without reading all changes up to the previous record first.
+    /// The leader allocates without first reading all changes up to the previous record and the assignment.
     ReadBeforeAllocating,
     /// The leader allocates without a freeze after the limit changed.
     Freeze,
@@ -339,7 +340,8 @@
         }
     }
 
-    /// Applies all delayed transactions, restarts all controllers, and answers every transaction from now on.
+    /// Sets the limit to 12 CPUs, applies all delayed transactions, restarts all controllers, and answers every
+    /// transaction from now on.
     pub fn recover(&mut self) {
         self.outcome = Some(Outcome::Answered);
         self.limit.micro_cpus = Some(12 * UNITS_PER_RESOURCE);
