--- a/src/api/admission.rs
+++ b/src/api/admission.rs
@@ -1,5 +1,5 @@
-//! Decides whether a new job is admitted, without side effects on jobs. [`super::submit`] acts on the decision for this
-//! cell's users, and [`crate::cells`] for jobs that come from other cells.
+//! Decides whether a new job is admitted, without side effects on jobs. [`super::submit`] acts on the decision for jobs
+//! that users submit here, and [`crate::cells`] for jobs that the cell adopts from the ledger.
 
 use crate::http::{HttpResponse, error_response, retry_later};
 use crate::jobs::{JobRecord, JobSpec, StoredJob};
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -150,10 +150,10 @@
     }
 }
 
-/// Answers the load balancer's health check. A controller that is disconnected from the state service can't accept jobs
-/// and should get no requests. But if all controllers are disconnected, removing all of them from the load balancer helps
-/// no user. So the check fails only while a peer reports that it reaches the state service, or if this controller has not
-/// read the records since it started.
+/// Answers the load balancer's health check. A controller that is disconnected from the state service, or that has not yet
+/// loaded the records and the catalogue of machine types, can't accept jobs and should get no requests. But if all
+/// controllers are disconnected, removing all of them from the load balancer helps no user. So such a controller fails the
+/// check only while a peer reports that it reaches the state service, or if it has not read the records since it started.
 fn health(node: &Node) -> HttpResponse {
     let ready = node.core().loaded && !node.core().machine_types.is_empty();
     if !node.is_connected_within(UNHEALTHY_AFTER) || !ready {
--- a/src/cells/heartbeats.rs
+++ b/src/cells/heartbeats.rs
@@ -9,8 +9,9 @@
 use std::time::Instant;
 
 /// Whether the machine's heartbeat may be answered, which renews its lease. If the machine has tasks of the
-/// ledger's jobs and the last read of the ledger is too old, it may not: the renewal could keep tasks running
-/// whose cancellation another cell has confirmed, or whose job another cell has taken over.
+/// ledger's jobs and the last read of the ledger, or the attestations that count as one, are too old, it may
+/// not: the renewal could keep tasks running whose cancellation another cell has confirmed, or whose job another
+/// cell has taken over.
 pub fn permits_renewal(node: &Node, heartbeat: &Heartbeat, now: Instant) -> bool {
     let Some(cells) = &node.cells else {
         return true;
--- a/src/metrics/memory.rs
+++ b/src/metrics/memory.rs
@@ -44,7 +44,7 @@
 }
 
 const BYTES_PER_MB: f64 = 1e6;
-/// Fraction of the machine's memory from which on memory is short. The rest is for the code, the stacks, the
+/// Fraction of the process's memory limit from which on memory is short. The rest is for the code, the stacks, the
 /// kernel's socket buffers and memory that the allocator cannot reuse.
 const ENTER_FRACTION: f64 = 0.7;
 /// Fraction below which memory is no longer short. Without the gap, each job that ends would admit one more,
@@ -60,7 +60,7 @@
 }
 
 impl MemoryPressure {
-    /// The thresholds of a machine with `memory_mb` megabytes (10^6 bytes) of memory.
+    /// The thresholds for a process that may use `memory_mb` megabytes (10^6 bytes) of memory.
     pub fn new(memory_mb: f64) -> Self {
         let bytes = |fraction: f64| (memory_mb * BYTES_PER_MB * fraction) as usize;
         Self {
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -26,7 +26,7 @@
     pub submissions: u64,
     /// Scheduling cycles.
     pub scheduling_cycles: u64,
-    /// Tasks that were placed.
+    /// Task starts that placement chose, including those that are discarded before they are written.
     pub task_starts: u64,
     /// Progress pages that were written with starts.
     pub start_pages: u64,
@@ -163,8 +163,8 @@
 }
 
 /// Logs the processor time of each account in microseconds. The field names must not change. Time of the
-/// process that is charged to no account is spent by the HTTP server and client, by the runtime, and by the
-/// kernel on their behalf.
+/// process that is charged to no account is spent by the HTTP server and client, by the runtime, by the kernel
+/// on their behalf, and by work without an account, such as status polls and cancellations.
 fn log_processor_time(before: &Totals, totals: &Totals) {
     let spent_us = |account: CpuAccount| {
         let account = account as usize;
--- a/src/metrics/processor_time.rs
+++ b/src/metrics/processor_time.rs
@@ -8,9 +8,10 @@
 /// A kind of work whose processor time is counted. The work does not await.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CpuAccount {
-    /// Workers' heartbeats: decoding them, reconciling them with the records, and the commands sent back.
+    /// Workers' heartbeats: decoding them, and reconciling them with the records to decide on commands.
     Heartbeats,
-    /// Users' submissions, status polls and cancellations.
+    /// Decoding users' submissions, and checking whether a job can run. Status polls and cancellations are charged
+    /// to no account.
     UserRequests,
     /// Decoding the responses of the watch on the state service.
     WatchDecoding,
@@ -24,7 +25,7 @@
     Placement,
     /// Turning placements and preemptions into pending changes.
     Planning,
-    /// Encoding the records that are to be written.
+    /// Selecting the changes and the ended jobs to write, and encoding the progress pages.
     RecordWrites,
     /// Renting, releasing and assigning machines.
     Scaling,
--- a/src/pipelines/deadlines.rs
+++ b/src/pipelines/deadlines.rs
@@ -1,4 +1,4 @@
-//! Propagates deadlines and urgencies from the last jobs of a pipeline to those before them. In the paper, tasks are
+//! Propagates deadlines and urgencies from the last jobs of a pipeline to those before them. In the CVSS paper, tasks are
 //! independent and each has its own deadline. In a pipeline, every earlier job can delay the last one, so each has a latest
 //! finish time: the last job's deadline less the estimated duration of the longest path from the job to the last one.
 
--- a/src/pipelines/mod.rs
+++ b/src/pipelines/mod.rs
@@ -180,8 +180,8 @@
         cancelled.filter_map(|id| self.blocked.get_key_value(id))
     }
 
-    /// The direct and indirect dependencies of a job that are neither blocked nor known by `is_known`. They ended before
-    /// this process loaded the records, so their final states must be looked up.
+    /// The direct and indirect dependencies of a job that are neither blocked nor known by `is_known`. Their final states
+    /// must be looked up: they ended before this process loaded the records, unless their records cannot be read.
     pub fn unknown_ancestors(&self, id: &str, is_known: impl Fn(&str) -> bool) -> Vec<String> {
         let mut visited: HashSet<&str> = HashSet::from([id]);
         let mut remaining = vec![id];
--- a/src/policy/facts.rs
+++ b/src/policy/facts.rs
@@ -25,7 +25,7 @@
     pub class: &'a str,
     pub urgency: &'a str,
     pub tasks: f64,
-    /// The owner's estimate of the run time of a task, in seconds.
+    /// The estimated run time of a task as its submission states it, in seconds.
     pub estimate: f64,
 }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -41,8 +41,8 @@
     },
 }
 
-/// Parameters of the scaling algorithms for a machine type. Algorithm and equation numbers are those of the paper
-/// that `renting::rules` implements.
+/// Parameters of the scaling algorithms for a machine type. Algorithm and equation numbers are those of the CVSS
+/// paper, whose algorithms `renting::rules` implements.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ScalingParameters {
     /// Predicted miss rate at or below which machines are released (algorithm 1).
@@ -125,8 +125,8 @@
         self.expressions[&Setting::MayReturn].boolean(&facts)
     }
 
-    /// The time after its arrival within which a job without a deadline should start, as a multiple of its expected
-    /// run time.
+    /// The time after its arrival within which a job should start that has no deadline or service-level objective, or
+    /// can no longer meet any of them, as a multiple of its expected run time.
     pub fn start_within_factor(&self, job: &JobFacts<'_>) -> f64 {
         self.number(Setting::StartBy, &job.values())
     }
--- a/src/policy/schema.rs
+++ b/src/policy/schema.rs
@@ -23,12 +23,13 @@
     Dearer,
     /// Number of first tasks of a job that belong to the startup queue.
     StartupCount,
-    /// Time after its arrival at which a job without a deadline should start, as a multiple of its expected
-    /// run time.
+    /// Time after its arrival within which a job should start that has no deadline or service-level objective, or
+    /// can no longer meet any of them, as a multiple of its expected run time.
     StartBy,
     /// Whether a machine may be released or drained when the controller decides so.
     MayReturn,
-    /// Whether a machine pool is protected: it runs no jobs of other cells and is not drained to scale in.
+    /// Whether a machine pool is protected: no tasks of other cells' jobs are placed on its machines, and these are
+    /// not drained to scale in.
     Protected,
     /// Time zone of the hour and weekday facts.
     TimeZone,
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -13,8 +13,8 @@
 const PRESENCE_TTL_MIN_S: f64 = 2.0;
 const PRESENCE_TTL_MAX_S: f64 = 5.0;
 
-/// Maximum relative drift of a clock. A worker's lease is extended by this fraction, and `cancel_s` is shortened
-/// by twice this fraction.
+/// Maximum relative drift of a clock. [`Settings::disconnected_lease_limit`] calculates with a worker's lease that is
+/// longer by this fraction, and with a `cancel_s` that is shorter by twice this fraction.
 const CLOCK_DRIFT: f64 = 0.001;
 /// Allowance for the time between the end of a worker's lease and the end of its tasks, in seconds.
 const LEASE_END_MARGIN_S: f64 = 2.0;
--- a/src/workers/agent.rs
+++ b/src/workers/agent.rs
@@ -11,7 +11,8 @@
 /// which the lease counts as lost although heartbeats were answered. After a longer silence, the silence alone may have
 /// let the lease expire.
 const MAX_ANSWERED_SILENCE_LEASES: f64 = 0.6;
-/// Multiple of the lease after which an unresponsive agent that shows no further symptom counts as responsive again.
+/// Multiple of the lease, counted from the first symptom, after which an unresponsive agent counts as responsive again at
+/// its next heartbeat that shows no symptom.
 const RECOVERY_LEASES: f64 = 1.5;
 
 /// One attempt to run a task. Attempt numbers of a task are never reused.
@@ -157,13 +158,15 @@
 pub struct AgentStatus {
     pub latest_heartbeat: Arc<Heartbeat>,
     /// When it last sent a heartbeat with our fencing token. Delayed copies of heartbeats from before our ownership
-    /// don't count, nor do heartbeats of an agent that has never received a response from us.
+    /// don't count, nor do heartbeats of an agent that has never received a response from us. Only the first heartbeat
+    /// under our ownership counts with any token, because it creates this status.
     pub last_heartbeat_at: Instant,
     /// Whether the agent has received our fencing token. Until then, no task is placed on its machine.
     pub ownership_acknowledged: bool,
     /// Since when the agent has appeared not to receive our responses.
     pub unresponsive_since: Option<Instant>,
-    /// Number of incarnations whose lease expired although their heartbeats were answered.
+    /// Number of incarnations whose lease expired although their heartbeats were answered, since the agent last counted
+    /// as responsive.
     pub expired_leases: u32,
     /// When the cloud will preempt the machine, if it has given notice.
     pub preemption_at: Option<Instant>,
--- a/src/workers/exits.rs
+++ b/src/workers/exits.rs
@@ -50,7 +50,7 @@
     share: f64,
 }
 
-/// The share of a machine of the first eligible type that one task of the job uses. Completions of the job count for
+/// The share of a machine of the cheapest eligible type that one task of the job uses. Completions of the job count for
 /// that type.
 fn machine_share(core: &Core, spec: &JobSpec) -> Option<MachineShare> {
     let pool = eligible_machine_types(core, spec);
--- a/src/workers/ingest.rs
+++ b/src/workers/ingest.rs
@@ -33,7 +33,8 @@
     /// The heartbeat is not newer than the latest one that was ingested.
     Stale,
     Reconciled {
-        /// Whether the heartbeat reports an exit that was neither recorded nor queued before.
+        /// Whether the heartbeat shows an exit, and the task's recorded or queued state differed from its state after
+        /// this exit.
         capacity_freed: bool,
         response: HeartbeatResponse,
     },
@@ -161,7 +162,7 @@
     reconcile(heartbeat, &mut status.attempts, &desired, now)
 }
 
-/// Whether tasks may be started: the records were read recently enough and, where there are cells, these permit it.
+/// Whether tasks may be started: the records were read recently enough and, in a cell, so was the ledger.
 fn permits_starts(node: &Node, core: &Core, now: Instant) -> bool {
     let is_recent = |read| now.saturating_duration_since(read) <= MAX_RECORDS_AGE_FOR_STARTS;
     core.last_read_barrier.is_some_and(is_recent) && cells::permits_starts(node, now)
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -17,13 +17,13 @@
 #[derive(Clone, Copy)]
 pub struct DesiredState<'a> {
     pub replica: &'a Replica,
-    /// The machine's fencing token: the revision at which its rental names this owner.
+    /// The machine's fencing token in its record, which increases with each change of owner.
     pub fencing_token: u64,
     pub pending_stops: &'a PendingStops,
     pub pending_changes: &'a PendingChanges,
     /// Jobs that must not run even if their records don't say so yet.
     pub cancelled_jobs: &'a BTreeSet<String>,
-    /// Whether the records were read recently enough to start tasks.
+    /// Whether tasks may be started: the records and, in a cell, the ledger were read recently enough.
     pub starts_permitted: bool,
 }
 
--- a/src/workers/service.rs
+++ b/src/workers/service.rs
@@ -122,8 +122,8 @@
     let presence = core.replica.presence.get(&owner.name);
     let is_present = presence.is_some_and(|p| p.record.incarnation == owner.incarnation);
     if *owner != node.identity {
-        // An absent owner is not named: the agent would need seconds to notice that it doesn't respond. Its lease
-        // lasts longer if it tries the other controllers until the machine has a new owner.
+        // An absent owner is not named: the agent would spend seconds of its lease before it noticed that the
+        // owner doesn't respond. Instead, it asks the other controllers until the machine has a new owner.
         return Route::Other(is_present.then(|| owner.name.clone()));
     }
     drop(core);
