--- a/src/cells/attestation.rs
+++ b/src/cells/attestation.rs
@@ -1,6 +1,6 @@
 //! Attestations that the controllers of all cells exchange while the ledger is unreachable. A controller
 //! attests that it has lost contact with the ledger, and lists the jobs that the querying cell must not run
-//! according to the changes that it last read.
+//! according to the changes that the attesting controller has read, or that were attested to it.
 //!
 //! Attestations are sent over the mesh, like the status frames within a cell. Controllers of different versions
 //! exchange these frames, so the order and the types of their fields must not change.
@@ -38,7 +38,8 @@
 struct Response {
     /// The responding controller has lost contact with the ledger.
     is_disconnected: bool,
-    /// Jobs that changed after the query's revision and that the querying cell must not run.
+    /// Jobs that changed after the query's revision and that the querying cell must not run, and all jobs that
+    /// are halted in the responding cell, among them those that other controllers attested to it.
     revoked_jobs: Vec<String>,
 }
 
--- a/src/cells/local_state.rs
+++ b/src/cells/local_state.rs
@@ -52,8 +52,8 @@
     match core.replica.final_state(id) {
         Some(TerminalState::Done) => LocalJobState::Completed,
         Some(TerminalState::Cancelled) => LocalJobState::Cancelled,
-        // The planner takes no action on a job that is being cancelled. None may be taken on a job whose
-        // record cannot be read.
+        // No action may be taken on a job whose record cannot be read. It is reported as being cancelled,
+        // because the planner takes no action on such jobs either.
         None if core.replica.is_unreadable(id) => LocalJobState::Cancelling,
         None => LocalJobState::Absent,
     }
--- a/src/cells/mod.rs
+++ b/src/cells/mod.rs
@@ -1,5 +1,5 @@
 //! Connects a controller to the cells that share work: implements the scheduler interface of
-//! `rowanmill-cells`, and applies the ledger to users' requests and workers' heartbeats.
+//! `rowanmill-cells`, and answers users' requests and workers' heartbeats as the ledger's records require.
 //!
 //! Without a cells file the controller belongs to no cell, and this module has no effect.
 
--- a/src/workers/agent.rs
+++ b/src/workers/agent.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Longest time between a lost incarnation's last heartbeat and the first one of the next, as a fraction of the lease, at
-/// which the lease counts as lost although heartbeats were answered. After a longer silence, the silence alone may have
-/// let the lease expire.
+/// If the first heartbeat of a new incarnation arrives within this fraction of the lease after the previous incarnation's
+/// last one, that incarnation's lease expired although its heartbeats were answered. After a longer silence, the silence
+/// alone may have let the lease expire.
 const MAX_ANSWERED_SILENCE_LEASES: f64 = 0.6;
 /// Multiple of the lease, counted from the first symptom, after which an unresponsive agent counts as responsive again at
 /// its next heartbeat that shows no symptom.
