--- a/tests/cells/client.rs
+++ b/tests/cells/client.rs
@@ -1,6 +1,6 @@
 //! The command-line client against cells that run, fail and are drained.
 
-use super::kill::all_done;
+use super::kill::wait_until_done;
 use super::site::{Site, job, until};
 use rowanmill_testing::cluster::ClientOutput;
 use serde_json::Value;
@@ -44,7 +44,7 @@
     assert_eq!(explain(&site, "job-0")["owner_present"], false);
     let taken = async || explain(&site, "job-0")["epoch"] == 2;
     until("it is another's", taken).await;
-    all_done(&site, 1, 1).await;
+    wait_until_done(&site, 1, 1).await;
     let over = async || explain(&site, "job-0")["state"] == "done";
     until("its end is known", over).await;
     assert_eq!(site.client(&["explain", "job-77"]).code, UNKNOWN_JOB);
@@ -63,7 +63,7 @@
     for number in 0..4 {
         site.submit(0, &job(number, 2)).await;
     }
-    all_done(&site, 0, 4).await;
+    wait_until_done(&site, 0, 4).await;
     assert_eq!(site.cells[0].cluster.cloud.rented_count(), 0);
     assert_eq!(status(&site)["cells"][1]["draining"], true);
     assert_eq!(site.client(&["undrain", "hanoi"]).code, 0);
--- a/tests/cells/kill.rs
+++ b/tests/cells/kill.rs
@@ -7,7 +7,7 @@
 const TASKS: u32 = 3;
 
 /// Waits until a cell answers for every job that it is done.
-pub async fn all_done(site: &Site, at: usize, jobs: usize) {
+pub async fn wait_until_done(site: &Site, at: usize, jobs: usize) {
     for number in 0..jobs {
         let id = format!("job-{number}");
         let done = async || site.stage(at, &id).await == "done";
@@ -30,12 +30,12 @@
     site.cells[0].cluster.kill_all();
     site.cells[0].cluster.cloud.power_off();
     let killed = Instant::now();
-    all_done(&site, 1, JOBS).await;
+    wait_until_done(&site, 1, JOBS).await;
     println!(
         "all done {:.1} s after the end of a cell",
         killed.elapsed().as_secs_f64()
     );
-    all_done(&site, 2, JOBS).await;
+    wait_until_done(&site, 2, JOBS).await;
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
@@ -57,8 +57,8 @@
     };
     until("its jobs are taken over", taken).await;
     site.start_cell(0);
-    all_done(&site, 1, 6).await;
-    all_done(&site, 0, 6).await;
+    wait_until_done(&site, 1, 6).await;
+    wait_until_done(&site, 0, 6).await;
     site.submit(0, &job(6, TASKS)).await;
     let done = async || site.stage(0, "job-6").await == "done";
     until("it takes new work", done).await;
@@ -78,7 +78,7 @@
     until("the first cell runs its work", runs).await;
     site.cells[0].cluster.kill_all();
     site.start_cell(0);
-    all_done(&site, 0, 6).await;
+    wait_until_done(&site, 0, 6).await;
     let finals = site.ledger.stored("c/e/");
     assert_eq!(finals.len(), 6, "{finals:?}");
     assert_eq!(site.broken_rules(), Vec::<String>::new());
--- a/tests/cells/ledger.rs
+++ b/tests/cells/ledger.rs
@@ -1,6 +1,6 @@
 //! The ledger has an outage, or refuses one cell.
 
-use super::kill::all_done;
+use super::kill::wait_until_done;
 use super::site::{NAMES, Site, job, until};
 use rowanmill_testing::state::TransactionFault;
 use std::sync::atomic::Ordering;
@@ -34,8 +34,8 @@
     site.cells[0]
         .cut_from_ledger
         .store(false, Ordering::Relaxed);
-    all_done(&site, 1, 3).await;
-    all_done(&site, 0, 3).await;
+    wait_until_done(&site, 1, 3).await;
+    wait_until_done(&site, 0, 3).await;
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
@@ -53,7 +53,7 @@
     site.cells[0]
         .cut_from_ledger
         .store(false, Ordering::Relaxed);
-    all_done(&site, 0, 3).await;
+    wait_until_done(&site, 0, 3).await;
     let world = site.world.lock().unwrap();
     assert_eq!((world.starts, world.expired_leases), (6, 0));
     assert_eq!(world.broken_rules, Vec::<String>::new());
@@ -88,7 +88,7 @@
     }
     site.ledger.set_outage(false);
     for at in 0..NAMES.len() {
-        all_done(&site, at, NAMES.len()).await;
+        wait_until_done(&site, at, NAMES.len()).await;
     }
     let world = site.world.lock().unwrap();
     assert_eq!((world.starts, world.expired_leases), (6, 0));
--- a/tests/cells/moves.rs
+++ b/tests/cells/moves.rs
@@ -1,6 +1,6 @@
 //! Moves of waiting jobs between cells that are disturbed halfway.
 
-use super::kill::all_done;
+use super::kill::wait_until_done;
 use super::site::{CONTROLLERS, NAMES, Site, job, until};
 use rowanmill_testing::state::TransactionFault;
 use serde_json::{Value, json};
@@ -48,7 +48,7 @@
     };
     until("a job moves", moved).await;
     site.ledger.deliver_delayed();
-    all_done(&site, 1, JOBS).await;
+    wait_until_done(&site, 1, JOBS).await;
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
@@ -67,7 +67,7 @@
         let moves = |job: &Value| job["moves"].as_u64().unwrap();
         most_moves = most_moves.max(jobs.values().map(moves).max().unwrap_or(0));
     }
-    all_done(&site, 1, JOBS).await;
+    wait_until_done(&site, 1, JOBS).await;
     // Beyond three moves a job waits for 17 s in each cell: twice `after_s`, and the age of summaries.
     assert!(most_moves <= 4, "{most_moves} moves");
     assert_eq!(site.broken_rules(), Vec::<String>::new());
--- a/tests/cells/protection.rs
+++ b/tests/cells/protection.rs
@@ -1,6 +1,6 @@
 //! Machines that a receiving cell's operators protect.
 
-use super::kill::all_done;
+use super::kill::wait_until_done;
 use super::site::{Site, job, until};
 use serde_json::json;
 use std::time::Duration;
@@ -30,7 +30,7 @@
     for number in 0..JOBS {
         site.submit(0, &job(number, 2)).await;
     }
-    all_done(&site, 0, JOBS).await;
+    wait_until_done(&site, 0, JOBS).await;
     assert_eq!(
         site.cells[1].cluster.cloud.rented_count(),
         0,
@@ -66,7 +66,7 @@
     };
     until("all are home, declined by both others", home).await;
     site.cells[0].cluster.cloud.set_capacity(8);
-    all_done(&site, 0, 3).await;
+    wait_until_done(&site, 0, 3).await;
     assert_eq!(
         site.cells[1].cluster.cloud.rented_count() + site.cells[2].cluster.cloud.rented_count(),
         0
--- a/tests/cells/spill.rs
+++ b/tests/cells/spill.rs
@@ -1,6 +1,6 @@
 //! Work that one cell cannot place.
 
-use super::kill::all_done;
+use super::kill::wait_until_done;
 use super::site::{Site, job};
 use serde_json::json;
 use std::time::{Duration, Instant};
@@ -18,12 +18,12 @@
     for number in 0..JOBS {
         site.submit(0, &job(number, 2)).await;
     }
-    all_done(&site, 0, JOBS).await;
+    wait_until_done(&site, 0, JOBS).await;
     println!(
         "all done {:.1} s after submission",
         began.elapsed().as_secs_f64()
     );
-    all_done(&site, 2, JOBS).await;
+    wait_until_done(&site, 2, JOBS).await;
     assert_eq!(site.world.lock().unwrap().starts, 2 * JOBS);
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
@@ -48,6 +48,6 @@
     for cell in &site.cells {
         cell.cluster.cloud.set_capacity(8);
     }
-    all_done(&site, 1, JOBS).await;
+    wait_until_done(&site, 1, JOBS).await;
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
