--- a/tests/cells/moves.rs
+++ b/tests/cells/moves.rs
@@ -15,7 +15,7 @@
 /// Three cells, of which the first has no machines, with its jobs.
 async fn site_with_jobs_that_must_move() -> Site {
     let spill = json!({"spill": {"after_s": 1.0, "at_once": 4, "moves": 3}});
-    let mut site = Site::with(Duration::from_millis(800), spill).await;
+    let mut site = Site::with_settings(Duration::from_millis(800), spill).await;
     site.cells[0].cluster.cloud.set_capacity(0);
     site.start_all().await;
     for number in 0..JOBS {
--- a/tests/cells/protection.rs
+++ b/tests/cells/protection.rs
@@ -21,7 +21,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn work_that_spills_leaves_protected_machines_alone() {
     let spill = json!({"spill": {"after_s": 1.0, "at_once": 4, "moves": 3}});
-    let mut site = Site::with(Duration::from_millis(800), spill).await;
+    let mut site = Site::with_settings(Duration::from_millis(800), spill).await;
     site.cells[0].cluster.cloud.set_capacity(0);
     site.cells[1]
         .cluster
@@ -49,7 +49,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_job_that_fits_protected_room_only_comes_home() {
     let spill = json!({"spill": {"after_s": 0.5, "at_once": 4, "moves": 8}});
-    let mut site = Site::with(Duration::from_millis(800), spill).await;
+    let mut site = Site::with_settings(Duration::from_millis(800), spill).await;
     site.cells[0].cluster.cloud.set_capacity(0);
     for at in [1, 2] {
         site.cells[at].cluster.set_policy("protected = true\n");
--- a/tests/cells/site.rs
+++ b/tests/cells/site.rs
@@ -86,11 +86,11 @@
 
 impl Site {
     pub async fn new(task_duration: Duration) -> Self {
-        Self::with(task_duration, json!({})).await
+        Self::with_settings(task_duration, json!({})).await
     }
 
     /// `more` are fields of the cells' file beyond the usual ones.
-    pub async fn with(task_duration: Duration, more: Value) -> Self {
+    pub async fn with_settings(task_duration: Duration, more: Value) -> Self {
         let mut site = Self::without_cells(task_duration).await;
         let file = site.cells_file(&more);
         for at in 0..site.cells.len() {
--- a/tests/cells/spill.rs
+++ b/tests/cells/spill.rs
@@ -11,7 +11,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn work_without_a_machine_spills_into_other_cells() {
     let spill = json!({"spill": {"after_s": 1.0, "at_once": 4, "moves": 3}});
-    let mut site = Site::with(Duration::from_millis(800), spill).await;
+    let mut site = Site::with_settings(Duration::from_millis(800), spill).await;
     site.cells[0].cluster.cloud.set_capacity(0);
     site.start_all().await;
     let began = Instant::now();
@@ -32,7 +32,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn work_that_nobody_can_place_stays_where_it_is() {
     let spill = json!({"spill": {"after_s": 0.5, "at_once": 4, "moves": 3}});
-    let mut site = Site::with(Duration::from_millis(800), spill).await;
+    let mut site = Site::with_settings(Duration::from_millis(800), spill).await;
     for cell in &site.cells {
         cell.cluster.cloud.set_capacity(0);
     }
