--- a/tests/limits/failures.rs
+++ b/tests/limits/failures.rs
@@ -47,7 +47,7 @@
     site.start_all().await;
     let jobs: Vec<_> = (0..30).map(|n| job(n, "t", 10, 1.0)).collect();
     site.submit_all(&jobs).await;
-    let full = || site.most()["t"] == 6.0;
+    let full = || site.peak_cpus()["t"] == 6.0;
     until("the limit is used", async || full()).await;
     for key in ["r/p/", "r/q/", "r/a/"] {
         site.state.inject_fault(key, TransactionFault::Delayed, 2);
@@ -101,5 +101,5 @@
     site.start(leader);
     site.cancel("job-2").await;
     assert_eq!(site.broken_rules(), Vec::<String>::new());
-    assert_eq!(site.most()["t"], 4.0);
+    assert_eq!(site.peak_cpus()["t"], 4.0);
 }
--- a/tests/limits/races.rs
+++ b/tests/limits/races.rs
@@ -22,7 +22,7 @@
     let ids: Vec<String> = (0..60).map(|n| format!("job-{n}")).collect();
     site.wait_until_all_end(&ids, Duration::from_secs(90)).await;
     assert_eq!(site.broken_rules(), Vec::<String>::new());
-    assert_eq!(site.most()["t"], 3.0, "the whole limit is used");
+    assert_eq!(site.peak_cpus()["t"], 3.0, "the whole limit is used");
 }
 
 /// With the settings of these tests, headroom is reserved for the gang after 9 s at most, which the other
@@ -39,7 +39,7 @@
     let flood: Vec<_> = (0..12).map(|n| job(n, "t", 60, 1.0)).collect();
     site.submit_all(&flood).await;
     let running = |id: &str| site.cloud.world.lock().unwrap().running_tasks(id);
-    let flooded = || site.most()["t"] == 8.0;
+    let flooded = || site.peak_cpus()["t"] == 8.0;
     until("the limit is used", async || flooded()).await;
     let submitted = Instant::now();
     site.submit(0, &gang(100, "t", 6, 1.0)).await;
@@ -73,6 +73,6 @@
         late["dueS"] = json!(2.0);
         site.submit(number, &late).await;
     }
-    let full = || site.most()["t"] == 12.0;
+    let full = || site.peak_cpus()["t"] == 12.0;
     until("the limit is used", async || full()).await;
 }
--- a/tests/limits/site.rs
+++ b/tests/limits/site.rs
@@ -112,7 +112,7 @@
     }
 
     /// The most CPUs that each team used at a time.
-    pub fn most(&self) -> BTreeMap<&'static str, f64> {
+    pub fn peak_cpus(&self) -> BTreeMap<&'static str, f64> {
         let world = self.cloud.world.lock().unwrap();
         let teams = self.teams.iter();
         let most = |team: &str| world.quota.peak_usage(team) as f64 / 1000.0;
