--- a/tests/cells/cancel.rs
+++ b/tests/cells/cancel.rs
@@ -1,6 +1,6 @@
 //! Cancellations and repeated submissions, at any cell.
 
-use super::site::{NAMES, Site, TIMES, job, until};
+use super::site::{NAMES, Site, TIMEOUTS, job, until};
 use std::time::{Duration, Instant};
 
 /// A cancellation at a cell that does not own the job is binding for all: each of them answers so, and the
@@ -34,7 +34,7 @@
             assert_eq!(again["stage"], "cancelled");
         }
     }
-    tokio::time::sleep(TIMES.cancel()).await;
+    tokio::time::sleep(TIMEOUTS.cancel()).await;
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
--- a/tests/cells/site.rs
+++ b/tests/cells/site.rs
@@ -17,7 +17,7 @@
 
 pub const NAMES: [&str; 3] = ["hanoi", "danang", "hue"];
 pub const CONTROLLERS: usize = 2;
-pub const TIMES: Timeouts = Timeouts {
+pub const TIMEOUTS: Timeouts = Timeouts {
     lease_s: 1.5,
     cancel_s: 6.0,
 };
@@ -66,7 +66,7 @@
                 limit_cpus: 0.0,
             }],
             task_duration,
-            timeouts: TIMES,
+            timeouts: TIMEOUTS,
             state_rates: StateRates {
                 requests_per_s: 1000.0,
                 writes_per_s: 500.0,
--- a/tests/limits/failures.rs
+++ b/tests/limits/failures.rs
@@ -1,6 +1,6 @@
 //! Limits hold while controllers are killed, stopped or cut off and the state service fails.
 
-use crate::site::{CONTROLLERS, Site, TIMES, Teams, job};
+use crate::site::{CONTROLLERS, Site, TIMEOUTS, Teams, job};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rowanmill_testing::state::TransactionFault;
@@ -58,7 +58,7 @@
     site.state.deliver_delayed();
     let leader = site.leader().unwrap_or(0);
     site.signal(leader, "-STOP");
-    tokio::time::sleep(TIMES.lease() + Duration::from_secs(2)).await;
+    tokio::time::sleep(TIMEOUTS.lease() + Duration::from_secs(2)).await;
     site.signal(leader, "-CONT");
     site.state.set_outage(true);
     tokio::time::sleep(Duration::from_secs(1)).await;
@@ -95,7 +95,7 @@
     let cancelled = Instant::now();
     until("the next one starts", async || running("job-2") == 2).await;
     assert!(
-        cancelled.elapsed() > TIMES.lease() / 2,
+        cancelled.elapsed() > TIMEOUTS.lease() / 2,
         "the limit was held"
     );
     site.start(leader);
--- a/tests/limits/site.rs
+++ b/tests/limits/site.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 pub const CONTROLLERS: usize = 3;
-pub const TIMES: Timeouts = Timeouts {
+pub const TIMEOUTS: Timeouts = Timeouts {
     lease_s: 3.0,
     cancel_s: 9.0,
 };
@@ -65,7 +65,7 @@
             controllers: CONTROLLERS,
             teams: settings.collect(),
             task_duration,
-            timeouts: TIMES,
+            timeouts: TIMEOUTS,
             state_rates: StateRates {
                 requests_per_s: 2000.0,
                 writes_per_s: 900.0,
