--- a/tests/cells/site.rs
+++ b/tests/cells/site.rs
@@ -1,4 +1,4 @@
-//! Three cells of two controllers each, one ledger, and users that submit, poll and cancel.
+//! Three cells of two controllers each, the ledger that they share, and requests of users to them.
 
 use rowanmill_testing::cloud::World;
 use rowanmill_testing::cluster::{
@@ -31,23 +31,23 @@
     attempts: 400,
     pause: Duration::from_millis(100),
 };
-/// How long [`until`] waits: longer than a takeover of a cell's jobs takes.
-const WAIT: Duration = Duration::from_secs(60);
+/// How long [`until`] waits. It is longer than a takeover of a cell's jobs takes.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One cell with all that is around it.
+/// The controllers of a cell with their state service, their cloud and their connection to the ledger.
 pub struct Cell {
     pub cluster: Cluster,
     ledger_addr: SocketAddr,
-    /// Whether the cell's connection to the ledger is cut.
+    /// Whether the cell's connection to the ledger is cut: the ledger then answers its requests with 503.
     pub cut_from_ledger: Arc<AtomicBool>,
 }
 
-/// All cells, and the ledger that they share.
+/// The cells and the ledger that they share.
 pub struct Site {
     pub ledger: StateService,
     pub world: Arc<Mutex<World>>,
     pub cells: Vec<Cell>,
-    /// Holds each cell's copy of the cells' file.
+    /// Contains each cell's copy of the cells file.
     folder: TestFolder,
 }
 
@@ -77,7 +77,7 @@
         });
         Self {
             cluster: cluster.await,
-            // Each cell has a connection of its own to the ledger, which can be cut.
+            // Each cell has its own address of the ledger, so that its connection can be cut.
             ledger_addr: serve_on_loopback(ledger.handler_with_cut(cut_from_ledger.clone())).await,
             cut_from_ledger,
         }
@@ -89,17 +89,17 @@
         Self::with_settings(task_duration, json!({})).await
     }
 
-    /// `more` are fields of the cells' file beyond the usual ones.
-    pub async fn with_settings(task_duration: Duration, more: Value) -> Self {
+    /// `settings` are fields of the cells file beyond those of all tests.
+    pub async fn with_settings(task_duration: Duration, settings: Value) -> Self {
         let mut site = Self::without_cells(task_duration).await;
-        let file = site.cells_file(&more);
-        for at in 0..site.cells.len() {
-            site.add_cells_file(at, &file);
+        let file = site.cells_file(&settings);
+        for cell in 0..site.cells.len() {
+            site.add_cells_file(cell, &file);
         }
         site
     }
 
-    /// Clusters whose controllers do not know that there are cells.
+    /// Clusters whose controllers run without `--cells`, and so independently of one another.
     pub async fn without_cells(task_duration: Duration) -> Self {
         let world = Arc::new(Mutex::new(World::default()));
         let ledger = StateService::default();
@@ -115,8 +115,8 @@
         }
     }
 
-    /// The cells' file without the ledger.
-    fn cells_file(&self, more: &Value) -> Value {
+    /// The contents of the cells file without the ledger.
+    fn cells_file(&self, settings: &Value) -> Value {
         let cells = self.cells.iter().zip(NAMES);
         let cells: Vec<Value> = cells
             .map(|(cell, name)| json!({"name": name, "controllers": cell.cluster.mesh}))
@@ -124,31 +124,31 @@
         let mut file = json!({"cells": cells, "cell_lease_s": CELL_LEASE_S,
             "renew_without_ledger_s": RENEW_WITHOUT_LEDGER_S,
             "takeover_after_s": TAKEOVER_AFTER_S});
-        for (field, value) in more.as_object().unwrap() {
+        for (field, value) in settings.as_object().unwrap() {
             file[field] = value.clone();
         }
         file
     }
 
-    /// Writes a cell's copy of the file, which names its own connection to the ledger, and starts the cell's
-    /// controllers with it from now on.
-    fn add_cells_file(&mut self, at: usize, file: &Value) {
+    /// Writes a cell's copy of the cells file, which contains the cell's own address of the ledger. The cell's
+    /// controllers use it from their next start.
+    fn add_cells_file(&mut self, cell: usize, file: &Value) {
         let mut file = file.clone();
-        file["ledger"] = json!({"addr": self.cells[at].ledger_addr, "rps": 2000.0,
+        file["ledger"] = json!({"addr": self.cells[cell].ledger_addr, "rps": 2000.0,
             "write_rps": 500.0, "value_kb": 8.0, "txn_ops": 24});
-        let name = format!("cells-{at}.json");
+        let name = format!("cells-{cell}.json");
         let file = self.folder.write(&name, &file.to_string());
-        let cluster = &mut self.cells[at].cluster;
+        let cluster = &mut self.cells[cell].cluster;
         cluster.add_arguments(["--cells".as_ref(), file.as_os_str()]);
-        cluster.add_arguments(["--cell", NAMES[at]]);
+        cluster.add_arguments(["--cell", NAMES[cell]]);
     }
 
-    fn cells_file_of(&self, at: usize) -> PathBuf {
-        self.folder.path().join(format!("cells-{at}.json"))
+    fn cells_file_of(&self, cell: usize) -> PathBuf {
+        self.folder.path().join(format!("cells-{cell}.json"))
     }
 
-    pub fn start_cell(&mut self, at: usize) {
-        self.cells[at].cluster.start_all();
+    pub fn start_cell(&mut self, cell: usize) {
+        self.cells[cell].cluster.start_all();
     }
 
     /// Starts all cells, and waits until each is healthy and registered.
@@ -160,37 +160,43 @@
 
     /// Starts all cells, and waits until each is healthy.
     pub async fn start_all_unregistered(&mut self) {
-        (0..self.cells.len()).for_each(|at| self.start_cell(at));
+        (0..self.cells.len()).for_each(|cell| self.start_cell(cell));
         for cell in &self.cells {
             let healthy = async || cell.cluster.is_healthy(0).await;
             until("the cell is healthy", healthy).await;
         }
     }
 
-    pub async fn get(&self, at: usize, number: usize, path: &str) -> (u16, Value) {
-        self.cells[at].cluster.get(number, path).await
+    pub async fn get(&self, cell: usize, controller: usize, path: &str) -> (u16, Value) {
+        self.cells[cell].cluster.get(controller, path).await
     }
 
-    pub async fn post(&self, at: usize, number: usize, path: &str, body: Value) -> (u16, Value) {
-        self.cells[at].cluster.post(number, path, body).await
+    pub async fn post(
+        &self,
+        cell: usize,
+        controller: usize,
+        path: &str,
+        body: Value,
+    ) -> (u16, Value) {
+        self.cells[cell].cluster.post(controller, path, body).await
     }
 
-    /// Submits a job to a cell until it is accepted; returns the answer.
-    pub async fn submit(&self, at: usize, job: &Value) -> Value {
-        self.cells[at].cluster.submit(0, job).await
+    /// Submits a job to a cell and retries until it is accepted; returns the answer.
+    pub async fn submit(&self, cell: usize, job: &Value) -> Value {
+        self.cells[cell].cluster.submit(0, job).await
     }
 
-    /// Cancels a job at a cell until that is confirmed; returns the stage in the answer.
-    pub async fn cancel(&self, at: usize, id: &str) -> String {
-        self.cells[at].cluster.cancel(id).await
+    /// Cancels a job at a cell and retries until there is an answer; returns the stage in it.
+    pub async fn cancel(&self, cell: usize, id: &str) -> String {
+        self.cells[cell].cluster.cancel(id).await
     }
 
-    /// A job's stage by one of a cell's controllers; empty if none answers.
-    pub async fn stage(&self, at: usize, id: &str) -> String {
-        self.cells[at].cluster.stage(id).await
+    /// A job's stage as one of a cell's controllers reports it; empty if none answers.
+    pub async fn stage(&self, cell: usize, id: &str) -> String {
+        self.cells[cell].cluster.stage(id).await
     }
 
-    /// Runs a command of the client about cells.
+    /// Runs the `cells` command of the client with these arguments.
     pub fn client(&self, arguments: &[&str]) -> ClientOutput {
         let file = self.cells_file_of(1);
         let arguments = arguments.iter().map(AsRef::as_ref);
@@ -200,9 +206,10 @@
         run_client(PROGRAM, all)
     }
 
-    /// Rules that the machines found broken, and violations in what users were told and machines ran.
+    /// Rules that the machines found broken, and violations that the checker finds in the history of reports to users
+    /// and of task runs.
     pub fn broken_rules(&self) -> Vec<String> {
-        // All cells share one world.
+        // All cells share one `World`.
         self.cells[0].cluster.broken_rules()
     }
 }
@@ -215,9 +222,9 @@
     }
 }
 
-/// Waits until a condition holds, for longer than a takeover of a cell's jobs takes.
+/// Waits until a condition holds, and fails the test after [`TIMEOUT`]. `what` names the condition in the failure.
 pub async fn until(what: &str, holds: impl AsyncFnMut() -> bool) {
-    until_within(WAIT, what, holds).await;
+    until_within(TIMEOUT, what, holds).await;
 }
 
 /// A job whose tasks start one by one.
