--- a/tests/cells/ledger.rs
+++ b/tests/cells/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger has an outage, or refuses one cell.
+//! Outages of the ledger, for all cells or for one of them, and transactions whose answers are lost or delayed.
 
 use super::kill::wait_until_done;
 use super::site::{NAMES, Site, job, until};
@@ -6,30 +6,32 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-async fn until_all_run(site: &Site, tasks: usize) {
-    let runs = async || site.world.lock().unwrap().starts == tasks;
-    until("all tasks run", runs).await;
+/// Waits until `tasks` tasks have started.
+async fn wait_until_started(site: &Site, tasks: usize) {
+    let have_started = async || site.world.lock().unwrap().starts == tasks;
+    until("all tasks have started", have_started).await;
 }
 
-/// One cell is refused for longer than its lease: its tasks end in time, others run its jobs, and when it
-/// is served again it neither runs them nor answers otherwise.
+/// The ledger answers one cell with 503 for longer than the cell's lease. The cell's tasks end before other cells
+/// take over its jobs. When it is served again, it must not run these jobs and must report the same outcome as the
+/// others.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_cell_that_the_ledger_refuses_loses_its_jobs_to_others() {
+async fn jobs_of_a_cell_without_the_ledger_are_taken_over() {
     let mut site = Site::new(Duration::from_secs(8)).await;
     site.start_all().await;
     for number in 0..3 {
         site.submit(0, &job(number, 2)).await;
     }
-    until_all_run(&site, 6).await;
+    wait_until_started(&site, 6).await;
     site.cells[0].cut_from_ledger.store(true, Ordering::Relaxed);
-    let taken = async || {
+    let are_taken_over = async || {
         let jobs = site.ledger.stored("c/l/j/");
         !jobs.values().any(|job| job["owner"] == NAMES[0])
     };
-    until("its jobs are taken over", taken).await;
+    until("other cells own its jobs", are_taken_over).await;
     assert!(
         site.world.lock().unwrap().nothing_runs(),
-        "its tasks ended first"
+        "the cell's tasks ended before the takeover"
     );
     site.cells[0]
         .cut_from_ledger
@@ -39,15 +41,16 @@
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
-/// One cell is refused for less than its lease: nothing is taken over, and each job is done there.
+/// The ledger answers one cell with 503 for less than the cell's lease. No job is taken over, and the cell completes
+/// all of its jobs.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_short_cut_changes_nothing() {
+async fn a_cell_without_the_ledger_for_less_than_its_lease_keeps_its_jobs() {
     let mut site = Site::new(Duration::from_secs(4)).await;
     site.start_all().await;
     for number in 0..3 {
         site.submit(0, &job(number, 2)).await;
     }
-    until_all_run(&site, 6).await;
+    wait_until_started(&site, 6).await;
     site.cells[0].cut_from_ledger.store(true, Ordering::Relaxed);
     tokio::time::sleep(Duration::from_millis(1000)).await;
     site.cells[0]
@@ -59,25 +62,28 @@
     assert_eq!(world.broken_rules, Vec::<String>::new());
 }
 
-/// The ledger has an outage for longer than any lease: running tasks continue, polls are answered, and new jobs
-/// are refused at once. Afterwards every job ends once.
+/// The ledger has an outage for longer than any lease. Running tasks continue, polls are answered, and new jobs are
+/// refused without delay. After the outage every job completes without a second start.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_outage_of_the_ledger_ends_no_running_work() {
+async fn running_tasks_continue_during_a_ledger_outage() {
     let mut site = Site::new(Duration::from_secs(12)).await;
     site.start_all().await;
     for number in 0..NAMES.len() {
         site.submit(number, &job(number, 2)).await;
     }
-    until_all_run(&site, 6).await;
+    wait_until_started(&site, 6).await;
     site.ledger.set_outage(true);
-    // Longer than the cell's lease, the bound on renewals and the workers' lease.
+    // Longer than the cell's lease, `renew_without_ledger_s` and the workers' lease.
     tokio::time::sleep(Duration::from_secs(7)).await;
     let requested = Instant::now();
     let (status, _) = site.post(1, 0, "/v1/jobs", job(9, 1)).await;
     assert_eq!(status, 503);
-    assert!(requested.elapsed() < Duration::from_millis(500), "at once");
-    let runs = async || site.stage(0, "job-0").await == "running";
-    until("a poll is answered", runs).await;
+    assert!(
+        requested.elapsed() < Duration::from_millis(500),
+        "the job is refused without delay"
+    );
+    let is_running = async || site.stage(0, "job-0").await == "running";
+    until("a poll is answered", is_running).await;
     {
         let world = site.world.lock().unwrap();
         assert_eq!(
@@ -87,18 +93,18 @@
         );
     }
     site.ledger.set_outage(false);
-    for at in 0..NAMES.len() {
-        wait_until_done(&site, at, NAMES.len()).await;
+    for cell in 0..NAMES.len() {
+        wait_until_done(&site, cell, NAMES.len()).await;
     }
     let world = site.world.lock().unwrap();
     assert_eq!((world.starts, world.expired_leases), (6, 0));
     assert_eq!(world.broken_rules, Vec::<String>::new());
 }
 
-/// An acceptance is recorded, but the answer is lost: the user is refused for now, and a repeated submission at
-/// another cell finds the job.
+/// The ledger applies the transaction that accepts a job, but its answer is lost. The user gets 503. When the
+/// submission is repeated at another cell, that cell finds the job and does not create a second one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_acceptance_without_an_answer_is_one_job() {
+async fn a_submission_repeated_after_a_lost_ledger_answer_creates_one_job() {
     let mut site = Site::new(Duration::from_millis(1000)).await;
     site.start_all().await;
     site.ledger
@@ -107,34 +113,35 @@
     assert_eq!(status, 503);
     let answer = site.submit(1, &job(0, 2)).await;
     assert!(["queued", "running", "done"].contains(&answer["stage"].as_str().unwrap()));
-    for at in 0..NAMES.len() {
-        let done = async || site.stage(at, "job-0").await == "done";
-        until("it is done", done).await;
+    for cell in 0..NAMES.len() {
+        let is_done = async || site.stage(cell, "job-0").await == "done";
+        until("the job is done", is_done).await;
     }
     assert_eq!(site.world.lock().unwrap().starts, 2);
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
-/// A takeover is delayed until the cell is back: it must fail, and the job runs once.
+/// The transactions by which other cells take over a job are delayed until its owner has been restarted. They must
+/// fail, and no task may run twice.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_takeover_that_comes_late_takes_nothing() {
+async fn a_takeover_delayed_until_the_owner_is_back_fails() {
     let mut site = Site::new(Duration::from_secs(3)).await;
     site.start_all().await;
     site.submit(0, &job(0, 2)).await;
-    until_all_run(&site, 2).await;
-    // All attempts of both others are delayed.
+    wait_until_started(&site, 2).await;
+    // Delays all takeover attempts of both other cells.
     site.ledger
         .inject_fault("job-0", TransactionFault::Delayed, 1000);
     site.cells[0].cluster.kill_all();
-    let tried = async || site.ledger.has_delayed();
-    until("a takeover is sent", tried).await;
+    let is_sent = async || site.ledger.has_delayed();
+    until("a takeover is sent", is_sent).await;
     site.start_cell(0);
-    let registered = async || site.ledger.stored("c/l/n/").contains_key("c/l/n/hanoi");
-    until("the cell is back", registered).await;
+    let is_registered = async || site.ledger.stored("c/l/n/").contains_key("c/l/n/hanoi");
+    until("the cell is registered again", is_registered).await;
     assert_eq!(
         site.ledger.deliver_delayed(),
         0,
-        "none of them takes the job"
+        "no delayed takeover succeeds"
     );
     site.ledger
         .inject_fault("job-0", TransactionFault::Delayed, 0);
--- a/tests/cells/moves.rs
+++ b/tests/cells/moves.rs
@@ -1,4 +1,4 @@
-//! Moves of waiting jobs between cells that are disturbed halfway.
+//! Moves of waiting jobs between cells during failures.
 
 use super::kill::wait_until_done;
 use super::site::{CONTROLLERS, NAMES, Site, job, until};
@@ -8,11 +8,12 @@
 use std::time::Duration;
 
 const JOBS: usize = 4;
-/// Less than `RENEW_WITHOUT_LEDGER_S` of the site: running work goes on.
-const LAG: Duration = Duration::from_millis(700);
-const LAGS: usize = 12;
+/// How long a cell is disconnected. It is shorter than `RENEW_WITHOUT_LEDGER_S` of the site, so that running tasks
+/// continue.
+const DISCONNECTION: Duration = Duration::from_millis(700);
+const DISCONNECTIONS: usize = 12;
 
-/// Three cells, of which the first has no machines, with its jobs.
+/// Three cells with jobs submitted to the first, whose cloud has no machines.
 async fn site_with_jobs_that_must_move() -> Site {
     let spill = json!({"spill": {"after_s": 1.0, "at_once": 4, "moves": 3}});
     let mut site = Site::with_settings(Duration::from_millis(800), spill).await;
@@ -24,51 +25,51 @@
     site
 }
 
-/// The first cell has relinquished jobs and sent their handovers, of which no answer comes; then its leader
-/// ends. The next leader goes on where it stopped, and the handovers that are carried out late change nothing.
+/// The leader of a cell has relinquished jobs and is killed while the transactions of their handovers are delayed. The
+/// next leader must complete the moves, and the delayed transactions must cause no violation when they are applied.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_move_goes_on_after_the_end_of_the_leader_that_began_it() {
+async fn the_next_leader_completes_moves_of_a_killed_leader() {
     let mut site = site_with_jobs_that_must_move().await;
     let handover = "\"moves\":1";
     site.ledger
         .inject_fault(handover, TransactionFault::Delayed, JOBS);
-    let sent = async || site.ledger.has_delayed();
-    until("a handover is sent", sent).await;
+    let is_sent = async || site.ledger.has_delayed();
+    until("a handover is sent", is_sent).await;
     let leader = site.cells[0].cluster.leader().unwrap();
     site.cells[0].cluster.kill(leader);
     site.cells[0].cluster.start(leader);
-    let replaced = async || {
+    let is_replaced = async || {
         let cluster = &site.cells[0].cluster;
         cluster.is_healthy(leader).await && cluster.leader() == Some((leader + 1) % CONTROLLERS)
     };
-    until("the other controller is the leader", replaced).await;
-    let moved = async || {
+    until("the other controller is the leader", is_replaced).await;
+    let has_moved = async || {
         let jobs = site.ledger.stored("c/l/j/");
         jobs.values().any(|job| job["owner"] != NAMES[0])
     };
-    until("a job moves", moved).await;
+    until("a job has moved", has_moved).await;
     site.ledger.deliver_delayed();
     wait_until_done(&site, 1, JOBS).await;
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
-/// One cell after the other does not read the ledger for a while, so that jobs move by what was true before;
-/// all are done all the same, and none moves more often than its waiting allows.
+/// Each cell in turn is disconnected from the ledger for a short time, so that cells decide on moves from outdated
+/// records. All jobs complete, and none moves more often than the waits between moves permit.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn jobs_end_although_cells_read_the_ledger_late() {
+async fn jobs_complete_although_cells_are_briefly_disconnected() {
     let site = site_with_jobs_that_must_move().await;
     let mut most_moves = 0;
-    for lag in 0..LAGS {
-        let cut = &site.cells[lag % NAMES.len()].cut_from_ledger;
+    for index in 0..DISCONNECTIONS {
+        let cut = &site.cells[index % NAMES.len()].cut_from_ledger;
         cut.store(true, Ordering::Relaxed);
-        tokio::time::sleep(LAG).await;
+        tokio::time::sleep(DISCONNECTION).await;
         cut.store(false, Ordering::Relaxed);
         let jobs = site.ledger.stored("c/l/j/");
         let moves = |job: &Value| job["moves"].as_u64().unwrap();
         most_moves = most_moves.max(jobs.values().map(moves).max().unwrap_or(0));
     }
     wait_until_done(&site, 1, JOBS).await;
-    // Beyond three moves a job waits for 17 s in each cell: twice `after_s`, and the age of summaries.
+    // After three moves a job waits for 17 s in each cell: twice `after_s`, and the maximum age of summaries.
     assert!(most_moves <= 4, "{most_moves} moves");
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
--- a/tests/cells/protection.rs
+++ b/tests/cells/protection.rs
@@ -1,4 +1,4 @@
-//! Machines that a receiving cell's operators protect.
+//! Jobs that spill into cells whose operators have protected machines.
 
 use super::kill::wait_until_done;
 use super::site::{Site, job, until};
@@ -7,19 +7,21 @@
 
 const JOBS: usize = 6;
 
-// What went wrong here. A job that hue had just adopted counted its waiting from its acceptance at hanoi, and so
-// left at once: "job leaves the cell job=job-3 waited_ms=2714 spill_count=1" right after "job adopted". It went
-// back to hanoi by a capacity summary from before hanoi sent it: "summary_revision=2", "job_revision=16",
-// "waiting_tasks: 0, can_rent: true", although hanoi's cloud has nothing. Its third move went to danang, which
-// declined it, and at hanoi no move was left: it waited for good. Once the waiting counted from the adoption,
-// some runs counted 16 starts in place of 14: hue's leader withdrew jobs that the other controller of hue had just
-// started. With the progress page among the preconditions the withdrawal is refused then: "cell record not written
-// error=guards failed: [r/p/job-5/0]".
+// Guards against two faults:
+//
+// - The wait of an adopted job was counted from its acceptance by its first cell. A job that hue had just adopted left
+//   at once (job=job-3 waited_ms=2714 spill_count=1). A capacity summary that hanoi had computed before it sent the job
+//   (summary_revision=2, job_revision=16) still showed "waiting_tasks: 0, can_rent: true", so the job went back to
+//   hanoi, whose cloud has no machines. Its third move led to danang, which declined it. It returned to hanoi with no
+//   move left and waited there forever.
+// - After the wait was counted from the adoption, some runs had 16 starts instead of 14: the leader of hue withdrew
+//   jobs that the other controller of hue had just started. The progress page is now one of the preconditions of a
+//   withdrawal. The withdrawal then fails, and the leader logs "cell record not written" with the key r/p/job-5/0.
 
-/// One cell has no machines, and of the two others one protects all of its own: they run none of the first
-/// cell's tasks, but those of their own cell; each job is done once.
+/// One of three cells has no machines, and another protects all of its machines. The protected machines run no tasks
+/// of the first cell but run those of their own cell, and each task starts once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn work_that_spills_leaves_protected_machines_alone() {
+async fn spilled_jobs_do_not_run_on_protected_machines() {
     let spill = json!({"spill": {"after_s": 1.0, "at_once": 4, "moves": 3}});
     let mut site = Site::with_settings(Duration::from_millis(800), spill).await;
     site.cells[0].cluster.cloud.set_capacity(0);
@@ -34,37 +36,42 @@
     assert_eq!(
         site.cells[1].cluster.cloud.rented_count(),
         0,
-        "nothing was rented there for it"
+        "no machines are rented there for spilled jobs"
     );
     site.submit(1, &job(JOBS, 2)).await;
-    let done = async || site.stage(1, &format!("job-{JOBS}")).await == "done";
-    until("its own work is done there", done).await;
+    let is_done = async || site.stage(1, &format!("job-{JOBS}")).await == "done";
+    until("the protecting cell completes its own job", is_done).await;
     assert!(site.cells[1].cluster.cloud.rented_count() > 0);
     assert_eq!(site.world.lock().unwrap().starts, 2 * (JOBS + 1));
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
-/// Both other cells protect all of their machines: a job is offered to each at most once, returns, and is done at
-/// home when that cell has machines.
+/// Both other cells protect all of their machines. A job is handed over to each of them at most once and declined. It
+/// then returns to the cell that accepted it and completes there once that cell has machines.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_job_that_fits_protected_room_only_comes_home() {
+async fn a_job_that_fits_only_protected_machines_returns_to_its_first_cell() {
     let spill = json!({"spill": {"after_s": 0.5, "at_once": 4, "moves": 8}});
     let mut site = Site::with_settings(Duration::from_millis(800), spill).await;
     site.cells[0].cluster.cloud.set_capacity(0);
-    for at in [1, 2] {
-        site.cells[at].cluster.set_policy("protected = true\n");
+    for cell in [1, 2] {
+        site.cells[cell].cluster.set_policy("protected = true\n");
     }
     site.start_all().await;
     for number in 0..3 {
         site.submit(0, &job(number, 2)).await;
     }
-    let home = async || {
+    let have_returned = async || {
         let jobs = site.ledger.stored("c/l/j/");
-        let declined = |job: &serde_json::Value| job["declined"].as_array().map_or(0, Vec::len);
+        let declined_count =
+            |job: &serde_json::Value| job["declined"].as_array().map_or(0, Vec::len);
         jobs.values()
-            .all(|job| declined(job) == 2 && job["owner"] == "hanoi")
+            .all(|job| declined_count(job) == 2 && job["owner"] == "hanoi")
     };
-    until("all are home, declined by both others", home).await;
+    until(
+        "both others have declined all jobs, and these have returned",
+        have_returned,
+    )
+    .await;
     site.cells[0].cluster.cloud.set_capacity(8);
     wait_until_done(&site, 0, 3).await;
     assert_eq!(
--- a/tests/cells/spill.rs
+++ b/tests/cells/spill.rs
@@ -1,4 +1,4 @@
-//! Work that one cell cannot place.
+//! Jobs that their cell cannot place.
 
 use super::kill::wait_until_done;
 use super::site::{Site, job};
@@ -7,9 +7,9 @@
 
 const JOBS: usize = 6;
 
-/// The cell's cloud has no machines: waiting jobs spill into the others, and each is done once.
+/// One cell's cloud has no machines. Its waiting jobs spill into the other cells, and each task starts once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn work_without_a_machine_spills_into_other_cells() {
+async fn jobs_of_a_cell_without_machines_spill_into_other_cells() {
     let spill = json!({"spill": {"after_s": 1.0, "at_once": 4, "moves": 3}});
     let mut site = Site::with_settings(Duration::from_millis(800), spill).await;
     site.cells[0].cluster.cloud.set_capacity(0);
@@ -20,7 +20,7 @@
     }
     wait_until_done(&site, 0, JOBS).await;
     println!(
-        "all done {:.1} s after submission",
+        "all jobs done {:.1} s after submission",
         began.elapsed().as_secs_f64()
     );
     wait_until_done(&site, 2, JOBS).await;
@@ -28,9 +28,9 @@
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
-/// No cell has machines: jobs do not move in circles, and once there are machines, all are done.
+/// While no cell has machines, no job moves more than three times. Once there are machines, all jobs complete.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn work_that_nobody_can_place_stays_where_it_is() {
+async fn jobs_that_no_cell_can_place_do_not_circulate() {
     let spill = json!({"spill": {"after_s": 0.5, "at_once": 4, "moves": 3}});
     let mut site = Site::with_settings(Duration::from_millis(800), spill).await;
     for cell in &site.cells {
@@ -41,8 +41,13 @@
         site.submit(number % 3, &job(number, 2)).await;
     }
     tokio::time::sleep(Duration::from_secs(8)).await;
-    let moved = |job: &serde_json::Value| job["moves"].as_u64().unwrap();
-    let moves: Vec<u64> = site.ledger.stored("c/l/j/").values().map(moved).collect();
+    let move_count = |job: &serde_json::Value| job["moves"].as_u64().unwrap();
+    let moves: Vec<u64> = site
+        .ledger
+        .stored("c/l/j/")
+        .values()
+        .map(move_count)
+        .collect();
     println!("moves: {moves:?}");
     assert!(moves.len() == JOBS && moves.iter().all(|moves| *moves <= 3));
     for cell in &site.cells {
