--- a/tests/cells/main.rs
+++ b/tests/cells/main.rs
@@ -1,5 +1,5 @@
-//! Cells as users and operators meet them: controllers as processes of the real program, against the
-//! stand-ins for the ledger, state services, clouds and workers, on loopback.
+//! End-to-end tests of cells. The controllers are processes of the real program. The ledger, the state services,
+//! the clouds and the workers are stubs on loopback.
 
 mod cancel;
 mod client;
@@ -8,6 +8,6 @@
 mod measure;
 mod moves;
 mod protection;
+mod random_kills;
 mod site;
 mod spill;
-mod storm;
--- a/tests/cells/measure.rs
+++ b/tests/cells/measure.rs
@@ -1,5 +1,5 @@
-//! Measurements of what cells cost. They check nothing: run them in a release build, by
-//! `cargo test --release --test cells measure -- --ignored --nocapture --test-threads 1`.
+//! Measurements of the time and the ledger writes that cells cost. They check no bounds. Run them in a release build:
+//! `cargo test --release --test cells measure -- --ignored --nocapture --test-threads 1`
 
 use super::site::{NAMES, Site, job, until};
 use std::time::{Duration, Instant};
@@ -7,28 +7,29 @@
 const ROUNDS: usize = 5;
 const JOBS_PER_ROUND: usize = 10;
 
-/// The value that the given fraction of sorted values does not exceed.
+/// The quantile of sorted values at `fraction`: the value at the nearest index.
 fn quantile(sorted: &[f64], fraction: f64) -> f64 {
     sorted[((sorted.len() - 1) as f64 * fraction).round() as usize]
 }
 
-fn print(what: &str, mut times: Vec<f64>) {
+/// Prints quantiles of times in seconds.
+fn print_quantiles(label: &str, mut times: Vec<f64>) {
     times.sort_by(f64::total_cmp);
-    let (median, p95, largest) = (
+    let (median, p95, maximum) = (
         quantile(&times, 0.5),
         quantile(&times, 0.95),
         quantile(&times, 1.0),
     );
     let count = times.len();
     println!(
-        "{what}: median {median:.2} s, 95th percentile {p95:.2} s, largest {largest:.2} s of {count}"
+        "{label}: median {median:.2} s, 95th percentile {p95:.2} s, maximum {maximum:.2} s, {count} values"
     );
 }
 
-/// The time from the end of a cell and its machines until each of its jobs runs again, elsewhere.
+/// The time from the moment at which a cell and its machines are killed until each of its jobs runs in another cell.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-#[ignore = "a measurement of some minutes"]
-async fn time_of_a_spillover() {
+#[ignore = "measurement that takes several minutes"]
+async fn time_of_a_takeover() {
     let mut times = Vec::new();
     for _ in 0..ROUNDS {
         let mut site = Site::new(Duration::from_secs(60)).await;
@@ -36,35 +37,39 @@
         for number in 0..JOBS_PER_ROUND {
             site.submit(0, &job(number, 2)).await;
         }
-        let runs = async || site.world.lock().unwrap().starts == 2 * JOBS_PER_ROUND;
-        until("all tasks run", runs).await;
+        let have_started = async || site.world.lock().unwrap().starts == 2 * JOBS_PER_ROUND;
+        until("all tasks have started", have_started).await;
         site.cells[0].cluster.kill_all();
         site.cells[0].cluster.cloud.power_off();
-        let ended = Instant::now();
-        let mut again = [None; JOBS_PER_ROUND];
-        let all_again = async || {
-            for (number, since) in again.iter_mut().enumerate() {
-                let runs = site
+        let killed = Instant::now();
+        let mut restart_times = [None; JOBS_PER_ROUND];
+        let are_all_running = async || {
+            for (number, restart_time) in restart_times.iter_mut().enumerate() {
+                let is_running = site
                     .world
                     .lock()
                     .unwrap()
                     .running_tasks(&format!("job-{number}"))
                     > 0;
-                if runs && since.is_none() {
-                    *since = Some(ended.elapsed().as_secs_f64());
+                if is_running && restart_time.is_none() {
+                    *restart_time = Some(killed.elapsed().as_secs_f64());
                 }
             }
-            again.iter().all(Option::is_some)
+            restart_times.iter().all(Option::is_some)
         };
-        until("all run again", all_again).await;
-        times.extend(again.into_iter().flatten());
+        until("all jobs run in other cells", are_all_running).await;
+        times.extend(restart_times.into_iter().flatten());
     }
-    print("from the end of a cell to a task elsewhere", times);
+    print_quantiles(
+        "from the kill of a cell until a job runs in another cell",
+        times,
+    );
 }
 
-/// One cell accepts jobs of one task as fast as its users send them, with a ledger and without.
+/// How fast a cell accepts jobs of one task that are submitted one after the other, and how long all of them take. Runs
+/// the measurement without cells and with them, and so without the ledger and with it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-#[ignore = "a measurement of some minutes"]
+#[ignore = "measurement that takes several minutes"]
 async fn cost_of_the_ledger() {
     const JOBS: usize = 300;
     for round in 0..3 {
@@ -78,29 +83,29 @@
                 site = Site::without_cells(task_duration).await;
                 site.start_all_unregistered().await;
             }
-            let changes = site.ledger.revision();
+            let first_revision = site.ledger.revision();
             let began = Instant::now();
-            let mut answers = Vec::new();
+            let mut answer_times = Vec::new();
             for number in 0..JOBS {
                 let requested = Instant::now();
                 site.submit(0, &job(number, 1)).await;
-                answers.push(requested.elapsed().as_secs_f64());
+                answer_times.push(requested.elapsed().as_secs_f64());
             }
-            let submitted = began.elapsed().as_secs_f64();
+            let submission_s = began.elapsed().as_secs_f64();
             for number in 0..JOBS {
                 let id = format!("job-{number}");
-                let done = async || site.stage(0, &id).await == "done";
-                until("it is done", done).await;
+                let is_done = async || site.stage(0, &id).await == "done";
+                until("the job is done", is_done).await;
             }
-            let all = began.elapsed().as_secs_f64();
-            let writes = (site.ledger.revision() - changes) as f64 / JOBS as f64;
+            let total_s = began.elapsed().as_secs_f64();
+            let revisions = (site.ledger.revision() - first_revision) as f64 / JOBS as f64;
             println!(
-                "round {round}, {} cells: {:.0} jobs a second accepted, all done after {all:.1} s, \
-                 {writes:.2} changes of the ledger a job",
+                "round {round}, {} cells: {:.0} jobs accepted per second, all done after {total_s:.1} s, \
+                 {revisions:.2} ledger revisions per job",
                 if with_cells { NAMES.len() } else { 0 },
-                JOBS as f64 / submitted,
+                JOBS as f64 / submission_s,
             );
-            print("  an acceptance", answers);
+            print_quantiles("  time of an acceptance", answer_times);
         }
     }
 }
