--- a/tests/limits/client.rs
+++ b/tests/limits/client.rs
@@ -1,4 +1,5 @@
-//! The client's answers about limits: their format, on which scripts rely, and during a takeover.
+//! The client's answers about limits: their JSON format, on which scripts rely, and the answers and exit codes while
+//! controllers or the state service are down.
 
 use crate::site::{CONTROLLERS, Site, job};
 use rowanmill_testing::cluster::ClientOutput;
@@ -6,7 +7,7 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// An answer without the values that differ from run to run.
+/// The answer with null in place of the values that differ between runs.
 fn without_varying_values(text: &str) -> String {
     let mut answer: Value = serde_json::from_str(text).unwrap();
     for field in ["since_ms", "controller", "free_here"] {
@@ -16,9 +17,9 @@
     }
     if let Some(teams) = answer.get_mut("teams") {
         for team in teams.as_array_mut().unwrap() {
-            for part in team["controllers"].as_array_mut().unwrap() {
+            for controller in team["controllers"].as_array_mut().unwrap() {
                 for field in ["allotment", "used", "waiting"] {
-                    part[field] = Value::Null;
+                    controller[field] = Value::Null;
                 }
             }
         }
@@ -35,7 +36,7 @@
     let world = site.cloud.world.clone();
     let running = |id: &str| world.lock().unwrap().running_tasks(id);
     let full = || running("job-1") == 2 && running("job-2") == 1;
-    until("the limit is used", async || full()).await;
+    until("the limit is fully used", async || full()).await;
     let status = site.client(&["status", "--output", "json"]);
     assert_eq!(status.code, 0);
     let held = site.client(&["explain", "job-1", "--output", "json"]);
@@ -49,9 +50,9 @@
     assert_eq!(
         site.client(&["explain", "job-77"]).code,
         3,
-        "never accepted"
+        "the job was never accepted"
     );
-    // Without any controller the answer comes from the records.
+    // With all controllers down, the client answers from the records in the state service.
     (0..CONTROLLERS).for_each(|number| site.kill(number));
     let ClientOutput { code, text } = site.client(&["explain", "job-1"]);
     assert_eq!(code, 0);
--- a/tests/limits/main.rs
+++ b/tests/limits/main.rs
@@ -1,5 +1,5 @@
-//! Teams' limits with three controllers as processes, some of which fail. Whether a limit held is judged by
-//! what the machines run at each instant.
+//! End-to-end tests of team limits with three controllers that run as processes. Whether a limit is kept is checked
+//! against the tasks that the machines run at each moment.
 
 mod client;
 mod failures;
--- a/tests/limits/races.rs
+++ b/tests/limits/races.rs
@@ -1,20 +1,22 @@
-//! Several controllers use one limit concurrently.
+//! Controllers that use the limit of one team concurrently.
 
 use crate::site::{CONTROLLERS, Site, gang, job};
 use rowanmill_testing::until;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-// What went wrong here, in about one of forty runs. "rental confirmed" came twice and no more: two machines for three
-// controllers, which "machines reassigned" moved among them. "limited team's job forecast permitted=1 late=1 helped=1"
-// at the third controller shows its slot of the limit beside no machine; it never transferred it, since each controller
-// kept what its oldest task needs ("quota allocation changed" came only when its work had ended). A controller without
-// a machine now releases that slot, too, to one that waits for the limit and has a machine.
+// Guards against a fault that occurred in about one of forty runs: a controller without a machine never released its
+// slot of the limit, so the limit was not fully used. Only two machines had been rented for three controllers ("rental
+// confirmed" twice), and they were reassigned among them ("machines reassigned"). The third controller had a slot but
+// no machine ("limited team's job forecast permitted=1 late=1 helped=1"). It did not transfer the slot, because each
+// controller kept the quota that its oldest task needs: "quota allocation changed" came only after its work had ended.
+// A controller without a machine now releases this slot, too, to a controller that waits for the limit and has a
+// machine.
 
-/// Jobs of one task each are submitted to all controllers at once, and the limit has three slots: a fourth is
-/// never used, and none stays free.
+/// Jobs of one task each are submitted to all controllers at once under a limit of three tasks. A fourth task never
+/// runs at the same time, and the whole limit is used.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn controllers_race_for_the_last_slot() {
+async fn concurrent_submissions_use_the_whole_limit_and_no_more() {
     let mut site = Site::new(&[("t", 3.0)], Duration::from_millis(300)).await;
     site.start_all().await;
     let jobs: Vec<_> = (0..60).map(|n| job(n, "t", 1, 1.0)).collect();
@@ -25,47 +27,47 @@
     assert_eq!(site.peak_cpus()["t"], 3.0, "the whole limit is used");
 }
 
-/// With the settings of these tests, headroom is reserved for the gang after 9 s at most, which the other
-/// controllers learn within 5 s; what runs then ends within a second; a forecast counts the gang after 5 s, the
-/// leader rents for it after another 5, and its machines report 3 s later.
-const GANG_BEGINS_WITHIN: Duration = Duration::from_secs(30);
+/// Bounds the time until the gang runs, as the sum of these steps with the settings of these tests: headroom is reserved
+/// for the gang after at most 9 s, the other controllers learn of it within 5 s, the tasks that run by then end within a
+/// second, a forecast includes the gang after 5 s, the leader rents machines for it after another 5 s, and these report
+/// 3 s later.
+const MAX_GANG_DELAY: Duration = Duration::from_secs(30);
 
-/// A gang that needs most of the limit begins within a bounded time, although small tasks of its team wait at
-/// every controller for much longer.
+/// A gang that needs most of the limit starts within a bounded time, although single tasks of its team wait at every
+/// controller for much longer than that.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_gang_that_needs_most_of_the_limit_begins_amid_a_flood() {
     let mut site = Site::new(&[("t", 8.0)], Duration::from_millis(700)).await;
     site.start_all().await;
-    let flood: Vec<_> = (0..12).map(|n| job(n, "t", 60, 1.0)).collect();
-    site.submit_all(&flood).await;
+    let competing: Vec<_> = (0..12).map(|n| job(n, "t", 60, 1.0)).collect();
+    site.submit_all(&competing).await;
     let running = |id: &str| site.cloud.world.lock().unwrap().running_tasks(id);
-    let flooded = || site.peak_cpus()["t"] == 8.0;
-    until("the limit is used", async || flooded()).await;
+    let full = || site.peak_cpus()["t"] == 8.0;
+    until("the limit is fully used", async || full()).await;
     let submitted = Instant::now();
     site.submit(0, &gang(100, "t", 6, 1.0)).await;
     until("the gang runs", async || running("job-100") == 6).await;
     let took = submitted.elapsed();
-    assert!(took < GANG_BEGINS_WITHIN, "the gang began after {took:?}");
-    let waits = site.stage("job-11").await;
-    assert_ne!(waits, "done", "the flood goes on");
+    assert!(took < MAX_GANG_DELAY, "the gang started after {took:?}");
+    let stage = site.stage("job-11").await;
+    assert_ne!(stage, "done", "other tasks of the team still wait");
     for n in 0..12 {
         site.cancel(&format!("job-{n}")).await;
     }
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
-// What went wrong here. One controller had come to have the whole limit and one machine of 4 CPUs, and 600 tasks
-// waited. The log said "scaling decided late=3.0 counted=3.0 wanted=0.0 decision=ScaleOut(100)" at one event after
-// the other: of 12 tasks that the headroom showed all were late, and none was to be helped by a machine, since the
-// one machine would start all 12, of half a second each, before a new one is up. What stood behind these 12 was
-// not looked at. With the mend, "limited team's job forecast" shows it as helped_beyond_headroom, and as
-// unused_quota_tasks how many more could run at once; machines are rented for no more than these.
+// Guards against a forecast that ignored all tasks beyond the current headroom. One controller had the whole limit and
+// one machine of 4 CPUs while 600 tasks waited. The log repeated "scaling decided late=3.0 counted=3.0 wanted=0.0
+// decision=ScaleOut(100)": the forecast covered the 12 tasks for which there was headroom. All of them were late, but
+// none would start sooner on a new machine, since the one machine would start all 12, of half a second each, before a
+// new one is up. The forecast now also covers the tasks behind these 12: "limited team's job forecast" logs those that
+// machines help as helped_beyond_headroom, and as unused_quota_tasks how many more tasks could run at once. Machines
+// are rented for no more than these.
 
-/// For a team that lacks machines, not quota, more are rented. The fault: a forecast counts no more of its tasks
-/// than the allocation has headroom for now, finds all of these in time, and rents nothing for the hundreds
-/// behind them.
+/// Machines are rented for a team that lacks machines rather than quota, until it uses its whole limit.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_team_below_its_limit_is_rented_machines_for_all_that_waits() {
+async fn machines_are_rented_until_a_team_reaches_its_limit() {
     let mut site = Site::new(&[("t", 12.0)], Duration::from_millis(500)).await;
     site.start_all().await;
     for number in 0..CONTROLLERS {
@@ -74,5 +76,5 @@
         site.submit(number, &late).await;
     }
     let full = || site.peak_cpus()["t"] == 12.0;
-    until("the limit is used", async || full()).await;
+    until("the limit is fully used", async || full()).await;
 }
--- a/tests/limits/site.rs
+++ b/tests/limits/site.rs
@@ -1,4 +1,4 @@
-//! Three controllers that divide the limits of teams, and the jobs of these teams.
+//! A cluster of three controllers that divide the limits of teams, and jobs of these teams.
 
 use rowanmill_testing::cloud::World;
 use rowanmill_testing::cluster::{
@@ -25,14 +25,14 @@
     pause: Duration::from_millis(50),
 };
 
-/// Teams with their limits in CPUs; 0 for none.
+/// Teams with their limits in CPUs. 0 means that a team has no limit.
 pub type Teams = &'static [(&'static str, f64)];
 
 /// A cluster whose controllers divide the teams' limits.
 pub struct Site {
     cluster: Cluster,
     teams: Teams,
-    /// Holds the operators' file.
+    /// Contains the limits file.
     _folder: TestFolder,
 }
 
@@ -53,7 +53,7 @@
 impl Site {
     pub async fn new(teams: Teams, task_duration: Duration) -> Self {
         let mut world = World::default();
-        for (team, cpus) in limited(teams) {
+        for (team, cpus) in limited_teams(teams) {
             world.quota.set_limit(team, (cpus * 1000.0) as u64);
         }
         let settings = teams.iter().map(|(team, cpus)| TeamSetting {
@@ -96,30 +96,30 @@
         until("the limits are divided", divided).await;
     }
 
-    /// Whether each team's limit is divided among all controllers.
+    /// Whether the limit of each limited team is divided among all controllers.
     fn are_divided(&self) -> bool {
         let records = self.state.stored("r/a/");
         let count = |record: &Value| record["allotments"].as_object().map_or(0, |a| a.len());
-        records.len() == limited(self.teams).count()
+        records.len() == limited_teams(self.teams).count()
             && records.values().all(|r| count(r) == CONTROLLERS)
     }
 
-    /// Submits all jobs at the same time, to the controllers in turn, until they are accepted.
+    /// Submits all jobs concurrently, distributed over the controllers in turn, and retries until they are accepted.
     pub async fn submit_all(&self, jobs: &[Value]) {
         let jobs = jobs.iter().enumerate();
         let submissions = jobs.map(|(index, job)| self.submit(index % CONTROLLERS, job));
         join_all(submissions).await;
     }
 
-    /// The most CPUs that each team used at a time.
+    /// The most CPUs that each team used at the same time.
     pub fn peak_cpus(&self) -> BTreeMap<&'static str, f64> {
         let world = self.cloud.world.lock().unwrap();
         let teams = self.teams.iter();
-        let most = |team: &str| world.quota.peak_usage(team) as f64 / 1000.0;
-        teams.map(|(team, _)| (*team, most(team))).collect()
+        let peak = |team: &str| world.quota.peak_usage(team) as f64 / 1000.0;
+        teams.map(|(team, _)| (*team, peak(team))).collect()
     }
 
-    /// Runs a command of the client about limits.
+    /// Runs the `limits` command of the client with these arguments.
     pub fn client(&self, arguments: &[&str]) -> ClientOutput {
         let settings = self.settings_file(0);
         let arguments = arguments.iter().map(AsRef::as_ref);
@@ -133,12 +133,13 @@
 impl Drop for Site {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            println!("{:#?}", self.state.stored("r/a/"));
+            println!("quota allocations: {:#?}", self.state.stored("r/a/"));
         }
     }
 }
 
-fn limited(teams: Teams) -> impl Iterator<Item = &'static (&'static str, f64)> {
+/// The teams that have a limit.
+fn limited_teams(teams: Teams) -> impl Iterator<Item = &'static (&'static str, f64)> {
     teams.iter().filter(|(_, cpus)| *cpus > 0.0)
 }
 
