--- a/src/renting/release.rs
+++ b/src/renting/release.rs
@@ -28,7 +28,7 @@
         return;
     }
     if let Err(error) = node.cloud.release(names.clone()).await {
-        tracing::info!(%error, "release request failed, to be sent again");
+        tracing::info!(%error, "release unconfirmed");
         return; // the next iteration finds the machines recorded as releasing and releases them again
     }
     remove_released(node, names).await;
--- a/src/renting/rental.rs
+++ b/src/renting/rental.rs
@@ -94,7 +94,7 @@
         Ok(machines) => machines,
         Err(CloudError::NoCapacity | CloudError::Malformed) => Vec::new(),
         Err(error) => {
-            tracing::info!(rental = name, %error, "rental request failed, to be sent again");
+            tracing::info!(rental = name, %error, "rental unconfirmed");
             return None;
         }
     };
