--- a/crates/rowanmill-testing/src/cloud/world.rs
+++ b/crates/rowanmill-testing/src/cloud/world.rs
@@ -174,8 +174,7 @@
         }
     }
 
-    /// Checks rule `ran_cancelled`: no task runs for longer than `timeout` after its job's cancellation was
-    /// confirmed.
+    /// Checks that no task runs for longer than `timeout` after its job's cancellation was confirmed.
     pub(super) fn check_cancelled(&mut self, timeout: Duration) {
         let is_late = |task: &&String| {
             let since = self.cancelled.get(job_of(task));
--- a/src/jobs/writer/tests.rs
+++ b/src/jobs/writer/tests.rs
@@ -64,9 +64,10 @@
     }
 }
 
-/// Rule `ran_twice`, found by fault injection: a controller observed that the task of a withdrawn start was absent,
-/// and was partitioned before it wrote this. The machine's next owner started the task. After the partition, the
-/// previous owner's write was accepted, and the task was placed a second time.
+/// Guards against a task that starts again although an attempt of it may still be running, found by fault injection: a
+/// controller observed that the task of a withdrawn start was absent, and was partitioned before it wrote this. The
+/// machine's next owner started the task. After the partition, the previous owner's write was accepted, and the task
+/// was placed a second time.
 #[test]
 fn an_observation_under_an_earlier_ownership_is_not_written() {
     let (me, mut core) = core_with_a_job();
@@ -84,10 +85,11 @@
     "#);
 }
 
-/// Rule `ran_twice`, at 1,050 machines without injected faults: a controller observed that the task of a withdrawn
-/// start was absent. While it wrote the ends of jobs, the watch delivered the machine's next owner. The absence was
-/// then written with the new revision as its precondition, although the next owner had already sent `run`. In
-/// addition, a pending start on such a machine stayed pending forever.
+/// Guards against a task that starts again although an attempt of it may still be running, found at 1,050 machines
+/// without injected faults: a controller observed that the task of a withdrawn start was absent. While it wrote the
+/// ends of jobs, the watch delivered the machine's next owner. The absence was then written with the new revision as
+/// its precondition, although the next owner had already sent `run`. In addition, a pending start on such a machine
+/// stayed pending forever.
 #[test]
 fn reassignment_during_a_cycle_discards_the_machines_pending_changes() {
     let (me, mut core) = core_with_a_job();
@@ -468,9 +470,9 @@
     (me, core)
 }
 
-/// Rule `ran_twice`, found by fault injection: a machine was reassigned while the exit of one of its tasks waited to
-/// be written. The next owner wrote the exit, and the task was started on another machine. The previous owner's
-/// write of the exit then undid the new start.
+/// Guards against a task that starts again although an attempt of it may still be running, found by fault injection: a
+/// machine was reassigned while the exit of one of its tasks waited to be written. The next owner wrote the exit, and
+/// the task was started on another machine. The previous owner's write of the exit then undid the new start.
 #[test]
 fn an_exit_does_not_undo_a_later_start() {
     let (me, mut core) = core_with_a_job();
--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -137,9 +137,9 @@
     assert_eq!(headroom_cpus(&core), 4.0);
 }
 
-/// Guards against exceeding a team's limit, rule `quota`: the headroom of a task that was only seen to be
-/// absent was used again before its absence was recorded. Meanwhile its machine was reassigned to another
-/// controller, which started the task because it was still recorded as placed.
+/// Guards against a team that uses more than its limit: the headroom of a task that was only seen to be absent was used
+/// again before its absence was recorded. Meanwhile its machine was reassigned to another controller, which started the
+/// task because it was still recorded as placed.
 #[test]
 fn only_completed_tasks_free_headroom_before_that_is_recorded() {
     let mut core = core(10.0, 3_000_000);
--- a/src/membership/schema_versions/tests.rs
+++ b/src/membership/schema_versions/tests.rs
@@ -12,8 +12,9 @@
     Versioned { record, revision }
 }
 
-/// Rule `too_early`: a controller of the previous version runs a job with dependencies without waiting for them.
-/// Therefore an absent controller prevents the activation, unless it was last seen with the new version.
+/// Guards against tasks that start before the jobs that their job depends on are done: a controller of the previous
+/// version runs a job with dependencies without waiting for them. Therefore an absent controller prevents the
+/// activation, unless it was last seen with the new version.
 #[test]
 fn new_encodings_are_activated_permanently_once_every_controller_was_seen_upgraded() {
     let members = ["a", "b", "c"];
--- a/src/mesh/attestation/tests.rs
+++ b/src/mesh/attestation/tests.rs
@@ -9,9 +9,10 @@
     }
 }
 
-/// Rule `ran_cancelled`: a disconnected controller may renew leases past `disconnected_lease_limit` only if every peer has
-/// attested in its last known incarnation. A peer does not count if it does not answer, has restarted, is loading its
-/// records or reaches the state service.
+/// Guards against tasks that still run after the permitted time although their job's cancellation was confirmed: a
+/// disconnected controller may renew leases past `disconnected_lease_limit` only if every peer has attested in its last
+/// known incarnation. A peer does not count if it does not answer, has restarted, is loading its records or reaches the
+/// state service.
 #[test]
 fn cancellations_are_attested_only_once_every_peer_has_attested() {
     let start = Instant::now();
--- a/src/pipelines/tests.rs
+++ b/src/pipelines/tests.rs
@@ -44,8 +44,9 @@
     )
 }
 
-/// Rules `too_early` and `orphaned`: job 1 precedes 2 and 3, both precede 4, and 4 precedes 5. The order in which the
-/// records arrive must not change which jobs are released or cancelled.
+/// Guards against a job that is released before the jobs that it depends on are done, and one that is not cancelled
+/// although a job that it depends on was: job 1 precedes 2 and 3, both precede 4, and 4 precedes 5. The order in which
+/// the records arrive must not change which jobs are released or cancelled.
 #[test]
 fn a_job_is_released_after_all_dependencies_and_cancelled_with_any() {
     let diamond = |order: [u64; 5]| {
@@ -113,8 +114,9 @@
     }
 }
 
-/// Rules `forgotten` and `too_early`: a blocked job whose dependencies cannot be read counts as known and must not be
-/// released as if it had none. A chain of 50,000 jobs must not overflow the stack.
+/// Guards against an accepted job that is no longer known, and one that is released before the jobs that it depends on
+/// are done: a blocked job whose dependencies cannot be read counts as known and must not be released as if it had
+/// none. A chain of 50,000 jobs must not overflow the stack.
 #[test]
 fn unreadable_records_are_known_and_chains_may_be_long() {
     let mut replica = Replica::new(plain_layout(8));
--- a/src/state/replica/tests.rs
+++ b/src/state/replica/tests.rs
@@ -33,10 +33,10 @@
     assert!(replica.tasks_by_machine.is_empty() && replica.orphaned_pages.is_empty());
 }
 
-/// Guards against tasks that run twice or on the wrong machine (rules `ran_twice` and `wrong_place`). Two
-/// rentals were merged right after machines of one had been released. The watch then reported the release,
-/// which restored the deleted record, and the deletion, which also removed the machines of the merged rental.
-/// For seconds these machines counted as released, and their tasks were placed again.
+/// Guards against tasks that start again although an attempt of them may still be running. Two rentals were merged
+/// right after machines of one had been released. The watch then reported the release, which restored the deleted
+/// record, and the deletion, which also removed the machines of the merged rental. For seconds these machines counted
+/// as released, and their tasks were placed again.
 #[test]
 fn a_deleted_record_is_not_restored_by_an_older_change() {
     let rental = |machines: &[&str]| {
--- a/src/testing/fault_scenarios.rs
+++ b/src/testing/fault_scenarios.rs
@@ -40,9 +40,10 @@
     cluster.cloud.world.lock().unwrap().record_cancellation(id);
 }
 
-/// Rule `ran_cancelled`: the state service refuses only the leader, the peer confirms a cancellation, and then the
-/// state service is out for all for longer than `cancel_s`, while workers report to the old leader. If the leader
-/// reaches its peer, it stops only the tasks of the cancelled job, and all others run through the outage.
+/// Guards against tasks that start, or still run after `cancel_s`, although their job's cancellation was confirmed: the
+/// state service refuses only the leader, the peer confirms a cancellation, and then the state service is out for all
+/// for longer than `cancel_s`, while workers report to the old leader. If the leader reaches its peer, it stops only
+/// the tasks of the cancelled job, and all others run through the outage.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_owner_without_state_service_stops_only_jobs_that_its_peer_cancelled() {
     let scenario = DisconnectedOwner::new(true).await;
@@ -61,8 +62,8 @@
     scenario.restore_connections().await;
 }
 
-/// Rule `ran_cancelled`, as above, but the leader does not reach its peer and cannot know which jobs are cancelled. It
-/// must stop renewing all leases in time, so that no cancelled task runs for longer than `cancel_s`.
+/// Guards against the same failure as the test above, but the leader does not reach its peer and cannot know which jobs
+/// are cancelled. It must stop renewing all leases in time, so that no cancelled task runs for longer than `cancel_s`.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_owner_without_state_service_and_peers_lets_all_leases_expire() {
     let scenario = DisconnectedOwner::new(false).await;
@@ -210,8 +211,9 @@
     assert_eq!(cluster.broken_rules(), Vec::<String>::new());
 }
 
-/// Rules `forgotten`, `went_back` and `invented`: a job that can never run is refused with the reason. A submission with
-/// the id of an accepted job returns that job's stage, even if its body is invalid.
+/// Guards against an accepted job that is no longer known, a reported final stage that a later answer contradicts, and
+/// a refused job that is reported as known: a job that can never run is refused with the reason. A submission with the
+/// id of an accepted job returns that job's stage, even if its body is invalid.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_accepted_job_is_known_even_if_its_resubmission_is_invalid() {
     let cluster = TestCluster::new(2, Duration::from_millis(300)).await;
@@ -390,10 +392,11 @@
     controllers
 }
 
-/// Rules `went_back`, `forgotten` and `invented`: users poll all controllers at the same time and repeat the submission
-/// right after a job was accepted, cancelled or reported as done. The jobs have one task each and arrive four a
-/// second. A quarter is cancelled at once, another quarter about when its task ends. In the end only the final states
-/// may be left of the jobs.
+/// Guards against a reported final stage that a later answer contradicts, an accepted job that is no longer known, and
+/// a job that nobody submitted but that is reported as known: users poll all controllers at the same time and repeat
+/// the submission right after a job was accepted, cancelled or reported as done. The jobs have one task each and arrive
+/// four a second. A quarter is cancelled at once, another quarter about when its task ends. In the end only the final
+/// states may be left of the jobs.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn no_controller_reports_an_older_stage_than_another_did() {
     let cluster = TestCluster::new(3, Duration::from_millis(400)).await;
@@ -455,9 +458,10 @@
     );
 }
 
-/// Rules `went_back`, `ran_twice`, `ran_cancelled` and `forgotten`: transactions that are applied at once but whose
-/// answer is lost, while other controllers read what they wrote, and transactions that are applied late, after newer
-/// ones.
+/// Guards against a reported final stage that a later answer contradicts, a task that runs on two machines at the same
+/// time, a task that starts although its job's cancellation was confirmed, and an accepted job that is no longer known:
+/// transactions that are applied at once but whose answer is lost, while other controllers read what they wrote, and
+/// transactions that are applied late, after newer ones.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn unanswered_transactions_lose_no_job_and_run_no_task_twice() {
     let cluster = TestCluster::new(3, Duration::from_millis(700)).await;
@@ -535,8 +539,9 @@
     assert_eq!(cluster.broken_rules(), Vec::<String>::new());
 }
 
-/// Rule `ran_twice`: the write of task starts is delayed while a later one is applied and the tasks run. The delayed
-/// write must fail, since it requires the page's earlier revision.
+/// Guards against a task that starts again although an attempt of it may still be running: the write of task starts is
+/// delayed while a later one is applied and the tasks run. The delayed write must fail, since it requires the page's
+/// earlier revision.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_delayed_start_is_rejected_after_a_later_one() {
     let cluster = TestCluster::new(2, Duration::from_secs(600)).await;
@@ -558,9 +563,10 @@
     NEXT.fetch_add(10, Ordering::Relaxed)
 }
 
-/// Rules `ran_cancelled`, `ran_twice`, `went_back` and `forgotten`: jobs are cancelled, polled and submitted again
-/// while controllers restart and their machines are reassigned. The leader restarts eight times in a row, and twice
-/// another controller restarts during an outage of the state service.
+/// Guards against a task that starts although its job's cancellation was confirmed, a task that runs on two machines at
+/// the same time, a reported final stage that a later answer contradicts, and an accepted job that is no longer known:
+/// jobs are cancelled, polled and submitted again while controllers restart and their machines are reassigned. The
+/// leader restarts eight times in a row, and twice another controller restarts during an outage of the state service.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn cancellations_hold_while_controllers_restart() {
     let cluster = TestCluster::new(3, Duration::from_millis(1500)).await;
@@ -604,9 +610,11 @@
     assert!(world.peak_running <= 12, "the team's limit is 6 CPUs");
 }
 
-/// Rules `quota`, `ran_cancelled` and `ran_twice`: a team uses its whole limit, and one of its jobs is cancelled while
-/// the job's machine hangs, cannot send or cannot receive, and the controller that manages the limit stops. The task
-/// counts against the limit until it is known to have ended. Only then may the next task start.
+/// Guards against a team that uses more than its limit, a task that starts, or still runs after the permitted time,
+/// although its job's cancellation was confirmed, and a task that runs on two machines at the same time: a team uses
+/// its whole limit, and one of its jobs is cancelled while the job's machine hangs, cannot send or cannot receive, and
+/// the controller that manages the limit stops. The task counts against the limit until it is known to have ended. Only
+/// then may the next task start.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_task_counts_against_the_limit_until_it_is_known_to_have_ended() {
     tokio::join!(
@@ -677,9 +685,10 @@
     );
 }
 
-/// Rules `ran_twice` and `forgotten`, and machines that would never be used or returned: a leader stops right after it
-/// rented machines, which boot at once, while the transaction that records their names gets no answer. Later no
-/// controller runs for longer than the workers' lease.
+/// Guards against a task that runs on two machines at the same time, an accepted job that is no longer known, and
+/// machines that would never be used or returned: a leader stops right after it rented machines, which boot at once,
+/// while the transaction that records their names gets no answer. Later no controller runs for longer than the workers'
+/// lease.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn no_machine_is_lost_when_its_record_gets_no_answer_and_all_controllers_stop() {
     tokio::join!(
--- a/src/testing/limits.rs
+++ b/src/testing/limits.rs
@@ -36,9 +36,9 @@
     allocations.map_or(0, |allocations| allocations.len())
 }
 
-/// Rule `quota` during an upgrade and a downgrade: controllers that divide limits replace those that do not, one at a
-/// time. Then one of them is replaced by a controller that does not divide limits. Throughout, the team has more work
-/// than its limit allows.
+/// Guards against a team that uses more than its limit during an upgrade and a downgrade: controllers that divide
+/// limits replace those that do not, one at a time. Then one of them is replaced by a controller that does not divide
+/// limits. Throughout, the team has more work than its limit allows.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn limits_are_divided_only_while_every_controller_divides_them() {
     let cluster = TestCluster::new(2, Duration::from_millis(250)).await;
--- a/src/testing/tests.rs
+++ b/src/testing/tests.rs
@@ -132,8 +132,10 @@
         "grindS": 1.0, "bankS": 0.0, "bankWriteS": 0.0, "dueS": 5.0})
 }
 
-/// Rules `ran_twice`, `not_done`, `forgotten` and `quota` when the controller that accepted and placed a job stops.
-/// Another controller must finish the job, and the first must still know it after its restart.
+/// Guards against a task that runs on two machines at the same time, a job that is reported as done after fewer starts
+/// than it has tasks, an accepted job that is no longer known, and a team that uses more than its limit: the controller
+/// that accepted and placed a job stops. Another controller must finish the job, and the first must still know it after
+/// its restart.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_job_is_finished_after_the_controller_that_placed_it_stops() {
     let cluster = TestCluster::new(2, Duration::from_millis(1500)).await;
@@ -157,8 +159,9 @@
     assert!(world.peak_running <= 6, "the team's limit is 6 CPUs");
 }
 
-/// Rules `went_back`, `ran_cancelled` and `invented`: every controller reports a cancelled job as cancelled from the
-/// first answer on, its tasks are stopped, and an unknown job is not found.
+/// Guards against a reported cancellation that a later answer contradicts, tasks that keep running although their job's
+/// cancellation was confirmed, and a job that nobody submitted but that is reported as known: every controller reports
+/// a cancelled job as cancelled from the first answer on, its tasks are stopped, and an unknown job is not found.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_cancelled_job_stays_cancelled_and_its_tasks_stop() {
     let cluster = TestCluster::new(2, Duration::from_secs(600)).await;
@@ -238,9 +241,11 @@
     until("the job is accepted after the outage", accepted).await;
 }
 
-/// Rules `forgotten`, `went_back`, `invented` and `ran_twice`: two of three controllers restart without a pause, three
-/// times in a row and during elections. Then all of them restart during an outage of the state service. Afterwards
-/// every controller knows how each job ended, also the job that ended before the restarts.
+/// Guards against an accepted job that is no longer known, a repeated submission whose answer contradicts the final
+/// stage that was reported, a job that nobody submitted but that is reported as known, and a task that runs on two
+/// machines at the same time: two of three controllers restart without a pause, three times in a row and during
+/// elections. Then all of them restart during an outage of the state service. Afterwards every controller knows how
+/// each job ended, also the job that ended before the restarts.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn restarts_during_elections_and_outages_lose_no_job() {
     let cluster = TestCluster::new(3, Duration::from_millis(800)).await;
@@ -291,9 +296,10 @@
     assert_eq!(world.broken_rules, Vec::<String>::new());
 }
 
-/// Rules `ran_twice`, `forgotten` and `went_back`: a controller loses the state service and its peers, but its workers
-/// still reach it, which it cannot tell from an outage for all. Its peer must take over the tasks that it placed
-/// without running one twice, and both controllers must know each job once the connection is restored.
+/// Guards against a task that runs on two machines at the same time, and an accepted job that is no longer known: a
+/// controller loses the state service and its peers, but its workers still reach it, which it cannot tell from an
+/// outage for all. Its peer must take over the tasks that it placed without running one twice, and both controllers
+/// must know each job once the connection is restored.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_controller_reached_only_by_its_workers_is_taken_over() {
     let cluster = TestCluster::new(2, Duration::from_millis(2500)).await;
@@ -332,9 +338,10 @@
     assert!(world.starts >= 18);
 }
 
-/// Rules `too_early`, `orphaned` and `forgotten`: the jobs of a diamond run in the order of their dependencies although
-/// both controllers restart meanwhile, cancelling the first job of a chain cancels the whole chain, and invalid
-/// dependencies are refused.
+/// Guards against a task that starts before the jobs that its job depends on are done, a job that is not cancelled
+/// although a job that it depends on was, and an accepted job that is no longer known: the jobs of a diamond run in the
+/// order of their dependencies although both controllers restart meanwhile, cancelling the first job of a chain cancels
+/// the whole chain, and invalid dependencies are refused.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn jobs_run_after_their_dependencies_and_are_cancelled_with_them() {
     let cluster = TestCluster::new(2, Duration::from_millis(700)).await;
--- a/src/workers/service/tests.rs
+++ b/src/workers/service/tests.rs
@@ -162,8 +162,9 @@
     json!([{"sack": "job-1/0", "turn": attempt, "stage": "running"}])
 }
 
-/// Rule `ran_twice`: a delayed heartbeat from before a start must not count as proof that the task is absent, and one
-/// from before a change of owner must not make a dead machine appear alive.
+/// Guards against a task that starts again although an attempt of it may still be running: a delayed heartbeat from
+/// before a start must not count as proof that the task is absent, and one from before a change of owner must not make
+/// a dead machine appear alive.
 #[test]
 fn stale_heartbeats_prove_nothing() {
     let mut fixture = Fixture::new();
@@ -267,9 +268,9 @@
     "#);
 }
 
-/// Rule `ran_cancelled`: a controller that alone is disconnected from the state service doesn't know which cancellations
-/// others have confirmed since. It must not start tasks by its old records, and must stop the tasks of jobs that its
-/// peers report as cancelled.
+/// Guards against tasks that start, or are not stopped, although their job's cancellation was confirmed: a controller
+/// that alone is disconnected from the state service doesn't know which cancellations others have confirmed since. It
+/// must not start tasks by its old records, and must stop the tasks of jobs that its peers report as cancelled.
 #[test]
 fn a_controller_without_recent_records_starts_nothing_and_stops_what_peers_cancelled() {
     let mut fixture = Fixture::new();
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -98,7 +98,8 @@
     "#);
 }
 
-/// Rule `ran_twice`: an exit that is reaped before it is recorded leads to a second `run` of the same attempt.
+/// Guards against an attempt that starts again after it ended: an exit that is reaped before it is recorded leads to a
+/// second `run` of the same attempt.
 #[test]
 fn an_exit_is_reaped_only_once_recorded() {
     let ended = json!([{"sack":"job-1/0","turn":1,"stage":"ended","cause":"done"}]);
@@ -115,8 +116,9 @@
     "#);
 }
 
-/// Rule `ran_cancelled`: a start was recorded just before the cancellation, and the previous owner may have sent its
-/// `run`. Until the agent has received our fencing token, the task's absence doesn't prove that it can't start.
+/// Guards against a task that starts although its job's cancellation was confirmed: a start was recorded just before
+/// the cancellation, and the previous owner may have sent its `run`. Until the agent has received our fencing token,
+/// the task's absence doesn't prove that it can't start.
 #[test]
 fn a_cancelled_start_counts_as_gone_only_under_our_fencing_token() {
     let replica = replica(true, json!([[1, "vm-1", 1]]));
@@ -156,8 +158,9 @@
     "#);
 }
 
-/// Rule `ran_twice`, found by fault injection: preemption withdrew a start. Before the withdrawal was recorded, the
-/// response to the machine's next heartbeat still carried the `run`, while the task was placed again.
+/// Guards against a task that runs on two machines at the same time, found by fault injection: preemption withdrew a
+/// start. Before the withdrawal was recorded, the response to the machine's next heartbeat still carried the `run`,
+/// while the task was placed again.
 #[test]
 fn a_withdrawn_start_is_not_commanded_while_its_record_is_being_written() {
     let replica = replica(false, json!([[1, "vm-1", 1]]));
