--- a/crates/rowanmill-testing/src/cluster/mod.rs
+++ b/crates/rowanmill-testing/src/cluster/mod.rs
@@ -60,6 +60,8 @@
     state_addrs: Vec<SocketAddr>,
     cloud_addr: SocketAddr,
     arguments: Vec<OsString>,
+    /// The program of each controller.
+    programs: Vec<PathBuf>,
     folder: TestFolder,
     processes: Vec<Option<Child>>,
 }
@@ -83,6 +85,7 @@
             processes: (0..count).map(|_| None).collect(),
             folder: TestFolder::new("rowanmill-cluster"),
             arguments: Vec::new(),
+            programs: vec![config.program.into(); count],
             config,
             state,
             cloud,
@@ -99,6 +102,11 @@
             .extend(arguments.map(|argument| argument.as_ref().to_owned()));
     }
 
+    /// Starts a controller from now on with this program, such as another build.
+    pub fn set_program(&mut self, number: usize, program: impl Into<PathBuf>) {
+        self.programs[number] = program.into();
+    }
+
     /// Starts controllers from now on with this policy.
     pub fn set_policy(&mut self, policy: &str) {
         let file = self.folder.write("policy", policy);
@@ -114,6 +122,27 @@
         self.folder.path().join(format!("log-{number}.txt"))
     }
 
+    /// All that a controller has logged since the cluster was set up.
+    fn log_text(&self, number: usize) -> String {
+        std::fs::read_to_string(self.log_file(number)).unwrap_or_default()
+    }
+
+    /// The lines of all controllers' logs that tell of an error, such as of a record that was rejected as
+    /// malformed.
+    pub fn logged_errors(&self) -> Vec<String> {
+        let tells_of_error = |line: &&str| {
+            let words = ["ERROR", "rejected", "malformed"];
+            words.iter().any(|word| line.contains(word))
+        };
+        let mut errors = Vec::new();
+        for number in 0..self.config.controllers {
+            let log = self.log_text(number);
+            let lines = log.lines().filter(tells_of_error);
+            errors.extend(lines.map(|line| format!("controller {number}: {line}")));
+        }
+        errors
+    }
+
     /// Starts a controller, or starts it again.
     pub fn start(&mut self, number: usize) {
         let settings = self.settings_file(number);
@@ -122,7 +151,7 @@
         let mut log = File::options();
         let log = log.create(true).append(true).open(self.log_file(number));
         let log = log.expect("the temporary folder is writable");
-        let process = Command::new(self.config.program)
+        let process = Command::new(&self.programs[number])
             .arg("serve")
             .args(&self.arguments)
             .arg("--config")
@@ -173,7 +202,7 @@
 
     fn print_logs(&self) {
         for number in 0..self.config.controllers {
-            let text = std::fs::read_to_string(self.log_file(number)).unwrap_or_default();
+            let text = self.log_text(number);
             let lines: Vec<&str> = text.lines().collect();
             let last = &lines[lines.len().saturating_sub(PRINTED_LOG_LINES)..];
             println!("---- controller {number}\n{}", last.join("\n"));
@@ -190,6 +219,19 @@
     }
 }
 
+/// The environment variable with the path of an older build of the program.
+const OLD_PROGRAM_VARIABLE: &str = "ROWANMILL_OLD_PROGRAM";
+
+/// The path of an older build of the program, for tests of how it works with the present one.
+///
+/// # Panics
+/// If the environment variable `ROWANMILL_OLD_PROGRAM` does not name it.
+pub fn old_program() -> String {
+    std::env::var(OLD_PROGRAM_VARIABLE).unwrap_or_else(|_| {
+        panic!("{OLD_PROGRAM_VARIABLE} must be set to the path of an older build of the program")
+    })
+}
+
 /// What the command-line client did.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClientOutput {
--- a/crates/rowanmill-testing/src/cluster/users.rs
+++ b/crates/rowanmill-testing/src/cluster/users.rs
@@ -38,11 +38,21 @@
     /// Submits a job to one controller after the other, beginning with `first`, until it is accepted; returns
     /// the answer.
     pub async fn submit(&self, first: usize, job: &Value) -> Value {
+        self.submit_in_turn(first, 1, job).await
+    }
+
+    /// Submits a job to one controller until it is accepted there; returns the answer.
+    pub async fn submit_at(&self, number: usize, job: &Value) -> Value {
+        self.submit_in_turn(number, 0, job).await
+    }
+
+    /// Submits a job, beginning with the controller `first`, to every `step`-th after it.
+    async fn submit_in_turn(&self, first: usize, step: usize, job: &Value) -> Value {
         let id = job["nameId"].as_str().unwrap();
         self.record_submission(id, job);
         let Retry { attempts, pause } = self.config.retry;
         for attempt in 0..attempts {
-            let number = (first + attempt) % self.config.controllers;
+            let number = (first + attempt * step) % self.config.controllers;
             let (status, answer) = self.post(number, "/v1/jobs", job.clone()).await;
             if matches!(status, 200 | 201) {
                 self.record_reported_stage(id, answer["stage"].as_str().unwrap());
@@ -56,10 +66,20 @@
 
     /// Cancels a job until that is confirmed; returns the stage in the answer.
     pub async fn cancel(&self, id: &str) -> String {
+        self.cancel_in_turn(0, 1, id).await
+    }
+
+    /// Cancels a job at one controller until that is confirmed there; returns the stage in the answer.
+    pub async fn cancel_at(&self, number: usize, id: &str) -> String {
+        self.cancel_in_turn(number, 0, id).await
+    }
+
+    /// Cancels a job, beginning with the controller `first`, at every `step`-th after it.
+    async fn cancel_in_turn(&self, first: usize, step: usize, id: &str) -> String {
         let path = format!("/v1/jobs/{id}/abort");
         let Retry { attempts, pause } = self.config.retry;
         for attempt in 0..attempts {
-            let number = attempt % self.config.controllers;
+            let number = (first + attempt * step) % self.config.controllers;
             let (status, answer) = self.post(number, &path, Value::Null).await;
             if status == 200 {
                 let stage = answer["stage"].as_str().unwrap().to_owned();
@@ -78,17 +98,25 @@
     /// A job's stage by the first controller that answers; empty if none does.
     pub async fn stage(&self, id: &str) -> String {
         for number in 0..self.config.controllers {
-            let (status, answer) = self.get(number, &format!("/v1/jobs/{id}")).await;
-            assert_ne!(status, 404, "{id} is forgotten");
-            if status == 200 {
-                let stage = answer["stage"].as_str().unwrap_or_default();
-                self.record_reported_stage(id, stage);
-                return stage.to_owned();
+            if let Some(stage) = self.stage_at(number, id).await {
+                return stage;
             }
         }
         String::new()
     }
 
+    /// A job's stage by one controller, if it answers.
+    pub async fn stage_at(&self, number: usize, id: &str) -> Option<String> {
+        let (status, answer) = self.get(number, &format!("/v1/jobs/{id}")).await;
+        assert_ne!(status, 404, "{id} is forgotten");
+        if status != 200 {
+            return None;
+        }
+        let stage = answer["stage"].as_str().unwrap_or_default();
+        self.record_reported_stage(id, stage);
+        Some(stage.to_owned())
+    }
+
     /// Polls until all these jobs have ended, for no longer than `timeout`.
     pub async fn wait_until_all_end(&self, ids: &[String], timeout: Duration) {
         let deadline = Instant::now() + timeout;
--- a/tests/limits/main.rs
+++ b/tests/limits/main.rs
@@ -3,5 +3,6 @@
 
 mod client;
 mod failures;
+mod mixed_versions;
 mod races;
 mod site;
--- a/tests/limits/site.rs
+++ b/tests/limits/site.rs
@@ -19,7 +19,8 @@
     cancel_s: 9.0,
 };
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_rowanmill");
+/// The present build.
+pub const PROGRAM: &str = env!("CARGO_BIN_EXE_rowanmill");
 const RETRY: Retry = Retry {
     attempts: 600,
     pause: Duration::from_millis(50),
@@ -121,12 +122,17 @@
 
     /// Runs the `limits` command of the client with these arguments.
     pub fn client(&self, arguments: &[&str]) -> ClientOutput {
+        self.client_of(PROGRAM, arguments)
+    }
+
+    /// Runs a command of a build's client about limits.
+    pub fn client_of(&self, program: &str, arguments: &[&str]) -> ClientOutput {
         let settings = self.settings_file(0);
         let arguments = arguments.iter().map(AsRef::as_ref);
         let all = std::iter::once("limits".as_ref())
             .chain(arguments)
             .chain(["--config".as_ref(), settings.as_os_str()]);
-        run_client(PROGRAM, all)
+        run_client(program, all)
     }
 }
 
