--- a/tests/cells/main.rs
+++ b/tests/cells/main.rs
@@ -6,6 +6,7 @@
 mod kill;
 mod ledger;
 mod measure;
+mod mixed_versions;
 mod moves;
 mod protection;
 mod random_kills;
--- a/tests/cells/site.rs
+++ b/tests/cells/site.rs
@@ -25,7 +25,8 @@
 const RENEW_WITHOUT_LEDGER_S: f64 = 1.5;
 const TAKEOVER_AFTER_S: f64 = 4.1;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_rowanmill");
+/// The present build.
+pub const PROGRAM: &str = env!("CARGO_BIN_EXE_rowanmill");
 const TEAM: &str = "t";
 const RETRY: Retry = Retry {
     attempts: 400,
@@ -196,14 +197,25 @@
         self.cells[cell].cluster.stage(id).await
     }
 
+    /// Starts a cell's controllers from now on with this program.
+    pub fn set_program(&mut self, cell: usize, program: &str) {
+        let cluster = &mut self.cells[cell].cluster;
+        (0..CONTROLLERS).for_each(|number| cluster.set_program(number, program));
+    }
+
     /// Runs the `cells` command of the client with these arguments.
     pub fn client(&self, arguments: &[&str]) -> ClientOutput {
+        self.client_of(PROGRAM, arguments)
+    }
+
+    /// Runs the `cells` command of a build's client with these arguments.
+    pub fn client_of(&self, program: &str, arguments: &[&str]) -> ClientOutput {
         let file = self.cells_file_of(1);
         let arguments = arguments.iter().map(AsRef::as_ref);
         let all = std::iter::once("cells".as_ref())
             .chain(arguments)
             .chain(["--cells".as_ref(), file.as_os_str()]);
-        run_client(PROGRAM, all)
+        run_client(program, all)
     }
 
     /// Rules that the machines found broken, and violations that the checker finds in the history of reports to users
