--- a/tests/compatibility/check.rs
+++ b/tests/compatibility/check.rs
@@ -2,6 +2,7 @@
 
 use crate::run::{folder, run, write};
 use serde_json::{Value, json};
+use std::path::Path;
 
 const CELLS: &str = include_str!("../../deploy/cells.json");
 const LIMITS: &str = include_str!("../../deploy/limits.json");
@@ -21,61 +22,68 @@
             "skew_ms": 25.0}})
 }
 
+/// Commands about the files of [`write_files`].
+pub const COMMANDS: [&[&str]; 13] = [
+    &["check", "--config", "settings.json"],
+    &[
+        "check",
+        "--config",
+        "settings.json",
+        "--cells",
+        "cells.json",
+        "--cell",
+        "hanoi",
+        "--limits",
+        "limits.json",
+        "--policy",
+        "default.policy",
+    ],
+    &["check", "--config", "broken.json"],
+    &["check", "--config", "absent.json"],
+    &["check", "--policy", "wrong.policy"],
+    &["check", "--policy", "absent.policy"],
+    &["check", "--cells", "broken.json"],
+    &[
+        "check",
+        "--config",
+        "settings.json",
+        "--cells",
+        "cells.json",
+        "--cell",
+        "saigon",
+    ],
+    &["check", "--limits", "step.json"],
+    &["check", "--config", "over.json", "--limits", "limits.json"],
+    &["serve", "--config", "broken.json"],
+    &[
+        "serve",
+        "--config",
+        "settings.json",
+        "--policy",
+        "wrong.policy",
+    ],
+    &["serve", "--config", "over.json", "--limits", "limits.json"],
+];
+
+/// Writes settings, policies, and files of cells and limits, some of which are invalid.
+pub fn write_files(folder: &Path) {
+    write(folder, "settings.json", &settings().to_string());
+    let mut over_limit = settings();
+    over_limit["params"]["teams"][0]["cpus"] = json!(7.0);
+    write(folder, "over.json", &over_limit.to_string());
+    write(folder, "broken.json", "{");
+    write(folder, "cells.json", CELLS);
+    write(folder, "limits.json", LIMITS);
+    write(folder, "step.json", r#"{"step": 0.7}"#);
+    write(folder, "default.policy", POLICY);
+    write(folder, "wrong.policy", "beta = 3\n");
+}
+
 #[test]
 fn invalid_files_are_reported_with_an_exit_code() {
     let folder = folder();
-    write(&folder, "settings.json", &settings().to_string());
-    let mut over_limit = settings();
-    over_limit["params"]["teams"][0]["cpus"] = json!(7.0);
-    write(&folder, "over.json", &over_limit.to_string());
-    write(&folder, "broken.json", "{");
-    write(&folder, "cells.json", CELLS);
-    write(&folder, "limits.json", LIMITS);
-    write(&folder, "step.json", r#"{"step": 0.7}"#);
-    write(&folder, "default.policy", POLICY);
-    write(&folder, "wrong.policy", "beta = 3\n");
-    let commands: [&[&str]; 13] = [
-        &["check", "--config", "settings.json"],
-        &[
-            "check",
-            "--config",
-            "settings.json",
-            "--cells",
-            "cells.json",
-            "--cell",
-            "hanoi",
-            "--limits",
-            "limits.json",
-            "--policy",
-            "default.policy",
-        ],
-        &["check", "--config", "broken.json"],
-        &["check", "--config", "absent.json"],
-        &["check", "--policy", "wrong.policy"],
-        &["check", "--policy", "absent.policy"],
-        &["check", "--cells", "broken.json"],
-        &[
-            "check",
-            "--config",
-            "settings.json",
-            "--cells",
-            "cells.json",
-            "--cell",
-            "saigon",
-        ],
-        &["check", "--limits", "step.json"],
-        &["check", "--config", "over.json", "--limits", "limits.json"],
-        &["serve", "--config", "broken.json"],
-        &[
-            "serve",
-            "--config",
-            "settings.json",
-            "--policy",
-            "wrong.policy",
-        ],
-        &["serve", "--config", "over.json", "--limits", "limits.json"],
-    ];
-    let trace: String = commands.iter().map(|args| run(&folder, args)).collect();
+    write_files(&folder);
+    let trace: String = COMMANDS.iter().map(|args| run(&folder, args)).collect();
     insta::assert_snapshot!(trace);
 }
 
--- a/tests/compatibility/main.rs
+++ b/tests/compatibility/main.rs
@@ -4,4 +4,5 @@
 
 mod check;
 mod client;
+mod old_build;
 mod run;
--- a/tests/compatibility/run.rs
+++ b/tests/compatibility/run.rs
@@ -1,7 +1,7 @@
 //! Runs the program, and returns its output as text.
 
 use std::path::{Path, PathBuf};
-use std::process::Command;
+use std::process::{Command, Output};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 /// Creates a folder for the files of one test.
@@ -18,11 +18,19 @@
     std::fs::write(folder.join(name), text).unwrap();
 }
 
+/// The present build.
+pub const PROGRAM: &str = env!("CARGO_BIN_EXE_rowanmill");
+
+/// What a build of the program did.
+pub fn output(program: &str, folder: &Path, arguments: &[&str]) -> Output {
+    let mut command = Command::new(program);
+    let output = command.current_dir(folder).args(arguments).output();
+    output.unwrap()
+}
+
 /// Runs the program in `folder`. Returns the command, the exit code, standard output and standard error as text.
 pub fn run(folder: &Path, arguments: &[&str]) -> String {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_rowanmill"));
-    let output = command.current_dir(folder).args(arguments).output();
-    let output = output.unwrap();
+    let output = output(PROGRAM, folder, arguments);
     let code = output.status.code().unwrap();
     let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).unwrap();
     format!(
