--- a/crates/rowanmill-testing/src/cluster/mod.rs
+++ b/crates/rowanmill-testing/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! Controllers as processes of the real program, with the stand-ins for all that is around them.
+//! A harness that runs controllers as processes of the real program, and serves the stand-ins that they talk to.
 
 mod settings;
 mod users;
@@ -18,56 +18,59 @@
 use std::time::Duration;
 pub use users::Retry;
 
-/// Lines of each controller's log that a failed test prints.
+/// The number of lines at the end of each controller's log that a failed test prints.
 const PRINTED_LOG_LINES: usize = 40;
 
-/// What a cluster consists of.
+/// The configuration of a [`Cluster`].
 pub struct ClusterConfig {
-    /// The path of the program, `env!("CARGO_BIN_EXE_rowanmill")` in its tests.
+    /// The path of the program. Tests of `rowanmill` pass `env!("CARGO_BIN_EXE_rowanmill")`.
     pub program: &'static str,
     /// The number of controllers.
     pub controllers: usize,
-    /// The teams of the settings.
+    /// The teams in the settings.
     pub teams: Vec<TeamSetting>,
     /// How long each task runs.
     pub task_duration: Duration,
-    /// The timeouts of the settings, which the workers keep to.
+    /// The timeouts in the settings. The workers use the same ones.
     pub timeouts: Timeouts,
-    /// What the settings say of the state service.
+    /// The rate limits of the state service in the settings.
     pub state_rates: StateRates,
-    /// The most sockets that a controller may open, by the settings.
+    /// The maximum number of sockets that a controller may open, in the settings.
     pub max_sockets: u32,
-    /// How users repeat requests that are refused.
+    /// How users retry requests that fail temporarily.
     pub retry: Retry,
-    /// What the machines see; clusters may share it.
+    /// What the machines and users observe. Clusters may share it.
     pub world: Arc<Mutex<World>>,
 }
 
-/// Controllers with a state service and a cloud of their own. Dropping it kills them; if the test failed, the
-/// ends of their logs are printed.
+/// Controllers with their own state service and cloud. Dropping a cluster kills its controllers and, if the test has
+/// failed, prints the ends of their logs.
 pub struct Cluster {
     config: ClusterConfig,
-    /// The state service.
+    /// The stand-in for the state service.
     pub state: StateService,
-    /// The cloud.
+    /// The stand-in for the cloud.
     pub cloud: Cloud,
-    /// For each controller, whether its connection to the state service is cut.
+    /// For each controller, whether its connection to the state service is cut: its requests then get status 503.
     pub state_cuts: Vec<Arc<AtomicBool>>,
-    /// The addresses at which users and workers reach the controllers.
+    /// The address of each controller for users and workers.
     pub api: Vec<SocketAddr>,
-    /// The addresses at which controllers reach one another.
+    /// The address of each controller for the other controllers.
     pub mesh: Vec<SocketAddr>,
     state_addrs: Vec<SocketAddr>,
     cloud_addr: SocketAddr,
+    /// The arguments that all controllers are started with, besides `serve --config`.
     arguments: Vec<OsString>,
-    /// The program of each controller.
+    /// The path of each controller's program.
     programs: Vec<PathBuf>,
+    /// Contains the controllers' settings and logs, and the policy.
     folder: TestFolder,
+    /// The process of each controller; `None` before its first start and after it was killed.
     processes: Vec<Option<Child>>,
 }
 
 impl Cluster {
-    /// Serves the stand-ins; the controllers are not started yet.
+    /// Serves the stand-ins. Does not start the controllers.
     pub async fn new(config: ClusterConfig) -> Self {
         let count = config.controllers;
         let api: Vec<SocketAddr> = (0..count).map(|_| free_addr()).collect();
@@ -95,25 +98,25 @@
         }
     }
 
-    /// Adds arguments with which controllers are started from now on.
+    /// Adds arguments that each controller gets from its next start.
     pub fn add_arguments(&mut self, arguments: impl IntoIterator<Item = impl AsRef<OsStr>>) {
         let arguments = arguments.into_iter();
         self.arguments
             .extend(arguments.map(|argument| argument.as_ref().to_owned()));
     }
 
-    /// Starts a controller from now on with this program, such as another build.
+    /// Sets the program, such as another build, that a controller runs from its next start.
     pub fn set_program(&mut self, number: usize, program: impl Into<PathBuf>) {
         self.programs[number] = program.into();
     }
 
-    /// Starts controllers from now on with this policy.
+    /// Sets the policy that each controller uses from its next start.
     pub fn set_policy(&mut self, policy: &str) {
         let file = self.folder.write("policy", policy);
         self.add_arguments(["--policy".as_ref(), file.as_os_str()]);
     }
 
-    /// The path of a controller's settings.
+    /// The path of a controller's settings file.
     pub fn settings_file(&self, number: usize) -> PathBuf {
         self.folder.path().join(format!("settings-{number}.json"))
     }
@@ -122,28 +125,27 @@
         self.folder.path().join(format!("log-{number}.txt"))
     }
 
-    /// All that a controller has logged since the cluster was set up.
+    /// Everything that a controller has logged since the cluster was created.
     fn log_text(&self, number: usize) -> String {
         std::fs::read_to_string(self.log_file(number)).unwrap_or_default()
     }
 
-    /// The lines of all controllers' logs that tell of an error, such as of a record that was rejected as
-    /// malformed.
+    /// The lines in the logs of all controllers that report an error, such as a record that was rejected as malformed.
     pub fn logged_errors(&self) -> Vec<String> {
-        let tells_of_error = |line: &&str| {
+        let is_error = |line: &&str| {
             let words = ["ERROR", "rejected", "malformed"];
             words.iter().any(|word| line.contains(word))
         };
         let mut errors = Vec::new();
         for number in 0..self.config.controllers {
             let log = self.log_text(number);
-            let lines = log.lines().filter(tells_of_error);
+            let lines = log.lines().filter(is_error);
             errors.extend(lines.map(|line| format!("controller {number}: {line}")));
         }
         errors
     }
 
-    /// Starts a controller, or starts it again.
+    /// Starts a controller that is not running, for the first time or again.
     pub fn start(&mut self, number: usize) {
         let settings = self.settings_file(number);
         let written = std::fs::write(&settings, self.settings(number).to_string());
@@ -166,21 +168,21 @@
         (0..self.config.controllers).for_each(|number| self.start(number));
     }
 
-    /// Whether a controller answers that it is healthy.
+    /// Whether a controller reports that it is healthy.
     pub async fn is_healthy(&self, number: usize) -> bool {
         self.get(number, "/healthz").await.0 == 200
     }
 
-    /// Ends a controller in the middle of whatever it does.
+    /// Kills a controller's process at once, without an orderly shutdown.
     pub fn kill(&mut self, number: usize) {
         if let Some(mut process) = self.processes[number].take() {
-            // Both fail only for a process that has ended by itself.
+            // Both calls fail only if the process has already exited by itself.
             let _ = process.kill();
             let _ = process.wait();
         }
     }
 
-    /// Ends all controllers.
+    /// Kills all controllers' processes.
     pub fn kill_all(&mut self) {
         (0..self.config.controllers).for_each(|number| self.kill(number));
     }
@@ -190,14 +192,14 @@
         if let Some(process) = &self.processes[number] {
             let pid = process.id().to_string();
             let sent = Command::new("kill").args([signal, &pid]).status();
-            assert!(sent.unwrap().success(), "{signal} is sent");
+            assert!(sent.unwrap().success(), "`kill {signal}` failed");
         }
     }
 
-    /// The number of the controller that is the leader, if there is one.
+    /// The number of the leading controller, if there is a leader.
     pub fn leader(&self) -> Option<usize> {
         let record = self.state.stored("r/leader").into_values().next()?;
-        settings::number_of(record["member"].as_str()?)
+        settings::controller_number(record["member"].as_str()?)
     }
 
     fn print_logs(&self) {
@@ -219,29 +221,29 @@
     }
 }
 
-/// The environment variable with the path of an older build of the program.
+/// The environment variable that contains the path of an older build of the program.
 const OLD_PROGRAM_VARIABLE: &str = "ROWANMILL_OLD_PROGRAM";
 
-/// The path of an older build of the program, for tests of how it works with the present one.
+/// The path of an older build of the program, for tests that run it together with the current build.
 ///
 /// # Panics
-/// If the environment variable `ROWANMILL_OLD_PROGRAM` does not name it.
+/// If the environment variable `ROWANMILL_OLD_PROGRAM` is not set.
 pub fn old_program() -> String {
     std::env::var(OLD_PROGRAM_VARIABLE).unwrap_or_else(|_| {
         panic!("{OLD_PROGRAM_VARIABLE} must be set to the path of an older build of the program")
     })
 }
 
-/// What the command-line client did.
+/// The result of a command of the command-line client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClientOutput {
     /// The exit code.
     pub code: i32,
-    /// What it printed to standard output.
+    /// The standard output.
     pub text: String,
 }
 
-/// Runs a command of the program until it ends.
+/// Runs the program with these arguments until it exits.
 pub fn run_client(
     program: &str,
     arguments: impl IntoIterator<Item = impl AsRef<OsStr>>,
--- a/crates/rowanmill-testing/src/cluster/settings.rs
+++ b/crates/rowanmill-testing/src/cluster/settings.rs
@@ -1,51 +1,53 @@
-//! The settings of a cluster's controllers.
+//! The contents of the controllers' settings files.
 
 use super::Cluster;
 use serde_json::{Value, json};
 
-/// A team as the settings name it.
+/// A team in the settings.
 #[derive(Debug, Clone)]
 pub struct TeamSetting {
-    /// Its name.
+    /// The team's name.
     pub name: String,
-    /// Its limit in CPUs; 0 for none.
+    /// The team's limit in CPUs. 0 means that it has no limit.
     pub limit_cpus: f64,
 }
 
-/// What the settings say of the state service, which all controllers share.
+/// The rate limits of the state service, which all controllers share, in the settings.
 #[derive(Debug, Clone, Copy)]
 pub struct StateRates {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
-    /// Changes a second.
+    /// Changes per second.
     pub writes_per_s: f64,
 }
 
-/// The beginning of all controllers' names.
+/// The prefix of all controllers' names. The controller's number follows.
 const NAME_PREFIX: &str = "millstone-";
 
-fn name_of(number: usize) -> String {
+fn controller_name(number: usize) -> String {
     format!("{NAME_PREFIX}{number}")
 }
 
-/// The number of the controller with a name.
-pub(super) fn number_of(name: &str) -> Option<usize> {
+/// The number of the controller with this name.
+pub(super) fn controller_number(name: &str) -> Option<usize> {
     name.strip_prefix(NAME_PREFIX)?.parse().ok()
 }
 
 impl Cluster {
-    /// The settings of a controller.
+    /// The contents of a controller's settings file.
     pub(super) fn settings(&self, number: usize) -> Value {
         let config = &self.config;
         let others = (0..config.controllers).filter(|other| *other != number);
         let known: Vec<Value> = others
-            .map(|other| json!({"member": name_of(other), "site": "a", "addr": self.mesh[other]}))
+            .map(|other| {
+                json!({"member": controller_name(other), "site": "a", "addr": self.mesh[other]})
+            })
             .collect();
         let teams = config.teams.iter();
         let teams: Vec<Value> = teams
             .map(|team| json!({"name": team.name, "cpus_max": team.limit_cpus}))
             .collect();
-        json!({"member": name_of(number), "site": "a", "api_addr": self.api[number],
+        json!({"member": controller_name(number), "site": "a", "api_addr": self.api[number],
             "mesh_addr": self.mesh[number], "known": known,
             "endpoints": {"cloud": self.cloud_addr, "state": self.state_addrs[number]},
             "params": {"size": config.controllers, "zones": ["a"], "teams": teams,
--- a/crates/rowanmill-testing/src/cluster/users.rs
+++ b/crates/rowanmill-testing/src/cluster/users.rs
@@ -1,4 +1,4 @@
-//! Users of a cluster: they submit, poll and cancel, and what they are told is recorded for the checker.
+//! Simulated users of a cluster. They submit, poll and cancel jobs, and record the reported stages for the checker.
 
 use super::Cluster;
 use crate::ask;
@@ -7,47 +7,47 @@
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
-/// How often a request is repeated that is refused for now, and how long users wait between any two.
+/// How users retry a request that fails temporarily.
 #[derive(Debug, Clone, Copy)]
 pub struct Retry {
-    /// The most attempts.
+    /// The maximum number of attempts.
     pub attempts: usize,
-    /// The pause after each.
+    /// The pause after each failed attempt.
     pub pause: Duration,
 }
 
-/// How long users wait between two polls of a job.
+/// The pause between two polls of a job.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Whether a request may be repeated: there was no answer, or it was refused for now.
-fn is_refused_for_now(status: u16) -> bool {
+/// Whether a request with this status may be retried: there was no answer (0), or it was refused only temporarily.
+fn is_retryable(status: u16) -> bool {
     matches!(status, 0 | 429 | 503)
 }
 
 impl Cluster {
-    /// Sends a GET request to a controller; returns the status, 0 without an answer, and the body.
+    /// Sends a GET request to a controller. Returns the status, which is 0 if there is no answer, and the body.
     pub async fn get(&self, number: usize, path: &str) -> (u16, Value) {
         ask(self.api[number], Method::GET, path, Value::Null).await
     }
 
-    /// Sends a POST request to a controller; returns the status, 0 without an answer, and the body.
+    /// Sends a POST request to a controller. Returns the status, which is 0 if there is no answer, and the body.
     pub async fn post(&self, number: usize, path: &str, body: Value) -> (u16, Value) {
         ask(self.api[number], Method::POST, path, body).await
     }
 
-    /// Submits a job to one controller after the other, beginning with `first`, until it is accepted; returns
-    /// the answer.
+    /// Submits a job to one controller after the other, beginning with `first`, until it is accepted. Returns the
+    /// answer.
     pub async fn submit(&self, first: usize, job: &Value) -> Value {
-        self.submit_in_turn(first, 1, job).await
+        self.submit_with_step(first, 1, job).await
     }
 
-    /// Submits a job to one controller until it is accepted there; returns the answer.
+    /// Submits a job to one controller, and retries there until it is accepted. Returns the answer.
     pub async fn submit_at(&self, number: usize, job: &Value) -> Value {
-        self.submit_in_turn(number, 0, job).await
+        self.submit_with_step(number, 0, job).await
     }
 
-    /// Submits a job, beginning with the controller `first`, to every `step`-th after it.
-    async fn submit_in_turn(&self, first: usize, step: usize, job: &Value) -> Value {
+    /// Submits a job to the controller `first`, and moves on by `step` controllers for each retry; 0 stays at `first`.
+    async fn submit_with_step(&self, first: usize, step: usize, job: &Value) -> Value {
         let id = job["nameId"].as_str().unwrap();
         self.record_submission(id, job);
         let Retry { attempts, pause } = self.config.retry;
@@ -58,24 +58,25 @@
                 self.record_reported_stage(id, answer["stage"].as_str().unwrap());
                 return answer;
             }
-            assert!(is_refused_for_now(status), "{status} {answer}");
+            assert!(is_retryable(status), "{status} {answer}");
             tokio::time::sleep(pause).await;
         }
-        panic!("never accepted: {job}");
+        panic!("not accepted after {attempts} attempts: {job}");
     }
 
-    /// Cancels a job until that is confirmed; returns the stage in the answer.
+    /// Cancels a job at one controller after the other until one confirms the request. Returns the stage in the answer.
     pub async fn cancel(&self, id: &str) -> String {
-        self.cancel_in_turn(0, 1, id).await
+        self.cancel_with_step(0, 1, id).await
     }
 
-    /// Cancels a job at one controller until that is confirmed there; returns the stage in the answer.
+    /// Cancels a job at one controller, and retries there until it confirms the request. Returns the stage in the
+    /// answer.
     pub async fn cancel_at(&self, number: usize, id: &str) -> String {
-        self.cancel_in_turn(number, 0, id).await
+        self.cancel_with_step(number, 0, id).await
     }
 
-    /// Cancels a job, beginning with the controller `first`, at every `step`-th after it.
-    async fn cancel_in_turn(&self, first: usize, step: usize, id: &str) -> String {
+    /// Cancels a job at the controller `first`, and moves on by `step` controllers for each retry; 0 stays at `first`.
+    async fn cancel_with_step(&self, first: usize, step: usize, id: &str) -> String {
         let path = format!("/v1/jobs/{id}/abort");
         let Retry { attempts, pause } = self.config.retry;
         for attempt in 0..attempts {
@@ -89,13 +90,13 @@
                 }
                 return stage;
             }
-            assert!(is_refused_for_now(status), "{status} {answer}");
+            assert!(is_retryable(status), "{status} {answer}");
             tokio::time::sleep(pause).await;
         }
-        panic!("never cancelled: {id}");
+        panic!("cancellation not confirmed after {attempts} attempts: {id}");
     }
 
-    /// A job's stage by the first controller that answers; empty if none does.
+    /// A job's stage as the first controller that answers reports it; empty if none answers.
     pub async fn stage(&self, id: &str) -> String {
         for number in 0..self.config.controllers {
             if let Some(stage) = self.stage_at(number, id).await {
@@ -105,10 +106,10 @@
         String::new()
     }
 
-    /// A job's stage by one controller, if it answers.
+    /// A job's stage as one controller reports it, if it answers.
     pub async fn stage_at(&self, number: usize, id: &str) -> Option<String> {
         let (status, answer) = self.get(number, &format!("/v1/jobs/{id}")).await;
-        assert_ne!(status, 404, "{id} is forgotten");
+        assert_ne!(status, 404, "controller {number} does not know {id}");
         if status != 200 {
             return None;
         }
@@ -117,7 +118,7 @@
         Some(stage.to_owned())
     }
 
-    /// Polls until all these jobs have ended, for no longer than `timeout`.
+    /// Polls until all these jobs are done or cancelled, and fails the test after `timeout`.
     pub async fn wait_until_all_end(&self, ids: &[String], timeout: Duration) {
         let deadline = Instant::now() + timeout;
         for id in ids {
@@ -126,7 +127,10 @@
                 if matches!(stage.as_str(), "done" | "cancelled") {
                     break;
                 }
-                assert!(Instant::now() < deadline, "{id} is {stage} for too long");
+                assert!(
+                    Instant::now() < deadline,
+                    "{id} is still {stage} after {timeout:?}"
+                );
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
@@ -155,7 +159,8 @@
         world.history.record(Event::StageReported { job, stage });
     }
 
-    /// Rules that the machines found broken, and violations in what users were told and machines ran.
+    /// Rules that the machines found broken, and violations that the checker finds in the history of reports to users
+    /// and of task runs.
     pub fn broken_rules(&self) -> Vec<String> {
         let world = self.cloud.world.lock().unwrap();
         let violations = world.history.violations(false);
--- a/crates/rowanmill-testing/src/lib.rs
+++ b/crates/rowanmill-testing/src/lib.rs
@@ -1,9 +1,10 @@
-//! The outside world for tests: stand-ins for the state service, the cloud and its workers, written from the
-//! published protocol, on loopback; users; and checkers of what all of them observe. Only the harness of
-//! [`cluster`] starts controllers; nothing here knows how they work inside.
+//! The environment of controllers in tests: stand-ins for the state service, the cloud and its workers, which are
+//! served on loopback and written from the published protocol; simulated users; and checkers of what users and machines
+//! observe. Only the harness in [`cluster`] starts controllers, as processes. Nothing here depends on how they work
+//! internally.
 #![cfg_attr(
     test,
-    allow(clippy::too_many_lines, reason = "a test plays a whole scenario")
+    allow(clippy::too_many_lines, reason = "a test covers a whole scenario")
 )]
 #![deny(missing_docs)]
 
--- a/tests/cells/mixed_versions.rs
+++ b/tests/cells/mixed_versions.rs
@@ -1,60 +1,63 @@
-//! Cells of an older build of the program and of the present one on one ledger: each takes over the jobs of the
-//! other, and their clients answer the same.
+//! Tests of an older build of the program together with the current build. Cells of both builds share one ledger, each
+//! build takes over jobs of the other, and the clients of both print the same.
 
 use super::kill::wait_until_done;
 use super::site::{NAMES, PROGRAM, Site, job, until};
 use rowanmill_testing::cluster::{ClientOutput, old_program};
 use std::time::Duration;
 
+/// The number of jobs that are distributed over the cells in turn.
 const JOBS: usize = 9;
-const TASKS: u32 = 2;
-const TASK: Duration = Duration::from_secs(3);
+const TASKS_PER_JOB: u32 = 2;
+const TASK_DURATION: Duration = Duration::from_secs(3);
 
-/// Three cells that run, of which the first is of one build and both others are of another.
-async fn site_of(first: &str, others: &str) -> Site {
-    let mut site = Site::new(TASK).await;
+/// Starts three cells: the first with one build, and the other two with another build.
+async fn start_site(first: &str, others: &str) -> Site {
+    let mut site = Site::new(TASK_DURATION).await;
     site.set_program(0, first);
-    (1..NAMES.len()).for_each(|at| site.set_program(at, others));
+    (1..NAMES.len()).for_each(|cell| site.set_program(cell, others));
     site.start_all().await;
     site
 }
 
-/// Both builds accept jobs; the cell of one is killed with its machines, and the other build takes its jobs over.
-/// When the cell is back, it answers as the others do, and accepts jobs again.
-async fn the_first_cell_is_taken_over(first: &str, others: &str) {
-    let mut site = site_of(first, others).await;
+/// Cells of both builds accept jobs. The first cell is killed with its machines, and cells of the other build take over
+/// its jobs. After its restart, the first cell must report the same outcomes as the others, and must run new jobs.
+async fn take_over_the_first_cell(first: &str, others: &str) {
+    let mut site = start_site(first, others).await;
     for number in 0..JOBS {
-        site.submit(number % NAMES.len(), &job(number, TASKS)).await;
+        site.submit(number % NAMES.len(), &job(number, TASKS_PER_JOB))
+            .await;
     }
-    site.submit(1, &job(JOBS, TASKS)).await;
-    let runs = async || site.stage(0, "job-0").await == "running";
-    until("the first cell runs its work", runs).await;
-    // Each cell answers for a job of the other build, and can cancel it.
+    site.submit(1, &job(JOBS, TASKS_PER_JOB)).await;
+    let is_running = async || site.stage(0, "job-0").await == "running";
+    until("the first cell runs its jobs", is_running).await;
+    // Cells of each build can cancel a job that a cell of the other build accepted.
     assert_eq!(site.cancel(0, &format!("job-{JOBS}")).await, "cancelled");
     assert_eq!(site.cancel(1, "job-6").await, "cancelled");
     site.cells[0].cluster.kill_all();
     site.cells[0].cluster.cloud.power_off();
-    let taken = async || {
+    let are_taken_over = async || {
         let jobs = site.ledger.stored("c/l/j/");
         !jobs.values().any(|job| job["owner"] == NAMES[0])
     };
-    until("its jobs are taken over", taken).await;
+    until("other cells own the first cell's jobs", are_taken_over).await;
     site.start_cell(0);
-    for at in 0..NAMES.len() {
-        wait_until_done(&site, at, 6).await;
+    for cell in 0..NAMES.len() {
+        wait_until_done(&site, cell, 6).await;
         for number in [7, 8] {
-            let done = async || site.stage(at, &format!("job-{number}")).await == "done";
-            until("it is done", done).await;
+            let id = format!("job-{number}");
+            let is_done = async || site.stage(cell, &id).await == "done";
+            until(&format!("{id} is done"), is_done).await;
         }
         for number in [6, JOBS] {
             let id = format!("job-{number}");
-            let is_cancelled = async || site.stage(at, &id).await == "cancelled";
-            until("it stays cancelled", is_cancelled).await;
+            let is_cancelled = async || site.stage(cell, &id).await == "cancelled";
+            until(&format!("{id} is cancelled"), is_cancelled).await;
         }
     }
-    site.submit(0, &job(JOBS + 1, TASKS)).await;
-    let done = async || site.stage(1, &format!("job-{}", JOBS + 1)).await == "done";
-    until("it takes new work", done).await;
+    site.submit(0, &job(JOBS + 1, TASKS_PER_JOB)).await;
+    let is_done = async || site.stage(1, &format!("job-{}", JOBS + 1)).await == "done";
+    until("the restarted cell's new job is done", is_done).await;
     assert_eq!(site.broken_rules(), Vec::<String>::new());
     for cell in &site.cells {
         assert_eq!(cell.cluster.logged_errors(), Vec::<String>::new());
@@ -63,66 +66,71 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 #[ignore = "needs the path of an older build in ROWANMILL_OLD_PROGRAM"]
-async fn the_present_build_takes_over_a_cell_of_the_older() {
-    the_first_cell_is_taken_over(&old_program(), PROGRAM).await;
+async fn the_current_build_takes_over_jobs_of_the_older_build() {
+    take_over_the_first_cell(&old_program(), PROGRAM).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 #[ignore = "needs the path of an older build in ROWANMILL_OLD_PROGRAM"]
-async fn the_older_build_takes_over_a_cell_of_the_present() {
-    the_first_cell_is_taken_over(PROGRAM, &old_program()).await;
+async fn the_older_build_takes_over_jobs_of_the_current_build() {
+    take_over_the_first_cell(PROGRAM, &old_program()).await;
 }
 
-/// What both builds' clients answer on the same records; the older's first.
-async fn both_answer(site: &Site, arguments: &[&str]) -> [ClientOutput; 2] {
+/// Runs a command with the clients of the older and the current build, in this order, on the same records. Returns
+/// their outputs.
+async fn outputs_of_both(site: &Site, arguments: &[&str]) -> [ClientOutput; 2] {
     let arguments = [arguments, &["--output", "json"]].concat();
-    let mut answers = None;
-    let quiet = async || {
+    let mut outputs = None;
+    let is_unchanged = async || {
         let revision = site.ledger.revision();
-        answers = Some([&old_program(), PROGRAM].map(|build| site.client_of(build, &arguments)));
+        outputs = Some([&old_program(), PROGRAM].map(|build| site.client_of(build, &arguments)));
         site.ledger.revision() == revision
     };
-    until("no record changes while both are asked", quiet).await;
-    answers.unwrap()
+    until("no record changes while both clients run", is_unchanged).await;
+    outputs.unwrap()
 }
 
-async fn assert_same_answers(site: &Site, questions: &[(i32, &[&str])]) {
-    for (code, question) in questions {
-        let [old, present] = both_answer(site, question).await;
-        assert_eq!(old, present, "{question:?}");
-        assert_eq!(present.code, *code, "{question:?}");
+/// Runs each of these commands, which are given with their exit codes, with the clients of both builds, and compares
+/// the exit codes and outputs.
+async fn assert_same_outputs(site: &Site, commands: &[(i32, &[&str])]) {
+    for (code, arguments) in commands {
+        let [old, current] = outputs_of_both(site, arguments).await;
+        assert_eq!(old, current, "{arguments:?}");
+        assert_eq!(current.code, *code, "{arguments:?}");
     }
 }
 
-/// What a build's client prints for a change, and the records of drained cells after it.
-fn change(site: &Site, build: &str, arguments: &[&str]) -> (ClientOutput, Vec<String>) {
+/// Runs a command that drains or undrains a cell with a build's client. Returns the client's output, and the keys of
+/// the records of drained cells after it.
+fn run_change(site: &Site, build: &str, arguments: &[&str]) -> (ClientOutput, Vec<String>) {
     let arguments = [arguments, &["--output", "json"]].concat();
     let output = site.client_of(build, &arguments);
     let drained = site.ledger.stored("c/l/d/").into_keys();
     (output, drained.collect())
 }
 
-/// While cells of both builds run, while one is drained by either client, and when one is dead.
+/// The outputs are compared while cells of both builds run, while one cell is drained by the client of either build,
+/// after one cell was killed, and during an outage of the ledger.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 #[ignore = "needs the path of an older build in ROWANMILL_OLD_PROGRAM"]
-async fn the_clients_of_both_builds_answer_the_same() {
+async fn the_clients_of_both_builds_print_the_same() {
     let old = old_program();
-    let mut site = site_of(&old, PROGRAM).await;
+    let mut site = start_site(&old, PROGRAM).await;
     for number in 0..NAMES.len() {
-        site.submit(number, &job(number, TASKS)).await;
+        site.submit(number, &job(number, TASKS_PER_JOB)).await;
     }
     site.submit(0, &job(3, 100)).await;
-    let questions: [(i32, &[&str]); 4] = [
+    let commands: [(i32, &[&str]); 4] = [
         (0, &["status"]),
         (0, &["explain", "job-3"]),
         (3, &["explain", "job-77777"]),
         (2, &["status", "unknown-word"]),
     ];
-    assert_same_answers(&site, &questions).await;
-    for (drains, undrains) in [(old.as_str(), PROGRAM), (PROGRAM, old.as_str())] {
-        assert_eq!(change(&site, drains, &["drain", "danang"]).0.code, 0);
-        assert_same_answers(&site, &questions).await;
-        assert_eq!(change(&site, undrains, &["undrain", "danang"]).0.code, 0);
+    assert_same_outputs(&site, &commands).await;
+    for (first, second) in [(old.as_str(), PROGRAM), (PROGRAM, old.as_str())] {
+        assert_eq!(run_change(&site, first, &["drain", "danang"]).0.code, 0);
+        assert_same_outputs(&site, &commands).await;
+        assert_eq!(run_change(&site, second, &["undrain", "danang"]).0.code, 0);
         assert!(site.ledger.stored("c/l/d/").is_empty());
     }
     let changes: [&[&str]; 7] = [
@@ -134,20 +142,20 @@
         &["undrain", "nowhere"],
         &["drain"],
     ];
-    let [by_old, by_present] = [old.as_str(), PROGRAM].map(|build| {
+    let [by_old, by_current] = [old.as_str(), PROGRAM].map(|build| {
         let changes = changes.iter();
-        let outputs = changes.map(|arguments| change(&site, build, arguments));
+        let outputs = changes.map(|arguments| run_change(&site, build, arguments));
         outputs.collect::<Vec<_>>()
     });
-    assert_eq!(by_old, by_present);
+    assert_eq!(by_old, by_current);
     wait_until_done(&site, 1, NAMES.len()).await;
-    let ended = site.ledger.stored("c/e/");
-    assert!(ended.len() >= NAMES.len(), "{ended:?}");
+    let final_records = site.ledger.stored("c/e/");
+    assert!(final_records.len() >= NAMES.len(), "{final_records:?}");
     site.cells[0].cluster.kill_all();
-    let missing = async || !site.ledger.stored("c/l/n/").contains_key("c/l/n/hanoi");
-    until("the first cell is missing", missing).await;
-    assert_same_answers(&site, &questions).await;
-    assert_same_answers(&site, &[(0, &["explain", "job-0"])]).await;
+    let is_unregistered = async || !site.ledger.stored("c/l/n/").contains_key("c/l/n/hanoi");
+    until("the first cell is no longer registered", is_unregistered).await;
+    assert_same_outputs(&site, &commands).await;
+    assert_same_outputs(&site, &[(0, &["explain", "job-0"])]).await;
     site.ledger.set_outage(true);
     let unavailable: [(i32, &[&str]); 4] = [
         (4, &["status"]),
@@ -155,5 +163,5 @@
         (4, &["drain", "hanoi"]),
         (4, &["undrain", "hanoi"]),
     ];
-    assert_same_answers(&site, &unavailable).await;
+    assert_same_outputs(&site, &unavailable).await;
 }
--- a/tests/cells/site.rs
+++ b/tests/cells/site.rs
@@ -25,7 +25,7 @@
 const RENEW_WITHOUT_LEDGER_S: f64 = 1.5;
 const TAKEOVER_AFTER_S: f64 = 4.1;
 
-/// The present build.
+/// The path of the current build.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_rowanmill");
 const TEAM: &str = "t";
 const RETRY: Retry = Retry {
@@ -197,7 +197,7 @@
         self.cells[cell].cluster.stage(id).await
     }
 
-    /// Starts a cell's controllers from now on with this program.
+    /// Sets the program that a cell's controllers run from their next start.
     pub fn set_program(&mut self, cell: usize, program: &str) {
         let cluster = &mut self.cells[cell].cluster;
         (0..CONTROLLERS).for_each(|number| cluster.set_program(number, program));
--- a/tests/compatibility/check.rs
+++ b/tests/compatibility/check.rs
@@ -22,7 +22,7 @@
             "skew_ms": 25.0}})
 }
 
-/// Commands about the files of [`write_files`].
+/// Commands that read the files of [`write_files`].
 pub const COMMANDS: [&[&str]; 13] = [
     &["check", "--config", "settings.json"],
     &[
@@ -65,7 +65,7 @@
     &["serve", "--config", "over.json", "--limits", "limits.json"],
 ];
 
-/// Writes settings, policies, and files of cells and limits, some of which are invalid.
+/// Writes settings, policies, cells files and limits files. Some of them are invalid.
 pub fn write_files(folder: &Path) {
     write(folder, "settings.json", &settings().to_string());
     let mut over_limit = settings();
--- a/tests/compatibility/run.rs
+++ b/tests/compatibility/run.rs
@@ -18,11 +18,11 @@
     std::fs::write(folder.join(name), text).unwrap();
 }
 
-/// The present build.
+/// The path of the current build.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_rowanmill");
 
-/// What a build of the program did.
-pub fn output(program: &str, folder: &Path, arguments: &[&str]) -> Output {
+/// Runs a build of the program in `folder` until it exits.
+pub fn run_build(program: &str, folder: &Path, arguments: &[&str]) -> Output {
     let mut command = Command::new(program);
     let output = command.current_dir(folder).args(arguments).output();
     output.unwrap()
@@ -30,7 +30,7 @@
 
 /// Runs the program in `folder`. Returns the command, the exit code, standard output and standard error as text.
 pub fn run(folder: &Path, arguments: &[&str]) -> String {
-    let output = output(PROGRAM, folder, arguments);
+    let output = run_build(PROGRAM, folder, arguments);
     let code = output.status.code().unwrap();
     let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).unwrap();
     format!(
--- a/tests/limits/site.rs
+++ b/tests/limits/site.rs
@@ -19,7 +19,7 @@
     cancel_s: 9.0,
 };
 
-/// The present build.
+/// The path of the current build.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_rowanmill");
 const RETRY: Retry = Retry {
     attempts: 600,
@@ -125,7 +125,7 @@
         self.client_of(PROGRAM, arguments)
     }
 
-    /// Runs a command of a build's client about limits.
+    /// Runs the `limits` command of a build's client with these arguments.
     pub fn client_of(&self, program: &str, arguments: &[&str]) -> ClientOutput {
         let settings = self.settings_file(0);
         let arguments = arguments.iter().map(AsRef::as_ref);
