--- a/tests/cells/moves.rs
+++ b/tests/cells/moves.rs
@@ -37,12 +37,14 @@
     until("a handover is sent", is_sent).await;
     let leader = site.cells[0].cluster.leader().unwrap();
     site.cells[0].cluster.kill(leader);
+    let is_replaced = async || site.cells[0].cluster.leader() == Some((leader + 1) % CONTROLLERS);
+    until("the other controller is the leader", is_replaced).await;
     site.cells[0].cluster.start(leader);
-    let is_replaced = async || {
+    let is_back = async || {
         let cluster = &site.cells[0].cluster;
         cluster.is_healthy(leader).await && cluster.leader() == Some((leader + 1) % CONTROLLERS)
     };
-    until("the other controller is the leader", is_replaced).await;
+    until("the killed controller is healthy again", is_back).await;
     let has_moved = async || {
         let jobs = site.ledger.stored("c/l/j/");
         jobs.values().any(|job| job["owner"] != NAMES[0])
