--- a/tests/cells/cancel.rs
+++ b/tests/cells/cancel.rs
@@ -34,7 +34,7 @@
             assert_eq!(repeated["stage"], "cancelled");
         }
     }
-    tokio::time::sleep(TIMEOUTS.cancel()).await;
+    tokio::time::sleep(TIMEOUTS.workers.cancel()).await;
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
--- a/tests/cells/ledger.rs
+++ b/tests/cells/ledger.rs
@@ -1,7 +1,8 @@
 //! Outages of the ledger, for all cells or for one of them, and transactions whose answers are lost or delayed.
 
 use super::kill::wait_until_done;
-use super::site::{NAMES, Site, job, until};
+use super::site::{NAMES, Site, SiteTimeouts, job, until};
+use rowanmill_testing::Timeouts;
 use rowanmill_testing::state::TransactionFault;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -62,19 +63,45 @@
     assert_eq!(world.broken_rules, Vec::<String>::new());
 }
 
+/// The timeouts of a site whose running tasks must continue during an outage of the ledger. A controller then renews
+/// workers' leases for longer than `renew_without_ledger_s` only with attestations of all other controllers, which it
+/// requests after each failed watch request: at most 3.5 s after its last read, and again 2.7 s later. Another
+/// controller attests only if its own last answered request was sent more than 2.5 s ago, which may not be so at the
+/// first attempt, so a second one must fit before the workers' leases end, 7.5 s after the last read.
+const OUTAGE_TIMEOUTS: SiteTimeouts = SiteTimeouts {
+    workers: Timeouts {
+        lease_s: 1.5,
+        // Permits `renew_without_ledger_s` of up to 6.4 s.
+        cancel_s: 10.0,
+    },
+    cell_lease_s: 4.0,
+    renew_without_ledger_s: 6.0,
+    takeover_after_s: 8.6,
+};
+/// The duration of the outage in seconds. It exceeds the cell's lease, and `renew_without_ledger_s` and the workers'
+/// lease together.
+const OUTAGE_S: f64 = 9.0;
+const _: () = assert!(
+    OUTAGE_S > OUTAGE_TIMEOUTS.cell_lease_s
+        && OUTAGE_S > OUTAGE_TIMEOUTS.renew_without_ledger_s + OUTAGE_TIMEOUTS.workers.lease_s,
+    "the outage outlasts all leases"
+);
+/// How long each task runs, in seconds: long enough that all tasks start before the outage and end after it.
+const OUTAGE_TASK_S: f64 = OUTAGE_S + 6.0;
+
 /// The ledger has an outage for longer than any lease. Running tasks continue, polls are answered, and new jobs are
 /// refused without delay. After the outage every job completes without a second start.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn running_tasks_continue_during_a_ledger_outage() {
-    let mut site = Site::new(Duration::from_secs(12)).await;
+    let task_duration = Duration::from_secs_f64(OUTAGE_TASK_S);
+    let mut site = Site::with_timeouts(task_duration, OUTAGE_TIMEOUTS).await;
     site.start_all().await;
     for number in 0..NAMES.len() {
         site.submit(number, &job(number, 2)).await;
     }
     wait_until_started(&site, 6).await;
     site.ledger.set_outage(true);
-    // Longer than the cell's lease, `renew_without_ledger_s` and the workers' lease.
-    tokio::time::sleep(Duration::from_secs(7)).await;
+    tokio::time::sleep(Duration::from_secs_f64(OUTAGE_S)).await;
     let requested = Instant::now();
     let (status, _) = site.post(1, 0, "/v1/jobs", job(9, 1)).await;
     assert_eq!(status, 503);
--- a/tests/cells/moves.rs
+++ b/tests/cells/moves.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 const JOBS: usize = 4;
-/// How long a cell is disconnected. It is shorter than `RENEW_WITHOUT_LEDGER_S` of the site, so that running tasks
+/// How long a cell is disconnected. It is shorter than `renew_without_ledger_s` of the site, so that running tasks
 /// continue.
 const DISCONNECTION: Duration = Duration::from_millis(700);
 const DISCONNECTIONS: usize = 12;
--- a/tests/cells/site.rs
+++ b/tests/cells/site.rs
@@ -17,13 +17,16 @@
 
 pub const NAMES: [&str; 3] = ["hanoi", "danang", "hue"];
 pub const CONTROLLERS: usize = 2;
-pub const TIMEOUTS: Timeouts = Timeouts {
-    lease_s: 1.5,
-    cancel_s: 6.0,
+/// The timeouts of most sites.
+pub const TIMEOUTS: SiteTimeouts = SiteTimeouts {
+    workers: Timeouts {
+        lease_s: 1.5,
+        cancel_s: 6.0,
+    },
+    cell_lease_s: 4.0,
+    renew_without_ledger_s: 1.5,
+    takeover_after_s: 4.1,
 };
-const CELL_LEASE_S: f64 = 4.0;
-const RENEW_WITHOUT_LEDGER_S: f64 = 1.5;
-const TAKEOVER_AFTER_S: f64 = 4.1;
 
 /// The path of the current build.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_rowanmill");
@@ -35,6 +38,20 @@
 /// How long [`until`] waits. It is longer than a takeover of a cell's jobs takes.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
+/// The timeouts in the settings of the controllers and in the cells file. The program refuses combinations with which
+/// two cells could run the same job.
+#[derive(Clone, Copy)]
+pub struct SiteTimeouts {
+    /// The timeouts in the settings of every cell's controllers.
+    pub workers: Timeouts,
+    /// The duration of a cell's lease in the ledger, in seconds.
+    pub cell_lease_s: f64,
+    /// How long controllers may renew workers' leases after the last read of the ledger, in seconds.
+    pub renew_without_ledger_s: f64,
+    /// How long a cell must be absent before others take over its jobs, in seconds.
+    pub takeover_after_s: f64,
+}
+
 /// The controllers of a cell with their state service, their cloud and their connection to the ledger.
 pub struct Cell {
     pub cluster: Cluster,
@@ -57,6 +74,7 @@
         world: &Arc<Mutex<World>>,
         ledger: &StateService,
         task_duration: Duration,
+        timeouts: Timeouts,
     ) -> Self {
         let cut_from_ledger = Arc::new(AtomicBool::new(false));
         let cluster = Cluster::new(ClusterConfig {
@@ -67,7 +85,7 @@
                 limit_cpus: 0.0,
             }],
             task_duration,
-            timeouts: TIMEOUTS,
+            timeouts,
             state_rates: StateRates {
                 requests_per_s: 1000.0,
                 writes_per_s: 500.0,
@@ -92,8 +110,17 @@
 
     /// `settings` are fields of the cells file beyond those of all tests.
     pub async fn with_settings(task_duration: Duration, settings: Value) -> Self {
-        let mut site = Self::without_cells(task_duration).await;
-        let file = site.cells_file(&settings);
+        Self::with_cells(task_duration, TIMEOUTS, &settings).await
+    }
+
+    /// A site with other timeouts than [`TIMEOUTS`].
+    pub async fn with_timeouts(task_duration: Duration, timeouts: SiteTimeouts) -> Self {
+        Self::with_cells(task_duration, timeouts, &json!({})).await
+    }
+
+    async fn with_cells(task_duration: Duration, timeouts: SiteTimeouts, settings: &Value) -> Self {
+        let mut site = Self::with_clusters(task_duration, timeouts.workers).await;
+        let file = site.cells_file(timeouts, settings);
         for cell in 0..site.cells.len() {
             site.add_cells_file(cell, &file);
         }
@@ -102,11 +129,16 @@
 
     /// Clusters whose controllers run without `--cells`, and so independently of one another.
     pub async fn without_cells(task_duration: Duration) -> Self {
+        Self::with_clusters(task_duration, TIMEOUTS.workers).await
+    }
+
+    /// Clusters without the arguments that make them cells.
+    async fn with_clusters(task_duration: Duration, timeouts: Timeouts) -> Self {
         let world = Arc::new(Mutex::new(World::default()));
         let ledger = StateService::default();
         let mut cells = Vec::new();
         for _ in NAMES {
-            cells.push(Cell::new(&world, &ledger, task_duration).await);
+            cells.push(Cell::new(&world, &ledger, task_duration, timeouts).await);
         }
         Self {
             ledger,
@@ -117,14 +149,14 @@
     }
 
     /// The contents of the cells file without the ledger.
-    fn cells_file(&self, settings: &Value) -> Value {
+    fn cells_file(&self, timeouts: SiteTimeouts, settings: &Value) -> Value {
         let cells = self.cells.iter().zip(NAMES);
         let cells: Vec<Value> = cells
             .map(|(cell, name)| json!({"name": name, "controllers": cell.cluster.mesh}))
             .collect();
-        let mut file = json!({"cells": cells, "cell_lease_s": CELL_LEASE_S,
-            "renew_without_ledger_s": RENEW_WITHOUT_LEDGER_S,
-            "takeover_after_s": TAKEOVER_AFTER_S});
+        let mut file = json!({"cells": cells, "cell_lease_s": timeouts.cell_lease_s,
+            "renew_without_ledger_s": timeouts.renew_without_ledger_s,
+            "takeover_after_s": timeouts.takeover_after_s});
         for (field, value) in settings.as_object().unwrap() {
             file[field] = value.clone();
         }
