--- a/crates/rowanmill-testing/src/http.rs
+++ b/crates/rowanmill-testing/src/http.rs
@@ -23,7 +23,7 @@
 const PORT: u16 = 7070;
 
 /// A future of a stand-in's answer: the status and the body.
-pub type ReplyFuture = Pin<Box<dyn Future<Output = (u16, Value)> + Send>>;
+pub type ResponseFuture = Pin<Box<dyn Future<Output = (u16, Value)> + Send>>;
 
 /// A request as a stand-in receives it.
 pub struct StubRequest {
@@ -38,7 +38,7 @@
 }
 
 /// Handles a stand-in's requests.
-pub type Handler = Arc<dyn Fn(StubRequest) -> ReplyFuture + Send + Sync>;
+pub type Handler = Arc<dyn Fn(StubRequest) -> ResponseFuture + Send + Sync>;
 
 /// Serves a stand-in until accepting a connection fails.
 pub async fn serve(listener: TcpListener, handler: Handler) {
--- a/crates/rowanmill-testing/src/lib.rs
+++ b/crates/rowanmill-testing/src/lib.rs
@@ -20,6 +20,6 @@
 mod timeouts;
 mod wait;
 
-pub use http::{Handler, ReplyFuture, StubRequest, ask, free_addr, serve, serve_on_loopback};
+pub use http::{Handler, ResponseFuture, StubRequest, ask, free_addr, serve, serve_on_loopback};
 pub use timeouts::{DEFAULT_TIMEOUTS, Timeouts};
 pub use wait::{join_all, until, until_within};
--- a/src/testing/load_profile.rs
+++ b/src/testing/load_profile.rs
@@ -15,7 +15,7 @@
 use rand::{RngExt, SeedableRng};
 use rowanmill_config::ConfigFile;
 use rowanmill_testing::state::StateService;
-use rowanmill_testing::{ReplyFuture, StubRequest, serve};
+use rowanmill_testing::{ResponseFuture, StubRequest, serve};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -360,7 +360,7 @@
 
 /// Serves a stand-in on a thread of its own, so that the controller's profile does not include it.
 pub(super) fn serve_on_own_thread(
-    handler: Arc<dyn Fn(StubRequest) -> ReplyFuture + Send + Sync>,
+    handler: Arc<dyn Fn(StubRequest) -> ResponseFuture + Send + Sync>,
 ) -> SocketAddr {
     let (addr_sender, addr_receiver) = std::sync::mpsc::channel();
     std::thread::Builder::new()
