--- a/crates/rowanmill-testing/src/state/limits.rs
+++ b/crates/rowanmill-testing/src/state/limits.rs
@@ -12,7 +12,7 @@
     /// Maximum number of changes in a transaction.
     pub operations: usize,
     /// Maximum rate of changes.
-    pub changes_per_s: f64,
+    pub operations_per_s: f64,
 }
 
 /// The numbers of refused transactions, by reason.
@@ -64,10 +64,10 @@
         let now = Instant::now();
         let changes = match &self.bucket {
             Some(bucket) => {
-                let refill = (now - bucket.as_of).as_secs_f64() * limits.changes_per_s;
-                (bucket.changes + refill).min(limits.changes_per_s)
+                let refill = (now - bucket.as_of).as_secs_f64() * limits.operations_per_s;
+                (bucket.changes + refill).min(limits.operations_per_s)
             }
-            None => limits.changes_per_s,
+            None => limits.operations_per_s,
         };
         Bucket {
             changes,
--- a/src/testing/fleet_scale.rs
+++ b/src/testing/fleet_scale.rs
@@ -262,7 +262,7 @@
     state.set_limits(StateLimits {
         value_bytes: VALUE_BYTES,
         operations: TRANSACTION_OPERATIONS,
-        changes_per_s: 400.0,
+        operations_per_s: 400.0,
     });
     let cloud = Cloud {
         load: &LOAD,
--- a/src/testing/tests.rs
+++ b/src/testing/tests.rs
@@ -455,7 +455,7 @@
     let lowered = StateLimits {
         value_bytes: 1024,
         operations: 8,
-        changes_per_s: 60.0,
+        operations_per_s: 60.0,
     };
     for (leader_first, lowered_after) in [(true, 3), (false, 1), (false, 0)] {
         let cluster = TestCluster::new(3, Duration::from_millis(900)).await;
