--- a/crates/rowanmill-testing/src/state/faults.rs
+++ b/crates/rowanmill-testing/src/state/faults.rs
@@ -7,15 +7,15 @@
 /// A fault because of which a transaction gets no answer.
 #[derive(Clone, Copy, PartialEq)]
 pub enum TransactionFault {
-    /// The transaction is applied at once, but its answer is lost.
+    /// The transaction is executed at once, but its answer is lost.
     AnswerLost,
-    /// The transaction is applied only when the test delivers it.
+    /// The transaction is executed only when the test delivers it.
     Delayed,
 }
 
 /// The transactions into which a fault is injected.
 pub(super) struct FaultRule {
-    /// The text that must occur in one of a transaction's changes.
+    /// The text that must occur in the JSON text of one of a transaction's operations.
     text: String,
     fault: TransactionFault,
     /// The number of transactions that are still to get the fault.
@@ -32,7 +32,8 @@
     }
 }
 
-/// The fault of the first rule that a request matches. The request counts against the rule's number.
+/// The fault of the first rule that a request matches and that has transactions remaining. Counts the request in that
+/// rule.
 pub(super) fn take_matching(
     rules: &mut [FaultRule],
     request: &StubRequest,
@@ -40,10 +41,13 @@
     if request.path != store::TRANSACTION_PATH {
         return None;
     }
-    let changes = request.body["then"].as_array()?.iter();
-    let changes: Vec<String> = changes.map(Value::to_string).collect();
+    let operations = request.body["then"].as_array()?.iter();
+    let operations: Vec<String> = operations.map(Value::to_string).collect();
     let matches = |rule: &&mut FaultRule| {
-        rule.remaining > 0 && changes.iter().any(|change| change.contains(&rule.text))
+        rule.remaining > 0
+            && operations
+                .iter()
+                .any(|operation| operation.contains(&rule.text))
     };
     let rule = rules.iter_mut().find(matches)?;
     rule.remaining -= 1;
--- a/crates/rowanmill-testing/src/state/limits.rs
+++ b/crates/rowanmill-testing/src/state/limits.rs
@@ -4,39 +4,41 @@
 use serde_json::{Value, json};
 use std::time::Instant;
 
-/// The limits of the state service.
+/// Limits on the transactions that the state service accepts.
 #[derive(Clone, Copy)]
 pub struct StateLimits {
-    /// Maximum size of a value, in bytes.
+    /// Maximum size of a value's JSON text, in bytes.
     pub value_bytes: usize,
-    /// Maximum number of changes in a transaction.
+    /// Maximum number of operations in a transaction. Each operation sets or deletes one key.
     pub operations: usize,
-    /// Maximum rate of changes.
+    /// Maximum number of operations per second in all transactions together.
     pub operations_per_s: f64,
 }
 
-/// The numbers of refused transactions, by reason.
+/// The numbers of refused transactions, by the first reason that applied.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Refusals {
     /// A value was too large.
     pub too_large: usize,
-    /// The transaction had too many changes.
+    /// The transaction had too many operations.
     pub too_many_operations: usize,
-    /// The rate of changes was too high.
+    /// The rate of operations was too high.
     pub too_frequent: usize,
 }
 
-/// Enforces the limits. The rate is limited by a token bucket with a capacity of one second's changes.
+/// Enforces the limits. The rate is limited by a token bucket with a capacity of one second's operations, which is full
+/// at first.
 #[derive(Default)]
 pub(super) struct Limiter {
+    /// `None` until limits are set. Until then every transaction is admitted.
     limits: Option<StateLimits>,
     bucket: Option<Bucket>,
     pub refusals: Refusals,
 }
 
-/// The token bucket: the changes that were permitted at `as_of`.
+/// The token bucket: the number of operations that were permitted at `as_of`.
 struct Bucket {
-    changes: f64,
+    tokens: f64,
     as_of: Instant,
 }
 
@@ -46,15 +48,15 @@
         self.bucket = None;
     }
 
-    /// Admits a transaction with these changes and takes them from the bucket, or refuses it.
-    pub fn admit(&mut self, changes: &[Value]) -> Result<(), Response> {
+    /// Admits a transaction with these operations and takes a token for each, or refuses it.
+    pub fn admit(&mut self, operations: &[Value]) -> Result<(), Response> {
         let Some(limits) = self.limits else {
             return Ok(());
         };
         let mut bucket = self.refilled(&limits);
-        let admitted = check(&limits, &bucket, &mut self.refusals, changes);
+        let admitted = check(&limits, &bucket, &mut self.refusals, operations);
         if admitted.is_ok() {
-            bucket.changes -= changes.len() as f64;
+            bucket.tokens -= operations.len() as f64;
         }
         self.bucket = Some(bucket);
         admitted
@@ -62,17 +64,14 @@
 
     fn refilled(&self, limits: &StateLimits) -> Bucket {
         let now = Instant::now();
-        let changes = match &self.bucket {
+        let tokens = match &self.bucket {
             Some(bucket) => {
                 let refill = (now - bucket.as_of).as_secs_f64() * limits.operations_per_s;
-                (bucket.changes + refill).min(limits.operations_per_s)
+                (bucket.tokens + refill).min(limits.operations_per_s)
             }
             None => limits.operations_per_s,
         };
-        Bucket {
-            changes,
-            as_of: now,
-        }
+        Bucket { tokens, as_of: now }
     }
 }
 
@@ -80,18 +79,18 @@
     limits: &StateLimits,
     bucket: &Bucket,
     refusals: &mut Refusals,
-    changes: &[Value],
+    operations: &[Value],
 ) -> Result<(), Response> {
-    let is_too_large = |change: &Value| change["data"].to_string().len() > limits.value_bytes;
-    if changes.iter().any(is_too_large) {
+    let is_too_large = |operation: &Value| operation["data"].to_string().len() > limits.value_bytes;
+    if operations.iter().any(is_too_large) {
         refusals.too_large += 1;
         return Err((400, json!({"error": "value too large"})));
     }
-    if changes.len() > limits.operations {
+    if operations.len() > limits.operations {
         refusals.too_many_operations += 1;
         return Err((400, json!({"error": "too many changes"})));
     }
-    if bucket.changes < changes.len() as f64 {
+    if bucket.tokens < operations.len() as f64 {
         refusals.too_frequent += 1;
         return Err((429, json!({"error": "too many"})));
     }
--- a/crates/rowanmill-testing/src/state/mod.rs
+++ b/crates/rowanmill-testing/src/state/mod.rs
@@ -1,5 +1,6 @@
-//! A stand-in for the state service: keys with revisions, conditional transactions, leases and the log. Tests can inject
-//! outages and faults of single transactions.
+//! A stand-in for the state service: keys with revisions, conditional transactions, leases and a log of changes. Tests
+//! can set limits, cut connections, and inject outages and faults of single transactions. Tests of several cells also
+//! use it as the ledger, which has the same protocol.
 
 mod faults;
 mod limits;
@@ -36,16 +37,16 @@
     store: Store,
     in_outage: bool,
     faults: Vec<FaultRule>,
-    /// Bodies of the delayed transactions, which are applied when the test delivers them.
+    /// Bodies of the delayed transactions, which are executed when the test delivers them.
     delayed: Vec<Value>,
 }
 
 impl StateService {
-    /// Begins or ends an outage. Either extends all leases by their full duration.
+    /// Begins or ends an outage. Either extends every lease to its full duration from now.
     pub fn set_outage(&self, in_outage: bool) {
         let mut inner = self.0.lock().unwrap();
         inner.in_outage = in_outage;
-        inner.store.renew_leases();
+        inner.store.extend_leases();
     }
 
     /// Sets the limits for future transactions. Stored values are kept even if they are larger.
@@ -53,7 +54,8 @@
         self.0.lock().unwrap().store.limiter.set(limits);
     }
 
-    /// Injects a fault into the next `count` transactions in which `text` occurs in a change.
+    /// Injects a fault into the next `count` transactions in which `text` occurs in the JSON text of an operation.
+    /// A transaction gets at most one fault: the first injected one that still applies.
     pub fn inject_fault(&self, text: &str, fault: TransactionFault, count: usize) {
         let rule = FaultRule::new(text, fault, count);
         self.0.lock().unwrap().faults.push(rule);
@@ -64,7 +66,7 @@
         !self.0.lock().unwrap().delayed.is_empty()
     }
 
-    /// Applies the delayed transactions, and returns the number of those that succeeded.
+    /// Executes the delayed transactions, and returns the number of those that succeeded.
     pub fn deliver_delayed(&self) -> usize {
         let mut inner = self.0.lock().unwrap();
         let delayed = std::mem::take(&mut inner.delayed);
@@ -77,18 +79,18 @@
         self.0.lock().unwrap().store.limiter.refusals
     }
 
-    /// The current revision, which increases with each transaction, each granted lease and each key that is deleted with
-    /// its lease.
+    /// The current revision, which increases with each applied transaction, each granted lease and each key that is
+    /// deleted with its lease.
     pub fn revision(&self) -> u64 {
         self.0.lock().unwrap().store.revision
     }
 
-    /// The values of all keys with a prefix.
+    /// The values of all keys with a prefix. Keys of a lease that has expired are included until the next request.
     pub fn stored(&self, prefix: &str) -> BTreeMap<String, Value> {
         self.0.lock().unwrap().store.values(prefix)
     }
 
-    /// The handler of requests from all controllers.
+    /// The handler of requests over a connection that is never cut.
     pub fn handler(&self) -> Handler {
         let state = self.clone();
         Arc::new(move |request| {
@@ -106,8 +108,8 @@
         })
     }
 
-    /// The handler of requests from one controller, whose connection the test can cut. While it is cut, the controller
-    /// gets status 503 and its leases expire, but the others are served.
+    /// The handler of requests over a connection that the test can cut, such as that of one controller. While it is
+    /// cut, new requests get status 503, so that the controller's leases expire. Other connections are served.
     pub fn handler_with_cut(&self, is_cut: Arc<AtomicBool>) -> Handler {
         let handler = self.handler();
         Arc::new(move |request| {
@@ -119,7 +121,9 @@
         })
     }
 
-    /// Answers a request that follows the log as soon as there are changes, or without any when its hold time has passed.
+    /// Answers a request that follows the log as soon as there are changes, or without any when its hold time has
+    /// passed. During an outage, a request without a hold time gets status 503, and any other waits until the outage
+    /// ends.
     async fn follow(&self, request: &StubRequest) -> Response {
         let from: u64 = request.query["from"].parse().unwrap();
         let hold = Duration::from_millis(request.query["holdMs"].parse().unwrap());
--- a/crates/rowanmill-testing/src/state/routes.rs
+++ b/crates/rowanmill-testing/src/state/routes.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 impl Store {
-    /// Executes a request. Requests that follow the log are handled by the service itself.
+    /// Executes a request, except those that follow the log: [`StateService`](super::StateService) handles them. A
+    /// listing is always complete, without pages.
     pub fn route(&mut self, request: &StubRequest) -> Response {
         let segments: Vec<&str> = request.path.trim_matches('/').split('/').collect();
         match (request.method.as_str(), segments.as_slice()) {
--- a/crates/rowanmill-testing/src/state/store.rs
+++ b/crates/rowanmill-testing/src/state/store.rs
@@ -16,7 +16,7 @@
     lease: Option<u64>,
 }
 
-/// A change of one key.
+/// A change of one key, as requests that follow the log report it.
 struct LogEntry {
     revision: u64,
     key: String,
@@ -29,7 +29,7 @@
     duration: Duration,
 }
 
-/// All that the service stores.
+/// All that the service stores, and the limits on transactions.
 #[derive(Default)]
 pub(super) struct Store {
     pub revision: u64,
@@ -82,7 +82,7 @@
         self.revision
     }
 
-    /// Extends a lease by its full duration. Returns whether the lease exists.
+    /// Extends a lease to its full duration from now. Returns whether the lease exists.
     pub fn extend_lease(&mut self, id: u64) -> bool {
         let Some(lease) = self.leases.get_mut(&id) else {
             return false;
@@ -97,8 +97,8 @@
         self.expire_leases();
     }
 
-    /// Extends all leases by their full duration.
-    pub fn renew_leases(&mut self) {
+    /// Extends every lease to its full duration from now.
+    pub fn extend_leases(&mut self) {
         let now = Instant::now();
         for lease in self.leases.values_mut() {
             lease.expires = now + lease.duration;
@@ -125,8 +125,8 @@
     /// Applies a transaction atomically, unless a limit, a precondition or an ended lease prevents it.
     pub fn transact(&mut self, body: &Value) -> Response {
         let none = Vec::new();
-        let changes = body["then"].as_array().unwrap_or(&none);
-        if let Err(refusal) = self.limiter.admit(changes) {
+        let operations = body["then"].as_array().unwrap_or(&none);
+        if let Err(refusal) = self.limiter.admit(operations) {
             return refusal;
         }
         let preconditions = body["guards"].as_array().unwrap_or(&none);
@@ -134,19 +134,22 @@
         if !failed.is_empty() {
             return (409, json!({"failed": failed, "ledger": self.revision}));
         }
-        let lease_has_ended = |change: &Value| {
-            let lease = change["tenancy"].as_u64();
+        let lease_has_ended = |operation: &Value| {
+            let lease = operation["tenancy"].as_u64();
             lease.is_some_and(|lease| !self.leases.contains_key(&lease))
         };
-        if changes.iter().any(lease_has_ended) {
+        if operations.iter().any(lease_has_ended) {
             return (400, json!({"error": "no such lease"}));
         }
         self.revision += 1;
-        changes.iter().for_each(|change| self.apply(change));
+        operations
+            .iter()
+            .for_each(|operation| self.apply(operation));
         (200, json!({"ledger": self.revision}))
     }
 
-    /// The keys whose revision differs from the one that a transaction requires.
+    /// The keys whose revision differs from the one that a transaction requires. A key that does not exist has revision
+    /// 0.
     fn failed_preconditions<'a>(&self, preconditions: &'a [Value]) -> Vec<&'a str> {
         let required = preconditions.iter().map(|precondition| {
             let key = precondition["k"].as_str().unwrap();
@@ -159,13 +162,13 @@
         required.filter(differs).map(|(key, _)| key).collect()
     }
 
-    /// Applies one change at the current revision.
-    fn apply(&mut self, change: &Value) {
-        if let Some(key) = change["set"].as_str() {
+    /// Applies one operation at the current revision.
+    fn apply(&mut self, operation: &Value) {
+        if let Some(key) = operation["set"].as_str() {
             let stored = StoredValue {
-                data: change["data"].clone(),
+                data: operation["data"].clone(),
                 revision: self.revision,
-                lease: change["tenancy"].as_u64(),
+                lease: operation["tenancy"].as_u64(),
             };
             self.log.push(LogEntry {
                 revision: self.revision,
@@ -173,7 +176,7 @@
                 data: Some(stored.data.clone()),
             });
             self.keys.insert(key.to_owned(), stored);
-        } else if let Some(key) = change["drop"].as_str() {
+        } else if let Some(key) = operation["drop"].as_str() {
             self.delete(key);
         }
     }
