--- a/crates/rowanmill-testing/src/cloud/world.rs
+++ b/crates/rowanmill-testing/src/cloud/world.rs
@@ -152,7 +152,7 @@
         if self.machine_by_task.remove(task).is_some() {
             self.quota.record_end(task);
             let task = task.to_owned();
-            self.history.record(Event::Left { task, completed });
+            self.history.record(Event::Ended { task, completed });
         }
     }
 
--- a/crates/rowanmill-testing/src/exchange.rs
+++ b/crates/rowanmill-testing/src/exchange.rs
@@ -1,5 +1,5 @@
 //! A server that records HTTP requests and a client that returns HTTP responses as text, for tests that compare the
-//! messages of an interface byte by byte.
+//! messages of an interface.
 
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Timeout for each read of a message.
+/// Timeout for each read from a connection.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What a [`Recorder`] does with a request.
@@ -20,6 +20,7 @@
 }
 
 /// A server that gives scripted answers and records the requests. It expects each request on a new connection.
+/// A request that it cannot read stops it, but does not fail the test.
 pub struct Recorder {
     /// The address at which it listens.
     pub addr: SocketAddr,
@@ -54,7 +55,7 @@
         Self { addr, requests }
     }
 
-    /// The requests so far, each as text: the request line, the content type and the body.
+    /// The requests so far, each as text: the request line, the content type and the body, with `> ` before each.
     pub fn requests(&self) -> Vec<String> {
         self.requests.lock().unwrap().clone()
     }
@@ -67,7 +68,11 @@
     body: String,
 }
 
-/// Reads one message, and fails the test if it is incomplete.
+/// Reads one message. Its headers end at an empty line or at the end of the stream; its body has the length that
+/// `content-length` specifies, or is empty without it.
+///
+/// # Panics
+/// If a read fails or takes longer than [`READ_TIMEOUT`], the body is incomplete, or the message is not valid UTF-8.
 fn read_message(stream: &mut TcpStream) -> Message {
     let timeout = stream.set_read_timeout(Some(READ_TIMEOUT));
     timeout.expect("the timeout is not zero");
@@ -77,7 +82,7 @@
         let mut line = String::new();
         let read = reader
             .read_line(&mut line)
-            .expect("the headers are UTF-8 text");
+            .expect("the headers arrive in time and are UTF-8 text");
         let line = line.trim_end();
         if read == 0 || line.is_empty() {
             break;
@@ -95,7 +100,9 @@
         })
     });
     let mut body = vec![0; length.unwrap_or(0)];
-    reader.read_exact(&mut body).expect("the body is complete");
+    reader
+        .read_exact(&mut body)
+        .expect("the complete body arrives in time");
     Message {
         first_line: lines.first().cloned().unwrap_or_default(),
         headers: lines.into_iter().skip(1).collect(),
@@ -106,8 +113,8 @@
 /// A request as [`Recorder::requests`] shows it.
 fn request_text(message: &Message) -> String {
     let mut text = format!("> {}\n", message.first_line);
-    let is_type = |line: &&String| line.to_lowercase().starts_with("content-type:");
-    for line in message.headers.iter().filter(is_type) {
+    let is_content_type = |line: &&String| line.to_lowercase().starts_with("content-type:");
+    for line in message.headers.iter().filter(is_content_type) {
         text.push_str(&format!("> {line}\n"));
     }
     if !message.body.is_empty() {
@@ -116,8 +123,8 @@
     text
 }
 
-/// Sends one request with this body and returns the response as text: the status, all headers except `date`, and the
-/// body. Blocks until the response is complete.
+/// Sends one request with this body and returns the response as text: the status line, all headers except `date`, and
+/// the body, with `< ` before each. Blocks until the response is complete.
 pub fn exchange(addr: SocketAddr, method: &str, path: &str, body: &str) -> String {
     let mut stream = TcpStream::connect(addr).expect("the server listens");
     let head = format!(
--- a/crates/rowanmill-testing/src/folder.rs
+++ b/crates/rowanmill-testing/src/folder.rs
@@ -7,10 +7,11 @@
 pub struct TestFolder(PathBuf);
 
 impl TestFolder {
-    /// Creates a folder with a unique name that begins with `prefix`.
+    /// Creates a folder whose name consists of `prefix`, the process id and a counter, so that no other running test
+    /// uses it.
     pub fn new(prefix: &str) -> Self {
-        static FOLDERS: AtomicUsize = AtomicUsize::new(0);
-        let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
+        static NEXT_NUMBER: AtomicUsize = AtomicUsize::new(0);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
         let name = format!("{prefix}-{}-{number}", std::process::id());
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path).expect("the temporary folder is writable");
--- a/crates/rowanmill-testing/src/history.rs
+++ b/crates/rowanmill-testing/src/history.rs
@@ -10,7 +10,7 @@
     Open,
     /// All its tasks completed.
     Done,
-    /// Cancelled.
+    /// Ended by a cancellation. None of its tasks may start any more.
     Cancelled,
     /// No such job is known.
     Unknown,
@@ -21,30 +21,31 @@
 pub enum Event {
     /// A user submitted a job.
     Submitted {
-        /// The job.
+        /// The job's id.
         job: String,
         /// The number of its tasks.
         tasks: u32,
     },
     /// The stage of a job was reported to a user.
     StageReported {
-        /// The job.
+        /// The job's id.
         job: String,
-        /// The stage.
+        /// The reported stage.
         stage: ReportedStage,
     },
     /// A machine began to run a task.
     Started {
-        /// The task.
+        /// The task's id.
         task: String,
-        /// The machine.
+        /// The machine's name.
         machine: String,
     },
-    /// A task no longer runs on its machine, because it completed or was stopped.
-    Left {
-        /// The task.
+    /// A task no longer runs on its machine: it completed, it was stopped, its worker's lease expired, or the machine
+    /// was stopped.
+    Ended {
+        /// The task's id.
         task: String,
-        /// Whether it completed.
+        /// Whether it completed. In the other cases it ended early.
         completed: bool,
     },
 }
@@ -52,22 +53,22 @@
 /// A contradiction in what was observed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// A task ran on two machines at a time.
+    /// A task started while it already ran, on the same or another machine.
     #[error("{task} starts on {second} while it runs on {first}")]
     Overlap {
-        /// The task.
+        /// The task's id.
         task: String,
-        /// The machine that it was on.
+        /// The machine on which it already ran.
         first: String,
-        /// The machine that it started on.
+        /// The machine on which it started again.
         second: String,
     },
     /// A job was reported in a final stage, and then in another stage.
     #[error("{job} was reported as {first:?} and then as {second:?}")]
     FinalStageChanged {
-        /// The job.
+        /// The job's id.
         job: String,
-        /// The stage that was reported first.
+        /// The final stage that was reported first.
         first: ReportedStage,
         /// The stage that was reported later.
         second: ReportedStage,
@@ -75,7 +76,7 @@
     /// A job was reported as done before all its tasks had completed.
     #[error("{job} was reported as done with {completed} of {tasks} tasks completed")]
     DoneTooEarly {
-        /// The job.
+        /// The job's id.
         job: String,
         /// The number of tasks that had completed.
         completed: u32,
@@ -85,19 +86,19 @@
     /// A task started after its job was reported as cancelled.
     #[error("{task} starts after its job was reported as cancelled")]
     StartedCancelled {
-        /// The task.
+        /// The task's id.
         task: String,
     },
     /// An accepted job became unknown, or was never reported in a final stage.
     #[error("{job} is lost")]
     Lost {
-        /// The job.
+        /// The job's id.
         job: String,
     },
     /// A job was reported that was never submitted.
     #[error("{job} was reported but never submitted")]
     NeverSubmitted {
-        /// The job.
+        /// The job's id.
         job: String,
     },
 }
@@ -113,15 +114,15 @@
 struct Checker {
     /// The number of each job's tasks.
     submitted: BTreeMap<String, u32>,
-    /// The last stage in which each job was reported.
+    /// The last stage in which each job was reported, up to the first final one. `Unknown` is omitted.
     reported: BTreeMap<String, ReportedStage>,
-    /// The machine on which each running task is.
+    /// The machine of each running task.
     machine_by_task: BTreeMap<String, String>,
     completed: BTreeSet<String>,
     violations: Vec<Violation>,
 }
 
-/// The job of a task, whose id is that of the job, a slash and a number.
+/// The id of a task's job. A task's id consists of the job's id, a slash and a number.
 pub(crate) fn job_of(task: &str) -> &str {
     task.split('/').next().unwrap_or(task)
 }
@@ -132,7 +133,8 @@
         self.events.push(event);
     }
 
-    /// All violations. If `is_over`, each accepted job that was not reported in a final stage counts as lost.
+    /// All violations. `is_over` means that no more events will follow: then each accepted job that was not reported in
+    /// a final stage counts as lost.
     pub fn violations(&self, is_over: bool) -> Vec<Violation> {
         let mut checker = Checker::default();
         for event in &self.events {
@@ -153,7 +155,7 @@
             }
             Event::StageReported { job, stage } => self.check_stage(job, *stage),
             Event::Started { task, machine } => self.check_start(task, machine),
-            Event::Left { task, completed } => {
+            Event::Ended { task, completed } => {
                 self.machine_by_task.remove(task);
                 if *completed {
                     self.completed.insert(task.clone());
--- a/crates/rowanmill-testing/src/history/tests.rs
+++ b/crates/rowanmill-testing/src/history/tests.rs
@@ -19,9 +19,9 @@
     }
 }
 
-fn left(task: &str, completed: bool) -> Event {
+fn ended(task: &str, completed: bool) -> Event {
     let task = task.to_owned();
-    Event::Left { task, completed }
+    Event::Ended { task, completed }
 }
 
 fn violations(events: &[Event]) -> Vec<String> {
@@ -39,9 +39,9 @@
         submitted("job-1"),
         reported("job-1", ReportedStage::Open),
         started("job-1/0", "vm-1"),
-        left("job-1/0", false),
+        ended("job-1/0", false),
         started("job-1/0", "vm-2"),
-        left("job-1/0", true),
+        ended("job-1/0", true),
         reported("job-1", ReportedStage::Done),
         reported("job-1", ReportedStage::Done),
         submitted("job-2"),
@@ -52,7 +52,6 @@
     assert_eq!(violations(&consistent), Vec::<String>::new());
 }
 
-/// The checker reports each kind of contradiction.
 #[test]
 fn each_kind_of_violation_is_found() {
     let accepted = [submitted("job-1"), reported("job-1", ReportedStage::Open)];
--- a/crates/rowanmill-testing/src/http.rs
+++ b/crates/rowanmill-testing/src/http.rs
@@ -1,4 +1,4 @@
-//! An HTTP server for the stand-ins, and an HTTP client for users and workers.
+//! An HTTP server for the stand-ins, and requests of simulated users and workers.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -31,7 +31,7 @@
     pub method: Method,
     /// The path without its query.
     pub path: String,
-    /// The query's pairs.
+    /// The query's parameters by name, without percent-decoding. Those without `=` are omitted.
     pub query: HashMap<String, String>,
     /// The body as JSON. Null if there is none or it is malformed.
     pub body: Value,
@@ -84,17 +84,19 @@
     Ok(response)
 }
 
-/// An address that stays free while a controller restarts. It has its own loopback host, because a port of 127.0.0.1 that
-/// was found free may be assigned to an outgoing connection in the meantime.
+/// An address that stays free while a controller restarts. It has its own loopback host, which consists of the process
+/// id and a counter, because a port of 127.0.0.1 that was found free may be assigned to an outgoing connection in the
+/// meantime. The addresses repeat after 256 calls.
 pub fn free_addr() -> SocketAddr {
-    static USED_HOSTS: AtomicU8 = AtomicU8::new(1);
+    static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
     let [.., high, low] = std::process::id().to_be_bytes();
-    let host = USED_HOSTS.fetch_add(1, Ordering::Relaxed);
+    let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
     SocketAddr::from(([127, 1 + high % 250, low, host], PORT))
 }
 
 /// Sends one request of a user or a worker, and returns the status and the body. Without a response, these are 0 and
-/// null. A string is sent as it is, any other body as JSON.
+/// null. A string is sent as it is, null as an empty body, and any other value as JSON. A response body that is not
+/// JSON is returned as null.
 pub async fn ask(addr: SocketAddr, method: Method, path: &str, body: Value) -> (u16, Value) {
     let client = rowanmill_state::http::Client::new(addr, 0);
     let body = match body {
--- a/crates/rowanmill-testing/src/jobs.rs
+++ b/crates/rowanmill-testing/src/jobs.rs
@@ -2,12 +2,12 @@
 
 use serde_json::{Value, json};
 
-/// A job of identical tasks with the standard urgency. All fields that are not listed here have fixed values.
+/// A job of identical tasks with the standard urgency. The submission's other fields have fixed values.
 #[derive(Debug, Clone)]
 pub struct JobRequest<'a> {
     /// The job's number. Its id is `job-` and the number.
     pub number: usize,
-    /// The team.
+    /// The name of the job's team.
     pub team: &'a str,
     /// The number of tasks.
     pub tasks: u32,
--- a/crates/rowanmill-testing/src/lib.rs
+++ b/crates/rowanmill-testing/src/lib.rs
@@ -1,7 +1,8 @@
-//! The environment of controllers in tests: stand-ins for the state service, the cloud and its workers, which are
-//! served on loopback and written from the published protocol; simulated users; and checkers of what users and machines
-//! observe. Only the harness in [`cluster`] starts controllers, as processes. Nothing here depends on how they work
-//! internally.
+//! The environment of controllers in tests: stand-ins for the state service and the cloud, which are served on
+//! loopback; simulated workers and users, which send requests to the controllers; and checkers of what users and
+//! machines observe. The stand-ins, workers and users are written from the published protocol. Only the harness in
+//! [`cluster`] starts controllers, as processes. Nothing here depends on how controllers work internally, except that
+//! the harness finds the leader in its record in the state service, and errors in the logs.
 #![cfg_attr(
     test,
     allow(clippy::too_many_lines, reason = "a test covers a whole scenario")
--- a/crates/rowanmill-testing/src/timeouts.rs
+++ b/crates/rowanmill-testing/src/timeouts.rs
@@ -1,4 +1,4 @@
-//! The timeouts from the settings that workers apply.
+//! The timeouts that the controllers' settings and the simulated workers have in common.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// The timeouts of most tests.
+/// The timeouts of tests that do not set their own.
 pub const DEFAULT_TIMEOUTS: Timeouts = Timeouts {
     lease_s: 8.0,
     cancel_s: 20.0,
--- a/crates/rowanmill-testing/src/wait.rs
+++ b/crates/rowanmill-testing/src/wait.rs
@@ -3,7 +3,7 @@
 use std::task::Poll;
 use std::time::{Duration, Instant};
 
-/// How long [`until`] waits. It exceeds the duration of a takeover.
+/// How long [`until`] waits. It exceeds the duration of a takeover of another controller's machines.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(40);
 /// The pause between two checks of a condition.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -13,8 +13,7 @@
     until_within(DEFAULT_TIMEOUT, what, holds).await;
 }
 
-/// Waits until a condition holds, and fails the test after `timeout`. `what` names the condition in the
-/// failure.
+/// Waits until a condition holds, and fails the test after `timeout`. `what` names the condition in the failure.
 pub async fn until_within(timeout: Duration, what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let deadline = Instant::now() + timeout;
     while !holds().await {
