--- a/src/testing/compatibility/interfaces.rs
+++ b/src/testing/compatibility/interfaces.rs
@@ -1,5 +1,6 @@
-//! The responses to users, workers and the load balancer, byte for byte, and how their requests are parsed. A
-//! controller's HTTP server runs as in production, but its records are written by the tests.
+//! The responses to users, workers and the load balancer, byte for byte except for the `date` header, and how their
+//! requests are parsed. Most tests send the requests to a controller's HTTP server. The tests themselves write the
+//! records that no request of a user creates, such as those of placed tasks and rented machines.
 
 use crate::api::admission::Admission;
 use crate::api::cancel::cancel;
@@ -135,8 +136,8 @@
         core.replica.apply_put(key, &data.to_string(), revision);
     }
 
-    /// Waits until the state service and the ledger were read recently, which takes longer on a busy machine. Other tests
-    /// check the responses without contact.
+    /// Waits until the state service and, in a cell, the ledger have been read recently. On a busy machine a read may
+    /// be late, and the response would be the one without contact, which other tests check.
     fn wait_for_contact(&self) {
         let end = Instant::now() + Duration::from_secs(40);
         let max_age = Duration::from_millis(1500);
@@ -157,13 +158,13 @@
         if self.follows_state {
             self.wait_for_contact();
         }
-        let answer = exchange(self.api, method, path, body);
+        let response = exchange(self.api, method, path, body);
         let sent = match body.len() {
             0 => String::new(),
             1..=1000 => format!("\n> {body}"),
             length => format!("\n> {length} bytes"),
         };
-        writeln!(self.trace, "== {what}\n> {method} {path}{sent}\n{answer}").unwrap();
+        writeln!(self.trace, "== {what}\n> {method} {path}{sent}\n{response}").unwrap();
     }
 
     fn submit(&mut self, what: &str, body: &Value) {
@@ -224,7 +225,7 @@
     (serve_with_state(node).await, addr)
 }
 
-/// The schema versions record with which the features of this version are active.
+/// The schema versions record that activates jobs with dependencies and compact progress pages.
 fn activated_schema_versions(served: &Served) -> Value {
     let layout = serde_json::to_value(served.node.settings.page_layout()).unwrap();
     json!({"seen": ["millstone-0"], "layout": layout})
@@ -298,7 +299,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn submissions_that_can_never_run_are_refused_permanently() {
+async fn requests_that_can_never_succeed_are_refused_permanently() {
     let (mut served, _) = start_with_state().await;
     served.ask("not JSON", "POST", "/v1/jobs", "{\"nameId\":");
     served.ask("a list", "POST", "/v1/jobs", "[]");
@@ -343,8 +344,8 @@
     insta::assert_snapshot!(served.trace);
 }
 
-async fn answer_text(answer: HttpResponse) -> String {
-    let (head, body) = answer.into_parts();
+async fn response_text(response: HttpResponse) -> String {
+    let (head, body) = response.into_parts();
     let mut text = format!("< {}\n", head.status);
     for (name, value) in &head.headers {
         writeln!(text, "< {name}: {}", value.to_str().unwrap()).unwrap();
@@ -369,8 +370,8 @@
     ];
     let mut trace = String::new();
     for (what, admission) in admissions {
-        let answer = answer_text(admission.refusal()).await;
-        writeln!(trace, "== {what}\n{answer}").unwrap();
+        let response = response_text(admission.refusal()).await;
+        writeln!(trace, "== {what}\n{response}").unwrap();
     }
     insta::assert_snapshot!(trace);
 }
@@ -387,12 +388,12 @@
         permits.push(permit);
     }
     let body = job("job-1").to_string();
-    let submitted = answer_text(submit(&server, body.as_bytes()).await).await;
-    let polled = answer_text(poll(&server, "job-1").await).await;
-    let aborted = answer_text(cancel(&server, "job-1").await).await;
-    let invalid = answer_text(submit(&server, br#"{"nameId":"job-1"}"#).await).await;
+    let submitted = response_text(submit(&server, body.as_bytes()).await).await;
+    let polled = response_text(poll(&server, "job-1").await).await;
+    let cancelled = response_text(cancel(&server, "job-1").await).await;
+    let invalid = response_text(submit(&server, br#"{"nameId":"job-1"}"#).await).await;
     insta::assert_snapshot!(format!(
-        "submitted\n{submitted}polled\n{polled}cancelled\n{aborted}a body that is none\n{invalid}"
+        "submitted\n{submitted}polled\n{polled}cancelled\n{cancelled}a body that is none\n{invalid}"
     ));
 }
 
@@ -409,7 +410,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_health_check_fails_when_other_controllers_are_better_placed() {
+async fn an_unready_controller_fails_the_health_check_if_a_peer_is_connected_or_it_never_was() {
     let mut served = Served::without_state().await;
     served.check_health("with the state service");
     served.node.core().machine_types.clear();
@@ -518,7 +519,8 @@
         "sacks": tasks})
 }
 
-const TOKEN: u64 = 41;
+/// The fencing token in the record of vm-1.
+const FENCING_TOKEN: u64 = 41;
 
 fn peer(incarnation: u64) -> Member {
     Member {
@@ -541,7 +543,7 @@
         machines: vec![RentedMachine {
             name: "vm-1".to_owned(),
             owner,
-            fencing_token: TOKEN,
+            fencing_token: FENCING_TOKEN,
             state: MachineState::Active,
         }],
     };
@@ -583,18 +585,18 @@
         {"sack": "job-1/4", "turn": 1, "stage": "gathering"}]);
     served.heartbeat(
         "a start, a stop with time to save, one at once, an exit to forget",
-        &heartbeat(2, TOKEN, tasks),
+        &heartbeat(2, FENCING_TOKEN, tasks),
     );
-    served.heartbeat("a late copy", &heartbeat(1, TOKEN, json!([])));
+    served.heartbeat("a late copy", &heartbeat(1, FENCING_TOKEN, json!([])));
     served.heartbeat(
         "a higher token than its record's",
-        &heartbeat(3, TOKEN + 1, json!([])),
+        &heartbeat(3, FENCING_TOKEN + 1, json!([])),
     );
     insta::assert_snapshot!(served.trace);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_heartbeat_to_another_than_the_owner_is_redirected() {
+async fn a_heartbeat_that_cannot_be_answered_is_redirected_or_gets_retry_after() {
     let mut served = Served::without_state().await;
     let idle = heartbeat(1, 0, json!([]));
     served.heartbeat("no record of it, and no leader", &idle);
@@ -780,7 +782,8 @@
     insta::assert_snapshot!(trace);
 }
 
-/// The response to a heartbeat with each command, also with the highest token and attempt.
+/// Responses to heartbeats: one with each command, the highest fencing token and the highest attempt, and one without
+/// commands.
 #[test]
 fn commands_keep_their_json() {
     let response = HeartbeatResponse {
