--- a/src/testing/compatibility/frames.rs
+++ b/src/testing/compatibility/frames.rs
@@ -36,8 +36,9 @@
         .collect()
 }
 
-/// The queries that another controller sends, and the answers of this one: its status, its attestation of the jobs that
-/// it knows to be cancelled, and its attestation to another cell while the ledger is unreachable.
+/// The three queries that other controllers send: for a controller's status, for its attestation of the jobs that it
+/// knows to be cancelled, and, from another cell, for its attestation that it has lost contact with the ledger. The
+/// controller that answers has read no records and belongs to no cell, so it attests neither.
 #[tokio::test]
 async fn mesh_queries_are_answered_with_the_same_bytes() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/src/testing/compatibility/job_records.rs
+++ b/src/testing/compatibility/job_records.rs
@@ -1,4 +1,5 @@
-//! The records of jobs in each form, the records of ended jobs, and both encodings of progress pages.
+//! The records of jobs in each form, the records that remain of ended and relinquished jobs, and both encodings of
+//! progress pages.
 
 use super::trace::{Trace, written};
 use crate::jobs::{
@@ -81,6 +82,7 @@
     let plain = accepted(plain_spec());
     let mut trace = Trace::default();
     trace.add("no optional field", key(), &StoredJob::Open(plain.clone()));
+    // All but `adopted_ms`, which `adopted_job_record_keeps_its_json` checks.
     let all = JobRecord {
         cancelled: true,
         placer: Some("millstone-1".into()),
@@ -115,7 +117,7 @@
     insta::assert_snapshot!("open_job_record", trace.0);
 }
 
-/// `adopted_ms` is a field of its own, omitted unless set. Earlier versions do not write it and ignore it.
+/// `adopted_ms` is omitted unless set. Earlier versions do not write it and ignore it.
 #[test]
 fn adopted_job_record_keeps_its_json() {
     let adopted = JobRecord {
@@ -130,8 +132,8 @@
     assert!(plain.get("adopted_ms").is_none());
 }
 
-/// The waiting time counts from the adoption by the cell. Without an adoption, or with one that is implausibly far in
-/// the future, it counts from the acceptance.
+/// The waiting time counts from the adoption by the cell. It counts from the acceptance if there was no adoption, if
+/// the adoption time is before the acceptance, or if it is further in the future than clock skew can explain.
 #[test]
 fn waiting_time_counts_from_the_adoption_by_the_cell() {
     let accepted = accepted(plain_spec());
@@ -218,7 +220,7 @@
 }
 
 #[test]
-fn records_of_ended_jobs_keep_their_json() {
+fn records_of_ended_and_relinquished_jobs_keep_their_json() {
     let mut trace = Trace::default();
     let id = "job-000412";
     trace.add(
@@ -295,7 +297,11 @@
     for (label, page) in pages() {
         let key = RecordKey::page("job-000412", PageId::Compact(3)).to_string();
         let (key, json) = written(key, &page.to_compact());
-        assert_eq!(ProgressPage::from_compact(&json).unwrap(), page, "{label}");
+        assert_eq!(
+            ProgressPage::from_compact(&json).unwrap(),
+            page,
+            "{label} does not decode to the same page"
+        );
         trace.add_text(label, &key, &json);
     }
     insta::assert_snapshot!("dense_progress_page", trace.0);
--- a/src/testing/compatibility/mod.rs
+++ b/src/testing/compatibility/mod.rs
@@ -1,8 +1,8 @@
-//! Snapshots of every interface, for the compatibility with other versions, clients and workers. A snapshot changes only
-//! when the protocol changes, not when a name in the code does.
+//! Snapshots of a controller's interfaces, for the compatibility with other versions, clients and workers. A snapshot
+//! changes only when the interface changes, not when a name in the code does.
 //!
-//! For stored records and for frames between controllers, a snapshot holds only what is written (keys, JSON, bytes in
-//! hexadecimal), never the `Debug` form of a type.
+//! For stored records and for frames between controllers, a snapshot shows under each label only what is written (keys,
+//! JSON, bytes in hexadecimal), never the `Debug` form of a record or frame.
 
 mod cloud;
 mod cluster_records;
--- a/src/testing/compatibility/recorded_run.rs
+++ b/src/testing/compatibility/recorded_run.rs
@@ -1,5 +1,5 @@
-//! All records that the state service of one cell held during a run of three cells on loopback, in which jobs ran,
-//! waited, ended, were cancelled and moved between cells.
+//! All records that the state service of one cell held at one time during a run of three cells on loopback, in which
+//! jobs ran, waited, ended, were cancelled and moved between cells.
 
 use super::trace::written;
 use crate::jobs::{PageId, PageLayout, Relinquished, StoredJob};
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One pair of key and value per line, as the state service lists them.
+/// One key with its value and revision per line, as the state service lists them.
 const RECORDS: &str = include_str!("records.json");
 
 /// Keys with their JSON and revision.
@@ -59,7 +59,10 @@
         let (key, json) = written(key, record);
         let value = serde_json::from_str(&json).unwrap();
         let duplicate = self.0.insert(key.clone(), (value, revision));
-        assert!(duplicate.is_none(), "the replica holds {key} once");
+        assert!(
+            duplicate.is_none(),
+            "the replica holds {key} more than once"
+        );
     }
 
     fn add_job(&mut self, id: &str, job: &Job) {
@@ -172,9 +175,10 @@
     assert_eq!(serialize_again(&replica), held_by_replica(recorded()));
 }
 
-/// Records that the replica does not hold: final states, and jobs that were relinquished to other cells.
+/// Records that are not loaded into the replica: final states, and the markers of jobs that were relinquished to other
+/// cells.
 #[test]
-fn recorded_records_of_ended_jobs_are_serialized_unchanged() {
+fn recorded_records_of_ended_and_relinquished_jobs_are_serialized_unchanged() {
     let mut replica = loaded_replica();
     let (mut ended, mut relinquished) = (0, 0);
     for (key, (value, _)) in recorded() {
@@ -202,9 +206,10 @@
     assert!(ended > 0 && relinquished > 0);
 }
 
-/// The recorded records include every kind, so that the tests above check all kinds.
+/// The recorded records include every kind of key, so that the tests above check all of them. They do not include every
+/// form of a job's record: none is [`StoredJob::Finished`], and none has a release or adoption time.
 #[test]
-fn recorded_records_are_of_every_kind() {
+fn recorded_records_have_every_kind_of_key() {
     let kind = |key: &String| {
         let parts: Vec<&str> = key.split('/').collect();
         match parts[..] {
--- a/src/testing/compatibility/trace.rs
+++ b/src/testing/compatibility/trace.rs
@@ -13,19 +13,23 @@
     }
 }
 
-/// Records of one type as text, in the order in which they are added. Each must deserialize to the same record.
+/// Records as text, in the order in which they are added.
 #[derive(Default)]
 pub struct Trace(pub String);
 
 impl Trace {
-    /// Adds a record with its key, after a line with a label that describes the record.
+    /// Adds a record with its key, after a line with a label that describes the record. Checks that its JSON
+    /// deserializes to the same record.
     pub fn add<T>(&mut self, label: &str, key: String, record: &T)
     where
         T: Serialize + DeserializeOwned + PartialEq + Debug,
     {
         let (key, json) = written(key, record);
         let read: T = serde_json::from_str(&json).unwrap();
-        assert_eq!(read, *record, "{label} deserializes to the same record");
+        assert_eq!(
+            read, *record,
+            "{label} does not deserialize to the same record"
+        );
         self.add_text(label, &key, &json);
     }
 
