--- a/src/testing/compatibility/cloud.rs
+++ b/src/testing/compatibility/cloud.rs
@@ -4,27 +4,27 @@
 use rowanmill_testing::exchange::{Recorder, ScriptedAnswer};
 use std::fmt::Write;
 
-fn answer(status: u16, body: &str) -> ScriptedAnswer {
+fn scripted(status: u16, body: &str) -> ScriptedAnswer {
     ScriptedAnswer::Answer(status, body.to_owned())
 }
 
 #[derive(Default)]
-struct Trace(String);
+struct CallTrace(String);
 
-impl Trace {
-    /// Makes one call, whose requests get these replies, and adds requests, replies and the outcome.
+impl CallTrace {
+    /// Makes one call to a server that gives these answers, and adds the requests, the answers and the call's outcome.
     async fn call(
         &mut self,
         what: &str,
-        replies: &[ScriptedAnswer],
+        answers: &[ScriptedAnswer],
         call: impl AsyncFnOnce(CloudClient) -> Result<String, CloudError>,
     ) {
-        let recorder = Recorder::start(replies.to_vec());
+        let recorder = Recorder::start(answers.to_vec());
         let outcome = call(CloudClient::new(recorder.addr)).await;
         writeln!(self.0, "== {what}").unwrap();
-        for (request, reply) in recorder.requests().iter().zip(replies) {
+        for (request, answer) in recorder.requests().iter().zip(answers) {
             self.0.push_str(request);
-            match reply {
+            match answer {
                 ScriptedAnswer::Answer(status, body) => {
                     writeln!(self.0, "< {status} {body}").unwrap()
                 }
@@ -72,23 +72,23 @@
 
 #[tokio::test]
 async fn catalogue_request_and_the_meaning_of_its_answers() {
-    let mut trace = Trace::default();
+    let mut trace = CallTrace::default();
     let full = r#"{"stones":[{"sku":"g8","cpus":96,"cards":8,"memGb":768,"cacheGb":200,"fetchGbPerS":1.0,"hourly":12.0,"marketPrice":4.5,"bootS":45,"yards":["a","b"]},{"sku":"c4","cpus":4.0,"memGb":16.5,"hourly":0.25,"later":true}]}"#;
-    let replies = [
+    let answers = [
         (
             "a type with all fields and one with the least",
-            answer(200, full),
+            scripted(200, full),
         ),
-        ("no types", answer(200, r#"{"stones":[]}"#)),
+        ("no types", scripted(200, r#"{"stones":[]}"#)),
         (
             "a type without price",
-            answer(200, r#"{"stones":[{"sku":"c4","cpus":4.0,"memGb":16}]}"#),
+            scripted(200, r#"{"stones":[{"sku":"c4","cpus":4.0,"memGb":16}]}"#),
         ),
-        ("over the limit", answer(429, r#"{"error":"too many"}"#)),
-        ("an outage", answer(503, r#"{"error":"trouble"}"#)),
+        ("over the limit", scripted(429, r#"{"error":"too many"}"#)),
+        ("an outage", scripted(503, r#"{"error":"trouble"}"#)),
         ("no answer", ScriptedAnswer::HangUp),
     ];
-    for (what, reply) in replies {
+    for (what, answer) in answers {
         let call = async |client: CloudClient| {
             let machine_types = client.catalog().await?;
             Ok(machine_types
@@ -97,31 +97,31 @@
                 .collect::<String>()
                 + "read")
         };
-        trace.call(what, &[reply], call).await;
+        trace.call(what, &[answer], call).await;
     }
     insta::assert_snapshot!(trace.0);
 }
 
 #[tokio::test]
 async fn rental_request_and_the_meaning_of_its_answers() {
-    let mut trace = Trace::default();
-    let replies = [
+    let mut trace = CallTrace::default();
+    let answers = [
         (
             "all of them",
-            answer(200, r#"{"millstones":["vm-000231","vm-000232"]}"#),
+            scripted(200, r#"{"millstones":["vm-000231","vm-000232"]}"#),
         ),
         (
             "some, with unknown fields",
-            answer(200, r#"{"millstones":["vm-000231"],"later":1}"#),
+            scripted(200, r#"{"millstones":["vm-000231"],"later":1}"#),
         ),
-        ("no capacity", answer(503, r#"{"error":"no capacity"}"#)),
-        ("an outage", answer(503, r#"{"error":"trouble"}"#)),
-        ("malformed", answer(400, r#"{"error":"malformed"}"#)),
-        ("over the limit", answer(429, r#"{"error":"too many"}"#)),
-        ("an answer that cannot be read", answer(200, "{}")),
+        ("no capacity", scripted(503, r#"{"error":"no capacity"}"#)),
+        ("an outage", scripted(503, r#"{"error":"trouble"}"#)),
+        ("malformed", scripted(400, r#"{"error":"malformed"}"#)),
+        ("over the limit", scripted(429, r#"{"error":"too many"}"#)),
+        ("an answer that cannot be read", scripted(200, "{}")),
         ("no answer", ScriptedAnswer::HangUp),
     ];
-    for (what, reply) in replies {
+    for (what, answer) in answers {
         let call = async |client: CloudClient| {
             let rental = RentalRequest {
                 name: "r-17",
@@ -133,7 +133,7 @@
             let machines = client.rent(&rental).await?;
             Ok(format!("rented {}", machines.join(", ")))
         };
-        trace.call(what, &[reply], call).await;
+        trace.call(what, &[answer], call).await;
     }
     let ordinary = async |client: CloudClient| {
         let rental = RentalRequest {
@@ -146,34 +146,34 @@
         let machines = client.rent(&rental).await?;
         Ok(format!("rented {}", machines.join(", ")))
     };
-    let reply = answer(200, r#"{"millstones":["vm-000233"]}"#);
-    trace.call("an ordinary machine", &[reply], ordinary).await;
+    let answer = scripted(200, r#"{"millstones":["vm-000233"]}"#);
+    trace.call("an ordinary machine", &[answer], ordinary).await;
     insta::assert_snapshot!(trace.0);
 }
 
 #[tokio::test]
 async fn release_request_and_the_meaning_of_its_answers() {
-    let mut trace = Trace::default();
-    let replies = [
-        ("released", answer(200, "{}")),
-        ("over the limit", answer(429, r#"{"error":"too many"}"#)),
-        ("an outage", answer(503, r#"{"error":"trouble"}"#)),
+    let mut trace = CallTrace::default();
+    let answers = [
+        ("released", scripted(200, "{}")),
+        ("over the limit", scripted(429, r#"{"error":"too many"}"#)),
+        ("an outage", scripted(503, r#"{"error":"trouble"}"#)),
         ("no answer", ScriptedAnswer::HangUp),
     ];
-    for (what, reply) in replies {
+    for (what, answer) in answers {
         let call = async |client: CloudClient| {
             let names = ["vm-000231", "vm-000232"].map(str::to_owned);
             client.release(names.to_vec()).await?;
             Ok("the machines are gone".to_owned())
         };
-        trace.call(what, &[reply], call).await;
+        trace.call(what, &[answer], call).await;
     }
     insta::assert_snapshot!(trace.0);
 }
 
 #[tokio::test]
 async fn machines_are_listed_page_by_page() {
-    let mut trace = Trace::default();
+    let mut trace = CallTrace::default();
     let first = r#"{"millstones":[{"nameId":"vm-000231","endpoint":"10.1.0.232:9000","stone":"g8","yard":"a","borrowed":true,"stage":"running","ageS":61.5},{"nameId":"vm-000232","endpoint":"10.1.0.233:9000","stone":"g8","yard":"a","borrowed":true,"stage":"starting","ageS":3}],"more":true}"#;
     let last =
         r#"{"millstones":[{"nameId":"vm-000240","stone":"c4","yard":"b","stage":"failed"}]}"#;
@@ -181,17 +181,20 @@
         let machines = client.list().await?;
         Ok(machines.iter().map(machine_text).collect::<String>() + "read")
     };
-    let replies = [answer(200, first), answer(200, last)];
+    let answers = [scripted(200, first), scripted(200, last)];
     trace
-        .call("two pages, the last with the least", &replies, list)
+        .call("two pages, the last with the least", &answers, list)
         .await;
-    let replies = [answer(200, first), answer(503, r#"{"error":"trouble"}"#)];
-    trace.call("two pages, one refused", &replies, list).await;
-    let replies = [answer(200, r#"{"millstones":[],"more":false}"#)];
-    trace.call("none", &replies, list).await;
-    let replies = [answer(200, r#"{"millstones":[{"nameId":"vm-000231"}]}"#)];
+    let answers = [
+        scripted(200, first),
+        scripted(503, r#"{"error":"trouble"}"#),
+    ];
+    trace.call("two pages, one refused", &answers, list).await;
+    let answers = [scripted(200, r#"{"millstones":[],"more":false}"#)];
+    trace.call("none", &answers, list).await;
+    let answers = [scripted(200, r#"{"millstones":[{"nameId":"vm-000231"}]}"#)];
     trace
-        .call("a machine without its type", &replies, list)
+        .call("a machine without its type", &answers, list)
         .await;
     trace
         .call("no answer", &[ScriptedAnswer::HangUp], list)
--- a/src/testing/compatibility/files.rs
+++ b/src/testing/compatibility/files.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use std::fmt::Write;
 
-/// Settings with all fields, and with an unknown one.
+/// Settings with all fields that are read, and some that are not: `site`, `zones`, `share` and the unknown `later`.
 fn full_settings() -> Value {
     json!({
         "member": "millstone-0", "site": "danang-a",
@@ -208,7 +208,8 @@
 /// Wednesday, 2 December 2026, 03:30 UTC.
 const AT_MS: u64 = 1_796_182_200_000;
 
-/// The value of each policy setting for one machine type, one job and one point in time.
+/// The value of each policy setting for one machine type, one machine pool, one job and one point in time. The time
+/// zone is not shown, but `protected` may depend on it.
 fn policy_text(policy: &Policy) -> String {
     let scaling = policy.scaling_parameters(&MACHINE_TYPE);
     let job = JobFacts {
@@ -225,8 +226,8 @@
         zone: "kamloops",
         spot: false,
     };
-    let until = policy.is_protected(&pool, AT_MS);
-    let until = until
+    let is_protected = policy.is_protected(&pool, AT_MS);
+    let protection_end_ms = is_protected
         .then(|| policy.protection_end_ms(&pool, AT_MS))
         .flatten();
     let values: [(&str, String); 13] = [
@@ -257,7 +258,7 @@
                 .to_string(),
         ),
         ("protected", policy.is_protected(&pool, AT_MS).to_string()),
-        ("protected until", optional_text(until)),
+        ("protected until", optional_text(protection_end_ms)),
     ];
     let lines = values.map(|(name, value)| format!("{name} = {value}\n"));
     lines.concat()
@@ -265,10 +266,10 @@
 
 #[test]
 fn policies_are_read_setting_by_setting() {
-    let every_setting = "# a comment\n\
+    let dependent_setting = "# a comment\n\
         alpha = 0.5 * k\n";
     assert!(
-        Policy::parse(every_setting).is_err(),
+        Policy::parse(dependent_setting).is_err(),
         "an expression must not refer to another setting"
     );
     let every_setting = "alpha = 0.01 # of a kind\n\
--- a/src/testing/compatibility/observability.rs
+++ b/src/testing/compatibility/observability.rs
@@ -1,4 +1,4 @@
-//! The log lines that a controller writes about itself at the end of each period. Scripts read their fields.
+//! The log lines that a controller writes at the end of each period. Scripts read their fields.
 
 use crate::membership::schema_versions::FeatureLevel;
 use crate::metrics::log_period;
@@ -104,7 +104,7 @@
     insta::assert_snapshot!(without_measured(&log));
 }
 
-/// At level info a period is logged without the longest unfinished jobs, which are logged at level
+/// At level info a period is logged without the jobs that have been unfinished for longest, which are logged at level
 /// debug. At level error nothing is logged.
 #[test]
 fn a_period_is_logged_at_level_info_without_single_jobs() {
