--- a/tests/compatibility/check.rs
+++ b/tests/compatibility/check.rs
@@ -22,7 +22,7 @@
             "skew_ms": 25.0}})
 }
 
-/// Commands that read the files of [`write_files`].
+/// Commands that read the files of [`write_files`], and files that do not exist.
 pub const COMMANDS: [&[&str]; 13] = [
     &["check", "--config", "settings.json"],
     &[
@@ -87,9 +87,10 @@
     insta::assert_snapshot!(trace);
 }
 
-/// Invalid arguments have their own exit code. The output is that of the argument parser and is not compared.
+/// Invalid arguments exit with code 2, whereas `check` and `serve` exit with code 1 if a file is invalid. The output is
+/// that of the argument parser and is not compared.
 #[test]
-fn invalid_arguments_exit_with_their_own_code() {
+fn invalid_arguments_exit_with_code_2() {
     let folder = folder();
     let commands: [&[&str]; 8] = [
         &[],
@@ -103,6 +104,9 @@
     ];
     for arguments in commands {
         let output = run(&folder, arguments);
-        assert!(output.contains("exit code 2\n"), "{output}");
+        assert!(
+            output.contains("exit code 2\n"),
+            "other exit code than 2:\n{output}"
+        );
     }
 }
--- a/tests/compatibility/client.rs
+++ b/tests/compatibility/client.rs
@@ -1,4 +1,4 @@
-//! The output of the client for people and for scripts.
+//! The output of the client for people and for scripts, and its exit codes.
 
 use crate::run::{folder, run, write};
 use hyper::Method;
@@ -84,7 +84,10 @@
     show(&[&["explain", "job-77"][..], &for_scripts].concat());
     show(&[&["drain", "hanoi"][..], &for_people].concat());
     let drained = ledger.stored("c/l/d/");
-    assert!(drained["c/l/d/hanoi"]["since_ms"].is_u64(), "{drained:?}");
+    assert!(
+        drained["c/l/d/hanoi"]["since_ms"].is_u64(),
+        "no drain record of `hanoi` with a time: {drained:?}"
+    );
     show(&[&["status"][..], &for_scripts].concat());
     show(&[&["undrain", "hanoi"][..], &for_people].concat());
     assert!(ledger.stored("c/l/d/").is_empty());
@@ -119,7 +122,7 @@
     folder
 }
 
-fn record(id: &str, team: &str, tasks: u32, cpus: f64) -> Value {
+fn job_record(id: &str, team: &str, tasks: u32, cpus: f64) -> Value {
     json!({"spec": {"nameId": id, "grist": "c", "crew": team, "shape": "array",
         "urgency": "standard", "sacks": tasks, "cpus": cpus, "cards": 0.0, "memGb": 1.0,
         "mould": "i", "pullGb": 1.0, "together": false, "spread": false, "borrowed": true,
@@ -138,14 +141,14 @@
     let records = [
         ("r/shares", assignment),
         ("r/a/divided", divided),
-        ("r/j/job-1", record("job-1", "divided", 3, 2.0)),
+        ("r/j/job-1", job_record("job-1", "divided", 3, 2.0)),
         ("r/p/job-1/0", json!([[1, "vm-1", 1], [1, "vm-2", 1]])),
-        ("r/j/job-2", record("job-2", "divided", 1, 5.0)),
-        ("r/j/job-3", record("job-3", "divided", 1, 7.0)),
-        ("r/j/job-4", record("job-4", "pending", 1, 1.0)),
-        ("r/j/job-5", record("job-5", "whole", 1, 1.0)),
-        ("r/j/job-6", record("job-6", "free", 1, 1.0)),
-        ("r/j/job-7", record("job-7", "free", 1, 1.0)),
+        ("r/j/job-2", job_record("job-2", "divided", 1, 5.0)),
+        ("r/j/job-3", job_record("job-3", "divided", 1, 7.0)),
+        ("r/j/job-4", job_record("job-4", "pending", 1, 1.0)),
+        ("r/j/job-5", job_record("job-5", "whole", 1, 1.0)),
+        ("r/j/job-6", job_record("job-6", "free", 1, 1.0)),
+        ("r/j/job-7", job_record("job-7", "free", 1, 1.0)),
         ("r/p/job-7/0", json!([[1, "vm-1", 1]])),
         ("e/job-8", json!("done")),
     ];
@@ -176,6 +179,7 @@
     insta::assert_snapshot!(trace);
 }
 
+/// The state service holds no assignment of jobs to controllers, which the client reports as a takeover.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_limits_commands_ask_to_retry_during_a_takeover() {
     let (_state, addr) = start_with_records(&[]).await;
--- a/tests/compatibility/old_build.rs
+++ b/tests/compatibility/old_build.rs
@@ -19,11 +19,11 @@
 fn assert_same_outcome(folder: &Path, arguments: &[&str]) {
     let [old, current] =
         [old_program().as_str(), PROGRAM].map(|program| outcome(program, folder, arguments));
-    assert_eq!(old, current, "{arguments:?}");
+    assert_eq!(old, current, "the builds differ for {arguments:?}");
 }
 
-/// Both builds check each file in `deploy/` and of the other tests as each kind of file. They also check the files in
-/// the combinations of the other tests.
+/// Both builds check each file of [`write_files`] and each file in `deploy/` as each kind of file. They also run all
+/// `check` commands in [`COMMANDS`].
 #[test]
 #[ignore = "needs the path of an older build in ROWANMILL_OLD_PROGRAM"]
 fn both_builds_have_the_same_outcome_for_the_same_files() {
