--- a/tests/cells/cancel.rs
+++ b/tests/cells/cancel.rs
@@ -1,6 +1,6 @@
 //! Cancellations and repeated submissions that are sent to any of the cells.
 
-use super::site::{NAMES, Site, TIMEOUTS, job, until};
+use super::site::{CELL_NAMES, Site, TIMEOUTS, job, until};
 use std::time::{Duration, Instant};
 
 /// A cancellation is valid in all cells, also if the cell that receives it does not own the job. Each cell reports
@@ -9,12 +9,12 @@
 async fn a_cancellation_at_any_cell_is_valid_in_all_cells() {
     let mut site = Site::new(Duration::from_secs(60)).await;
     site.start_all().await;
-    for number in 0..NAMES.len() {
+    for number in 0..CELL_NAMES.len() {
         site.submit(0, &job(number, 2)).await;
     }
-    let all_started = async || site.world.lock().unwrap().starts == 2 * NAMES.len();
+    let all_started = async || site.world.lock().unwrap().starts == 2 * CELL_NAMES.len();
     until("all tasks have started", all_started).await;
-    for (cell, name) in NAMES.iter().enumerate() {
+    for (cell, name) in CELL_NAMES.iter().enumerate() {
         let requested = Instant::now();
         let id = format!("job-{cell}");
         assert_eq!(site.cancel(cell, &id).await, "cancelled");
@@ -25,8 +25,8 @@
     }
     let idle = async || site.world.lock().unwrap().nothing_runs();
     until("all tasks have ended", idle).await;
-    for cell in 0..NAMES.len() {
-        for number in 0..NAMES.len() {
+    for cell in 0..CELL_NAMES.len() {
+        for number in 0..CELL_NAMES.len() {
             let id = format!("job-{number}");
             let is_cancelled = async || site.stage(cell, &id).await == "cancelled";
             until("the cell reports the job as cancelled", is_cancelled).await;
@@ -63,14 +63,14 @@
 async fn a_submission_repeated_at_any_cell_creates_one_job() {
     let mut site = Site::new(Duration::from_millis(1000)).await;
     site.start_all().await;
-    let answers = (0..NAMES.len()).map(|cell| {
+    let answers = (0..CELL_NAMES.len()).map(|cell| {
         let site = &site;
         async move { site.submit(cell, &job(0, 2)).await }
     });
     for answer in answers {
         assert!(["queued", "running"].contains(&answer.await["stage"].as_str().unwrap()));
     }
-    for cell in 0..NAMES.len() {
+    for cell in 0..CELL_NAMES.len() {
         let done = async || site.stage(cell, "job-0").await == "done";
         until("the job is done", done).await;
         assert_eq!(site.submit(cell, &job(0, 2)).await["stage"], "done");
--- a/tests/cells/kill.rs
+++ b/tests/cells/kill.rs
@@ -1,6 +1,6 @@
 //! Cells that are killed while their jobs run.
 
-use super::site::{NAMES, Site, job, until};
+use super::site::{CELL_NAMES, Site, job, until};
 use std::time::{Duration, Instant};
 
 const JOBS: usize = 12;
@@ -22,7 +22,9 @@
     let mut site = Site::new(Duration::from_millis(2500)).await;
     site.start_all().await;
     for number in 0..JOBS {
-        let answer = site.submit(number % NAMES.len(), &job(number, TASKS)).await;
+        let answer = site
+            .submit(number % CELL_NAMES.len(), &job(number, TASKS))
+            .await;
         assert_eq!(answer["stage"], "queued");
     }
     let is_running = async || site.stage(0, "job-0").await == "running";
@@ -54,7 +56,7 @@
     site.cells[0].cluster.kill_all();
     let are_taken_over = async || {
         let jobs = site.ledger.stored("c/l/j/");
-        !jobs.values().any(|job| job["owner"] == NAMES[0])
+        !jobs.values().any(|job| job["owner"] == CELL_NAMES[0])
     };
     until("other cells own its jobs", are_taken_over).await;
     site.start_cell(0);
--- a/tests/cells/ledger.rs
+++ b/tests/cells/ledger.rs
@@ -1,7 +1,7 @@
 //! Outages of the ledger, for all cells or for one of them, and transactions whose answers are lost or delayed.
 
 use super::kill::wait_until_done;
-use super::site::{NAMES, Site, SiteTimeouts, job, until};
+use super::site::{CELL_NAMES, Site, SiteTimeouts, job, until};
 use rowanmill_testing::Timeouts;
 use rowanmill_testing::state::TransactionFault;
 use std::sync::atomic::Ordering;
@@ -27,7 +27,7 @@
     site.cells[0].cut_from_ledger.store(true, Ordering::Relaxed);
     let are_taken_over = async || {
         let jobs = site.ledger.stored("c/l/j/");
-        !jobs.values().any(|job| job["owner"] == NAMES[0])
+        !jobs.values().any(|job| job["owner"] == CELL_NAMES[0])
     };
     until("other cells own its jobs", are_taken_over).await;
     assert!(
@@ -96,7 +96,7 @@
     let task_duration = Duration::from_secs_f64(OUTAGE_TASK_S);
     let mut site = Site::with_timeouts(task_duration, OUTAGE_TIMEOUTS).await;
     site.start_all().await;
-    for number in 0..NAMES.len() {
+    for number in 0..CELL_NAMES.len() {
         site.submit(number, &job(number, 2)).await;
     }
     wait_until_started(&site, 6).await;
@@ -120,8 +120,8 @@
         );
     }
     site.ledger.set_outage(false);
-    for cell in 0..NAMES.len() {
-        wait_until_done(&site, cell, NAMES.len()).await;
+    for cell in 0..CELL_NAMES.len() {
+        wait_until_done(&site, cell, CELL_NAMES.len()).await;
     }
     let world = site.world.lock().unwrap();
     assert_eq!((world.starts, world.expired_leases), (6, 0));
@@ -140,7 +140,7 @@
     assert_eq!(status, 503);
     let answer = site.submit(1, &job(0, 2)).await;
     assert!(["queued", "running", "done"].contains(&answer["stage"].as_str().unwrap()));
-    for cell in 0..NAMES.len() {
+    for cell in 0..CELL_NAMES.len() {
         let is_done = async || site.stage(cell, "job-0").await == "done";
         until("the job is done", is_done).await;
     }
--- a/tests/cells/measure.rs
+++ b/tests/cells/measure.rs
@@ -1,7 +1,7 @@
 //! Measurements of the time and the ledger writes that cells cost. They check no bounds. Run them in a release build:
 //! `cargo test --release --test cells measure -- --ignored --nocapture --test-threads 1`
 
-use super::site::{NAMES, Site, job, until};
+use super::site::{CELL_NAMES, Site, job, until};
 use std::time::{Duration, Instant};
 
 const ROUNDS: usize = 5;
@@ -81,7 +81,7 @@
                 site.start_all().await;
             } else {
                 site = Site::without_cells(task_duration).await;
-                site.start_all_unregistered().await;
+                site.start_all_until_healthy().await;
             }
             let first_revision = site.ledger.revision();
             let began = Instant::now();
@@ -102,7 +102,7 @@
             println!(
                 "round {round}, {} cells: {:.0} jobs accepted per second, all done after {total_s:.1} s, \
                  {revisions:.2} ledger revisions per job",
-                if with_cells { NAMES.len() } else { 0 },
+                if with_cells { CELL_NAMES.len() } else { 0 },
                 JOBS as f64 / submission_s,
             );
             print_quantiles("  time of an acceptance", answer_times);
--- a/tests/cells/mixed_versions.rs
+++ b/tests/cells/mixed_versions.rs
@@ -2,7 +2,7 @@
 //! build takes over jobs of the other, and the clients of both print the same.
 
 use super::kill::wait_until_done;
-use super::site::{NAMES, PROGRAM, Site, job, until};
+use super::site::{CELL_NAMES, PROGRAM, Site, job, until};
 use rowanmill_testing::cluster::{ClientOutput, old_program};
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 async fn start_site(first: &str, others: &str) -> Site {
     let mut site = Site::new(TASK_DURATION).await;
     site.set_program(0, first);
-    (1..NAMES.len()).for_each(|cell| site.set_program(cell, others));
+    (1..CELL_NAMES.len()).for_each(|cell| site.set_program(cell, others));
     site.start_all().await;
     site
 }
@@ -25,7 +25,7 @@
 async fn take_over_the_first_cell(first: &str, others: &str) {
     let mut site = start_site(first, others).await;
     for number in 0..JOBS {
-        site.submit(number % NAMES.len(), &job(number, TASKS_PER_JOB))
+        site.submit(number % CELL_NAMES.len(), &job(number, TASKS_PER_JOB))
             .await;
     }
     site.submit(1, &job(JOBS, TASKS_PER_JOB)).await;
@@ -38,11 +38,11 @@
     site.cells[0].cluster.cloud.power_off();
     let are_taken_over = async || {
         let jobs = site.ledger.stored("c/l/j/");
-        !jobs.values().any(|job| job["owner"] == NAMES[0])
+        !jobs.values().any(|job| job["owner"] == CELL_NAMES[0])
     };
     until("other cells own the first cell's jobs", are_taken_over).await;
     site.start_cell(0);
-    for cell in 0..NAMES.len() {
+    for cell in 0..CELL_NAMES.len() {
         wait_until_done(&site, cell, 6).await;
         for number in [7, 8] {
             let id = format!("job-{number}");
@@ -116,7 +116,7 @@
 async fn the_clients_of_both_builds_print_the_same() {
     let old = old_program();
     let mut site = start_site(&old, PROGRAM).await;
-    for number in 0..NAMES.len() {
+    for number in 0..CELL_NAMES.len() {
         site.submit(number, &job(number, TASKS_PER_JOB)).await;
     }
     site.submit(0, &job(3, 100)).await;
@@ -148,9 +148,9 @@
         outputs.collect::<Vec<_>>()
     });
     assert_eq!(by_old, by_current);
-    wait_until_done(&site, 1, NAMES.len()).await;
+    wait_until_done(&site, 1, CELL_NAMES.len()).await;
     let final_records = site.ledger.stored("c/e/");
-    assert!(final_records.len() >= NAMES.len(), "{final_records:?}");
+    assert!(final_records.len() >= CELL_NAMES.len(), "{final_records:?}");
     site.cells[0].cluster.kill_all();
     let is_unregistered = async || !site.ledger.stored("c/l/n/").contains_key("c/l/n/hanoi");
     until("the first cell is no longer registered", is_unregistered).await;
--- a/tests/cells/moves.rs
+++ b/tests/cells/moves.rs
@@ -1,7 +1,7 @@
 //! Moves of waiting jobs between cells during failures.
 
 use super::kill::wait_until_done;
-use super::site::{CONTROLLERS, NAMES, Site, job, until};
+use super::site::{CELL_NAMES, CONTROLLERS_PER_CELL, Site, job, until};
 use rowanmill_testing::state::TransactionFault;
 use serde_json::{Value, json};
 use std::sync::atomic::Ordering;
@@ -37,17 +37,19 @@
     until("a handover is sent", is_sent).await;
     let leader = site.cells[0].cluster.leader().unwrap();
     site.cells[0].cluster.kill(leader);
-    let is_replaced = async || site.cells[0].cluster.leader() == Some((leader + 1) % CONTROLLERS);
+    let is_replaced =
+        async || site.cells[0].cluster.leader() == Some((leader + 1) % CONTROLLERS_PER_CELL);
     until("the other controller is the leader", is_replaced).await;
     site.cells[0].cluster.start(leader);
     let is_back = async || {
         let cluster = &site.cells[0].cluster;
-        cluster.is_healthy(leader).await && cluster.leader() == Some((leader + 1) % CONTROLLERS)
+        cluster.is_healthy(leader).await
+            && cluster.leader() == Some((leader + 1) % CONTROLLERS_PER_CELL)
     };
     until("the killed controller is healthy again", is_back).await;
     let has_moved = async || {
         let jobs = site.ledger.stored("c/l/j/");
-        jobs.values().any(|job| job["owner"] != NAMES[0])
+        jobs.values().any(|job| job["owner"] != CELL_NAMES[0])
     };
     until("a job has moved", has_moved).await;
     site.ledger.deliver_delayed();
@@ -62,7 +64,7 @@
     let site = site_with_jobs_that_must_move().await;
     let mut most_moves = 0;
     for index in 0..DISCONNECTIONS {
-        let cut = &site.cells[index % NAMES.len()].cut_from_ledger;
+        let cut = &site.cells[index % CELL_NAMES.len()].cut_from_ledger;
         cut.store(true, Ordering::Relaxed);
         tokio::time::sleep(DISCONNECTION).await;
         cut.store(false, Ordering::Relaxed);
--- a/tests/cells/random_kills.rs
+++ b/tests/cells/random_kills.rs
@@ -1,7 +1,7 @@
 //! Kills cells at seeded random times, with their machines or without, and restarts them after random downtimes.
 //! Meanwhile users submit, poll and cancel jobs at random cells.
 
-use super::site::{NAMES, Site, job, until};
+use super::site::{CELL_NAMES, Site, job, until};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::{Duration, Instant};
@@ -26,7 +26,7 @@
 
 impl RandomKills {
     fn kill_random_cell(&mut self) {
-        let cell = self.rng.random_range(0..NAMES.len());
+        let cell = self.rng.random_range(0..CELL_NAMES.len());
         self.site.cells[cell].cluster.kill_all();
         if self.rng.random_bool(0.5) {
             self.site.cells[cell].cluster.cloud.power_off();
@@ -50,7 +50,7 @@
     fn random_running_cell(&mut self) -> usize {
         let down = self.killed.as_ref().map(|killed| killed.cell);
         loop {
-            let cell = self.rng.random_range(0..NAMES.len());
+            let cell = self.rng.random_range(0..CELL_NAMES.len());
             if Some(cell) != down {
                 return cell;
             }
@@ -96,7 +96,7 @@
     let site = random_kills.site;
     for number in 0..JOBS {
         let id = format!("job-{number}");
-        for (cell, name) in NAMES.iter().enumerate() {
+        for (cell, name) in CELL_NAMES.iter().enumerate() {
             let has_ended = async || ["done", "cancelled"].contains(&&*site.stage(cell, &id).await);
             until(&format!("{name} reports {id} as ended"), has_ended).await;
         }
--- a/tests/cells/site.rs
+++ b/tests/cells/site.rs
@@ -15,8 +15,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-pub const NAMES: [&str; 3] = ["hanoi", "danang", "hue"];
-pub const CONTROLLERS: usize = 2;
+pub const CELL_NAMES: [&str; 3] = ["hanoi", "danang", "hue"];
+pub const CONTROLLERS_PER_CELL: usize = 2;
 /// The timeouts of most sites.
 pub const TIMEOUTS: SiteTimeouts = SiteTimeouts {
     workers: Timeouts {
@@ -79,7 +79,7 @@
         let cut_from_ledger = Arc::new(AtomicBool::new(false));
         let cluster = Cluster::new(ClusterConfig {
             program: PROGRAM,
-            controllers: CONTROLLERS,
+            controllers: CONTROLLERS_PER_CELL,
             teams: vec![TeamSetting {
                 name: TEAM.to_owned(),
                 limit_cpus: 0.0,
@@ -137,7 +137,7 @@
         let world = Arc::new(Mutex::new(World::default()));
         let ledger = StateService::default();
         let mut cells = Vec::new();
-        for _ in NAMES {
+        for _ in CELL_NAMES {
             cells.push(Cell::new(&world, &ledger, task_duration, timeouts).await);
         }
         Self {
@@ -150,7 +150,7 @@
 
     /// The contents of the cells file without the ledger.
     fn cells_file(&self, timeouts: SiteTimeouts, settings: &Value) -> Value {
-        let cells = self.cells.iter().zip(NAMES);
+        let cells = self.cells.iter().zip(CELL_NAMES);
         let cells: Vec<Value> = cells
             .map(|(cell, name)| json!({"name": name, "controllers": cell.cluster.mesh}))
             .collect();
@@ -173,7 +173,7 @@
         let file = self.folder.write(&name, &file.to_string());
         let cluster = &mut self.cells[cell].cluster;
         cluster.add_arguments(["--cells".as_ref(), file.as_os_str()]);
-        cluster.add_arguments(["--cell", NAMES[cell]]);
+        cluster.add_arguments(["--cell", CELL_NAMES[cell]]);
     }
 
     fn cells_file_of(&self, cell: usize) -> PathBuf {
@@ -186,13 +186,13 @@
 
     /// Starts all cells, and waits until each is healthy and registered.
     pub async fn start_all(&mut self) {
-        self.start_all_unregistered().await;
+        self.start_all_until_healthy().await;
         let registered = async || self.ledger.stored("c/l/n/").len() == self.cells.len();
         until("all cells are registered", registered).await;
     }
 
     /// Starts all cells, and waits until each is healthy.
-    pub async fn start_all_unregistered(&mut self) {
+    pub async fn start_all_until_healthy(&mut self) {
         (0..self.cells.len()).for_each(|cell| self.start_cell(cell));
         for cell in &self.cells {
             let healthy = async || cell.cluster.is_healthy(0).await;
@@ -232,7 +232,7 @@
     /// Sets the program that a cell's controllers run from their next start.
     pub fn set_program(&mut self, cell: usize, program: &str) {
         let cluster = &mut self.cells[cell].cluster;
-        (0..CONTROLLERS).for_each(|number| cluster.set_program(number, program));
+        (0..CONTROLLERS_PER_CELL).for_each(|number| cluster.set_program(number, program));
     }
 
     /// Runs the `cells` command of the client with these arguments.
