--- a/tests/cells/cancel.rs
+++ b/tests/cells/cancel.rs
@@ -25,11 +25,11 @@
     }
     let idle = async || site.world.lock().unwrap().nothing_runs();
     until("all tasks have ended", idle).await;
-    for cell in 0..CELL_NAMES.len() {
+    for (cell, name) in CELL_NAMES.iter().enumerate() {
         for number in 0..CELL_NAMES.len() {
             let id = format!("job-{number}");
             let is_cancelled = async || site.stage(cell, &id).await == "cancelled";
-            until("the cell reports the job as cancelled", is_cancelled).await;
+            until(&format!("{name} reports {id} as cancelled"), is_cancelled).await;
             let repeated = site.submit(cell, &job(number, 2)).await;
             assert_eq!(repeated["stage"], "cancelled");
         }
@@ -51,7 +51,7 @@
     site.cells[0].cluster.cloud.power_off();
     assert_eq!(site.cancel(1, "job-0").await, "cancelled");
     let is_recorded = async || site.ledger.stored("c/e/").len() == 1;
-    until("the ledger has the job's final record", is_recorded).await;
+    until("the ledger has the job's final state", is_recorded).await;
     assert_eq!(site.stage(2, "job-0").await, "cancelled");
     assert_eq!(site.world.lock().unwrap().starts, 2);
     assert_eq!(site.broken_rules(), Vec::<String>::new());
@@ -70,9 +70,9 @@
     for answer in answers {
         assert!(["queued", "running"].contains(&answer.await["stage"].as_str().unwrap()));
     }
-    for cell in 0..CELL_NAMES.len() {
+    for (cell, name) in CELL_NAMES.iter().enumerate() {
         let done = async || site.stage(cell, "job-0").await == "done";
-        until("the job is done", done).await;
+        until(&format!("{name} reports the job as done"), done).await;
         assert_eq!(site.submit(cell, &job(0, 2)).await["stage"], "done");
         assert_eq!(site.get(cell, 0, "/v1/jobs/job-77").await.0, 404);
     }
--- a/tests/cells/ledger.rs
+++ b/tests/cells/ledger.rs
@@ -13,9 +13,9 @@
     until("all tasks have started", have_started).await;
 }
 
-/// The ledger answers one cell with 503 for longer than the cell's lease. The cell's tasks end before other cells
-/// take over its jobs. When it is served again, it must not run these jobs and must report the same outcome as the
-/// others.
+/// The ledger answers one cell with 503 for longer than the cell's lease. The cell's tasks end before other cells take
+/// over its jobs. When it is served again, it must report the same outcome as the others, and no task may run on two
+/// machines at a time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn jobs_of_a_cell_without_the_ledger_are_taken_over() {
     let mut site = Site::new(Duration::from_secs(8)).await;
@@ -29,10 +29,10 @@
         let jobs = site.ledger.stored("c/l/j/");
         !jobs.values().any(|job| job["owner"] == CELL_NAMES[0])
     };
-    until("other cells own its jobs", are_taken_over).await;
+    until("the first cell owns no open job", are_taken_over).await;
     assert!(
         site.world.lock().unwrap().nothing_runs(),
-        "the cell's tasks ended before the takeover"
+        "no task runs directly after the takeover"
     );
     site.cells[0]
         .cut_from_ledger
@@ -110,7 +110,7 @@
         "the job is refused without delay"
     );
     let is_running = async || site.stage(0, "job-0").await == "running";
-    until("a poll is answered", is_running).await;
+    until("the first cell reports job-0 as running", is_running).await;
     {
         let world = site.world.lock().unwrap();
         assert_eq!(
@@ -140,31 +140,31 @@
     assert_eq!(status, 503);
     let answer = site.submit(1, &job(0, 2)).await;
     assert!(["queued", "running", "done"].contains(&answer["stage"].as_str().unwrap()));
-    for cell in 0..CELL_NAMES.len() {
+    for (cell, name) in CELL_NAMES.iter().enumerate() {
         let is_done = async || site.stage(cell, "job-0").await == "done";
-        until("the job is done", is_done).await;
+        until(&format!("{name} reports the job as done"), is_done).await;
     }
     assert_eq!(site.world.lock().unwrap().starts, 2);
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
 /// The transactions by which other cells take over a job are delayed until its owner has been restarted. They must
-/// fail, and no task may run twice.
+/// fail, and no task may run on two machines at a time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_takeover_delayed_until_the_owner_is_back_fails() {
     let mut site = Site::new(Duration::from_secs(3)).await;
     site.start_all().await;
     site.submit(0, &job(0, 2)).await;
     wait_until_started(&site, 2).await;
-    // Delays all takeover attempts of both other cells.
+    // Delays all transactions that change the job's record, among them the takeover attempts of both other cells.
     site.ledger
         .inject_fault("job-0", TransactionFault::Delayed, 1000);
     site.cells[0].cluster.kill_all();
-    let is_sent = async || site.ledger.has_delayed();
-    until("a takeover is sent", is_sent).await;
+    let is_delayed = async || site.ledger.has_delayed();
+    until("a takeover is delayed", is_delayed).await;
     site.start_cell(0);
     let is_registered = async || site.ledger.stored("c/l/n/").contains_key("c/l/n/hanoi");
-    until("the cell is registered again", is_registered).await;
+    until("the owner is registered again", is_registered).await;
     assert_eq!(
         site.ledger.deliver_delayed(),
         0,
--- a/tests/cells/main.rs
+++ b/tests/cells/main.rs
@@ -1,5 +1,5 @@
 //! End-to-end tests of cells. The controllers are processes of the real program. The ledger, the state services,
-//! the clouds and the workers are stubs on loopback.
+//! the clouds and the workers are stand-ins served on loopback.
 
 mod cancel;
 mod client;
--- a/tests/cells/site.rs
+++ b/tests/cells/site.rs
@@ -15,6 +15,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
+/// The names of the cells.
 pub const CELL_NAMES: [&str; 3] = ["hanoi", "danang", "hue"];
 pub const CONTROLLERS_PER_CELL: usize = 2;
 /// The timeouts of most sites.
@@ -48,7 +49,7 @@
     pub cell_lease_s: f64,
     /// How long controllers may renew workers' leases after the last read of the ledger, in seconds.
     pub renew_without_ledger_s: f64,
-    /// How long a cell must be absent before others take over its jobs, in seconds.
+    /// The time from the end of a cell's lease until other cells take over its jobs, in seconds.
     pub takeover_after_s: f64,
 }
 
@@ -127,7 +128,7 @@
         site
     }
 
-    /// Clusters whose controllers run without `--cells`, and so independently of one another.
+    /// Clusters whose controllers run without `--cells`, so that the clusters are independent of one another.
     pub async fn without_cells(task_duration: Duration) -> Self {
         Self::with_clusters(task_duration, TIMEOUTS.workers).await
     }
@@ -148,7 +149,7 @@
         }
     }
 
-    /// The contents of the cells file without the ledger.
+    /// The contents of the cells file without the field `ledger`.
     fn cells_file(&self, timeouts: SiteTimeouts, settings: &Value) -> Value {
         let cells = self.cells.iter().zip(CELL_NAMES);
         let cells: Vec<Value> = cells
@@ -184,19 +185,19 @@
         self.cells[cell].cluster.start_all();
     }
 
-    /// Starts all cells, and waits until each is healthy and registered.
+    /// Starts all cells, and waits until the first controller of each is healthy and all cells are registered.
     pub async fn start_all(&mut self) {
         self.start_all_until_healthy().await;
         let registered = async || self.ledger.stored("c/l/n/").len() == self.cells.len();
         until("all cells are registered", registered).await;
     }
 
-    /// Starts all cells, and waits until each is healthy.
+    /// Starts all cells, and waits until the first controller of each is healthy.
     pub async fn start_all_until_healthy(&mut self) {
         (0..self.cells.len()).for_each(|cell| self.start_cell(cell));
-        for cell in &self.cells {
+        for (cell, name) in self.cells.iter().zip(CELL_NAMES) {
             let healthy = async || cell.cluster.is_healthy(0).await;
-            until("the cell is healthy", healthy).await;
+            until(&format!("{name}'s first controller is healthy"), healthy).await;
         }
     }
 
@@ -235,7 +236,7 @@
         (0..CONTROLLERS_PER_CELL).for_each(|number| cluster.set_program(number, program));
     }
 
-    /// Runs the `cells` command of the client with these arguments.
+    /// Runs the `cells` command of the current build's client with these arguments.
     pub fn client(&self, arguments: &[&str]) -> ClientOutput {
         self.client_of(PROGRAM, arguments)
     }
@@ -271,7 +272,7 @@
     until_within(TIMEOUT, what, holds).await;
 }
 
-/// A job whose tasks start one by one.
+/// A job whose tasks start independently.
 pub fn job(number: usize, tasks: u32) -> Value {
     let request = JobRequest {
         number,
