--- a/tests/cells/client.rs
+++ b/tests/cells/client.rs
@@ -11,10 +11,12 @@
 const UNKNOWN_JOB: i32 = 3;
 const LEDGER_UNAVAILABLE: i32 = 4;
 
-fn status(site: &Site) -> Value {
+/// The client's report on the cell `hanoi`, the second one in alphabetical order.
+fn status_of_hanoi(site: &Site) -> Value {
     let ClientOutput { code, text } = site.client(&["status", "--output", "json"]);
     assert_eq!(code, 0, "{text}");
-    serde_json::from_str(&text).unwrap()
+    let mut status: Value = serde_json::from_str(&text).unwrap();
+    status["cells"][1].take()
 }
 
 fn explain(site: &Site, id: &str) -> Value {
@@ -23,8 +25,8 @@
     serde_json::from_str(&text).unwrap()
 }
 
-/// The client reports the owner and the state of a job before a cell is killed, while the cell is absent, and after
-/// another cell has taken the job over. Its exit codes tell an unknown job from an unavailable ledger.
+/// The client reports the owner of a job, then that the owner is absent after it was killed, that another cell has
+/// taken the job over, and that the job is done. Its exit codes tell an unknown job from an unavailable ledger.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_client_answers_during_a_takeover() {
     let mut site = Site::new(Duration::from_secs(3)).await;
@@ -39,11 +41,11 @@
     );
     site.cells[0].cluster.kill_all();
     site.cells[0].cluster.cloud.power_off();
-    let is_absent = async || status(&site)["cells"][1]["present"] == false;
-    until("the cell is reported as absent", is_absent).await;
+    let is_absent = async || status_of_hanoi(&site)["present"] == false;
+    until("hanoi is reported as absent", is_absent).await;
     assert_eq!(explain(&site, "job-0")["owner_present"], false);
     let is_taken_over = async || explain(&site, "job-0")["epoch"] == 2;
-    until("another cell owns the job", is_taken_over).await;
+    until("another cell has taken the job over", is_taken_over).await;
     wait_until_done(&site, 1, 1).await;
     let is_done = async || explain(&site, "job-0")["state"] == "done";
     until("the job is reported as done", is_done).await;
@@ -52,10 +54,10 @@
     assert_eq!(site.client(&["status"]).code, LEDGER_UNAVAILABLE);
 }
 
-/// Jobs that are submitted to a drained cell move to other cells and complete there, and the drained cell rents no
-/// machines. After it is undrained, it runs jobs again.
+/// Jobs that are submitted to a drained cell, whose cloud has no machines, complete in other cells. After the cell is
+/// undrained and its cloud has machines, it rents some and runs jobs again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_drained_cell_runs_no_jobs_until_it_is_undrained() {
+async fn jobs_of_a_drained_cell_complete_in_other_cells() {
     let mut site = Site::new(Duration::from_millis(800)).await;
     site.start_all().await;
     assert_eq!(site.client(&["drain", "nowhere"]).code, UNKNOWN_CELL);
@@ -66,12 +68,12 @@
     }
     wait_until_done(&site, 0, 4).await;
     assert_eq!(site.cells[0].cluster.cloud.rented_count(), 0);
-    assert_eq!(status(&site)["cells"][1]["draining"], true);
+    assert_eq!(status_of_hanoi(&site)["draining"], true);
     assert_eq!(site.client(&["undrain", "hanoi"]).code, 0);
     site.cells[0].cluster.cloud.set_capacity(8);
     site.submit(0, &job(4, 2)).await;
     let is_done = async || site.stage(0, "job-4").await == "done";
-    until("a job that is submitted after the drain is done", is_done).await;
+    until("job-4, submitted after the undrain, is done", is_done).await;
     assert!(site.cells[0].cluster.cloud.rented_count() > 0);
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
--- a/tests/cells/moves.rs
+++ b/tests/cells/moves.rs
@@ -33,8 +33,8 @@
     let handover = "\"moves\":1";
     site.ledger
         .inject_fault(handover, TransactionFault::Delayed, JOBS);
-    let is_sent = async || site.ledger.has_delayed();
-    until("a handover is sent", is_sent).await;
+    let is_delayed = async || site.ledger.has_delayed();
+    until("a handover is delayed", is_delayed).await;
     let leader = site.cells[0].cluster.leader().unwrap();
     site.cells[0].cluster.kill(leader);
     let is_replaced =
@@ -73,7 +73,7 @@
         most_moves = most_moves.max(jobs.values().map(moves).max().unwrap_or(0));
     }
     wait_until_done(&site, 1, JOBS).await;
-    // After three moves a job waits for 17 s in each cell: twice `after_s`, and the maximum age of summaries.
+    // After three moves a job waits for 17 s in each cell: twice `after_s`, plus the maximum age of a capacity summary.
     assert!(most_moves <= 4, "{most_moves} moves");
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
--- a/tests/cells/protection.rs
+++ b/tests/cells/protection.rs
@@ -9,14 +9,14 @@
 
 // Guards against two faults:
 //
-// - The wait of an adopted job was counted from its acceptance by its first cell. A job that hue had just adopted left
-//   at once (job=job-3 waited_ms=2714 spill_count=1). A capacity summary that hanoi had computed before it sent the job
-//   (summary_revision=2, job_revision=16) still showed "waiting_tasks: 0, can_rent: true", so the job went back to
-//   hanoi, whose cloud has no machines. Its third move led to danang, which declined it. It returned to hanoi with no
-//   move left and waited there forever.
-// - After the wait was counted from the adoption, some runs had 16 starts instead of 14: the leader of hue withdrew
-//   jobs that the other controller of hue had just started. The progress page is now one of the preconditions of a
-//   withdrawal. The withdrawal then fails, and the leader logs "cell record not written" with the key r/p/job-5/0.
+// - The wait of an adopted job was counted from its acceptance by its first cell, so a job that hue had just adopted
+//   left at once, 2.7 s after its acceptance. The capacity summary of hanoi was older than the job's move to hue
+//   (ledger revisions 2 and 16) and still showed no waiting tasks and permission to rent, so the job went back to
+//   hanoi, whose cloud has no machines. It then moved to danang, which declined it, returned to hanoi with no move
+//   left, since `moves` was a hard limit, and waited there forever.
+// - The leader of hue withdrew jobs that the other controller of hue had just started, so some runs had 16 starts
+//   instead of 14. The job's progress pages are now among the preconditions of a withdrawal. The withdrawal then fails,
+//   and the leader logs "cell record not written" with the key of the page.
 
 /// One of three cells has no machines, and another protects all of its machines. The protected machines run no tasks
 /// of the first cell but run those of their own cell, and each task starts once.
@@ -46,8 +46,8 @@
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
-/// Both other cells protect all of their machines. A job is handed over to each of them at most once and declined. It
-/// then returns to the cell that accepted it and completes there once that cell has machines.
+/// The first cell has no machines, and both others protect all of theirs. Each job of the first cell is handed over to
+/// both others, which decline it. It returns, and completes once the first cell has machines.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_job_that_fits_only_protected_machines_returns_to_its_first_cell() {
     let spill = json!({"spill": {"after_s": 0.5, "at_once": 4, "moves": 8}});
@@ -68,7 +68,7 @@
             .all(|job| declined_count(job) == 2 && job["owner"] == "hanoi")
     };
     until(
-        "both others have declined all jobs, and these have returned",
+        "both other cells have declined all jobs, and hanoi owns these again",
         have_returned,
     )
     .await;
--- a/tests/cells/random_kills.rs
+++ b/tests/cells/random_kills.rs
@@ -82,7 +82,8 @@
     }
 }
 
-/// Runs random kills with a seed, and checks that each cell reports every job as ended and that no rule is broken.
+/// Runs random kills with a seed, and checks that each cell reports every job as ended, that no rule is broken and that
+/// no job is lost.
 async fn run_with_seed(seed: u64) {
     let mut site = Site::new(Duration::from_millis(1500)).await;
     site.start_all().await;
@@ -112,7 +113,7 @@
     run_with_seed(1).await;
 }
 
-/// `cargo test --release --test cells random_kills_with_many_seeds -- --ignored --nocapture`
+/// Run with `cargo test --release --test cells random_kills_with_many_seeds -- --ignored --nocapture`.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 #[ignore = "takes several minutes"]
 async fn random_kills_with_many_seeds() {
--- a/tests/cells/spill.rs
+++ b/tests/cells/spill.rs
@@ -28,7 +28,8 @@
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
-/// While no cell has machines, no job moves more than three times. Once there are machines, all jobs complete.
+/// While no cell has machines, no job moves more than three times in 8 s: after three moves, it waits for 16 s in each
+/// cell. Once there are machines, all jobs complete.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn jobs_that_no_cell_can_place_do_not_circulate() {
     let spill = json!({"spill": {"after_s": 0.5, "at_once": 4, "moves": 3}});
