--- a/tests/cells/measure.rs
+++ b/tests/cells/measure.rs
@@ -1,4 +1,5 @@
-//! Measurements of the time and the ledger writes that cells cost. They check no bounds. Run them in a release build:
+//! Measurements of the time of a takeover, and of the time and the ledger revisions per job. They check no bounds. Run
+//! them in a release build:
 //! `cargo test --release --test cells measure -- --ignored --nocapture --test-threads 1`
 
 use super::site::{CELL_NAMES, Site, job, until};
@@ -66,8 +67,9 @@
     );
 }
 
-/// How fast a cell accepts jobs of one task that are submitted one after the other, and how long all of them take. Runs
-/// the measurement without cells and with them, and so without the ledger and with it.
+/// How fast a cell accepts jobs of one task that are submitted one after the other, how long all of them take, and how
+/// many ledger revisions each takes. Runs the measurement without cells and with them, and so without the ledger and
+/// with it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 #[ignore = "measurement that takes several minutes"]
 async fn cost_of_the_ledger() {
@@ -95,7 +97,7 @@
             for number in 0..JOBS {
                 let id = format!("job-{number}");
                 let is_done = async || site.stage(0, &id).await == "done";
-                until("the job is done", is_done).await;
+                until(&format!("{id} is done"), is_done).await;
             }
             let total_s = began.elapsed().as_secs_f64();
             let revisions = (site.ledger.revision() - first_revision) as f64 / JOBS as f64;
--- a/tests/cells/mixed_versions.rs
+++ b/tests/cells/mixed_versions.rs
@@ -30,7 +30,7 @@
     }
     site.submit(1, &job(JOBS, TASKS_PER_JOB)).await;
     let is_running = async || site.stage(0, "job-0").await == "running";
-    until("the first cell runs its jobs", is_running).await;
+    until("job-0 is running", is_running).await;
     // Cells of each build can cancel a job that a cell of the other build accepted.
     assert_eq!(site.cancel(0, &format!("job-{JOBS}")).await, "cancelled");
     assert_eq!(site.cancel(1, "job-6").await, "cancelled");
@@ -40,19 +40,19 @@
         let jobs = site.ledger.stored("c/l/j/");
         !jobs.values().any(|job| job["owner"] == CELL_NAMES[0])
     };
-    until("other cells own the first cell's jobs", are_taken_over).await;
+    until("the first cell owns no open job", are_taken_over).await;
     site.start_cell(0);
-    for cell in 0..CELL_NAMES.len() {
+    for (cell, name) in CELL_NAMES.iter().enumerate() {
         wait_until_done(&site, cell, 6).await;
         for number in [7, 8] {
             let id = format!("job-{number}");
             let is_done = async || site.stage(cell, &id).await == "done";
-            until(&format!("{id} is done"), is_done).await;
+            until(&format!("{name} reports {id} as done"), is_done).await;
         }
         for number in [6, JOBS] {
             let id = format!("job-{number}");
             let is_cancelled = async || site.stage(cell, &id).await == "cancelled";
-            until(&format!("{id} is cancelled"), is_cancelled).await;
+            until(&format!("{name} reports {id} as cancelled"), is_cancelled).await;
         }
     }
     site.submit(0, &job(JOBS + 1, TASKS_PER_JOB)).await;
@@ -90,8 +90,8 @@
     outputs.unwrap()
 }
 
-/// Runs each of these commands, which are given with their exit codes, with the clients of both builds, and compares
-/// the exit codes and outputs.
+/// Runs each of these commands with the clients of both builds, and checks that their outputs are the same and that
+/// both exit with the given code.
 async fn assert_same_outputs(site: &Site, commands: &[(i32, &[&str])]) {
     for (code, arguments) in commands {
         let [old, current] = outputs_of_both(site, arguments).await;
@@ -149,8 +149,8 @@
     });
     assert_eq!(by_old, by_current);
     wait_until_done(&site, 1, CELL_NAMES.len()).await;
-    let final_records = site.ledger.stored("c/e/");
-    assert!(final_records.len() >= CELL_NAMES.len(), "{final_records:?}");
+    let final_states = site.ledger.stored("c/e/");
+    assert!(final_states.len() >= CELL_NAMES.len(), "{final_states:?}");
     site.cells[0].cluster.kill_all();
     let is_unregistered = async || !site.ledger.stored("c/l/n/").contains_key("c/l/n/hanoi");
     until("the first cell is no longer registered", is_unregistered).await;
