--- a/tests/limits/client.rs
+++ b/tests/limits/client.rs
@@ -36,7 +36,11 @@
     let world = site.cloud.world.clone();
     let running = |id: &str| world.lock().unwrap().running_tasks(id);
     let full = || running("job-1") == 2 && running("job-2") == 1;
-    until("the limit is fully used", async || full()).await;
+    until(
+        "t uses its whole limit, and the job of u runs",
+        async || full(),
+    )
+    .await;
     let status = site.client(&["status", "--output", "json"]);
     assert_eq!(status.code, 0);
     let held = site.client(&["explain", "job-1", "--output", "json"]);
@@ -52,7 +56,7 @@
         3,
         "the job was never accepted"
     );
-    // With all controllers down, the client answers from the records in the state service.
+    // The client reads the records in the state service, so it answers while all controllers are down.
     (0..CONTROLLERS).for_each(|number| site.kill(number));
     let ClientOutput { code, text } = site.client(&["explain", "job-1"]);
     assert_eq!(code, 0);
--- a/tests/limits/failures.rs
+++ b/tests/limits/failures.rs
@@ -40,9 +40,9 @@
     assert_eq!(site.broken_rules(), Vec::<String>::new());
 }
 
-/// While a team is at its limit, the state service delays transactions that start tasks or transfer quota and loses
-/// answers to others, the leader is suspended for longer than its presence lease, the state service has an outage, and another
-/// controller is disconnected from it.
+/// While a team is at its limit, the state service delays some transactions that change progress pages or quota
+/// allocations and loses the answers to others, the leader is suspended for longer than its presence lease, the state
+/// service has an outage, and another controller is disconnected from it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn delayed_transactions_outages_and_a_suspended_leader() {
     let mut site = Site::new(&[("t", 6.0)], Duration::from_millis(400)).await;
@@ -94,11 +94,11 @@
     site.submit(1, &job(2, "t", 2, 1.0)).await;
     let leader = site.leader().unwrap_or(0);
     site.kill(leader);
-    let cancelled = Instant::now();
+    let killed = Instant::now();
     until("the second job runs", async || running("job-2") == 2).await;
     assert!(
-        cancelled.elapsed() > TIMEOUTS.lease() / 2,
-        "the cancelled tasks counted against the limit"
+        killed.elapsed() > TIMEOUTS.lease() / 2,
+        "the cancelled tasks count against the limit for at least half a lease"
     );
     site.start(leader);
     site.cancel("job-2").await;
--- a/tests/limits/main.rs
+++ b/tests/limits/main.rs
@@ -1,5 +1,5 @@
-//! End-to-end tests of team limits with three controllers that run as processes. Whether a limit is kept is checked
-//! against the tasks that the machines run at each moment.
+//! End-to-end tests of team limits with three controllers that run as processes. At each start of a task, the tasks
+//! that the machines run are checked against the team's limit.
 
 mod client;
 mod failures;
--- a/tests/limits/mixed_versions.rs
+++ b/tests/limits/mixed_versions.rs
@@ -11,8 +11,8 @@
 const TASK_DURATION: Duration = Duration::from_secs(2);
 /// The number of tasks of each array job.
 const TASKS_PER_ARRAY: u32 = 3;
-/// The number of tasks of each job that is cancelled. Its team's limit allows 2 at a time, so the job would run for 20
-/// s.
+/// The number of tasks of each job that is cancelled. Its team's limit allows 2 at a time, so the job would run for
+/// 20 s.
 const TASKS_OF_CANCELLED_JOB: u32 = 20;
 /// How long the jobs may take to end after the last submission: for each controller, the 40 s that `until` allows for a
 /// takeover.
@@ -30,7 +30,7 @@
     site: Site,
     /// The path of each controller's program.
     programs: Vec<String>,
-    /// The number of rounds of jobs that were submitted.
+    /// The number of rounds of jobs that have been submitted.
     submitted_rounds: usize,
     /// The ids of the jobs that must become done.
     expected_done: Vec<String>,
@@ -62,7 +62,7 @@
         self.site.set_program(number, &self.programs[number]);
         self.site.start(number);
         let is_healthy = async || self.site.is_healthy(number).await;
-        until("the controller is healthy", is_healthy).await;
+        until(&format!("controller {number} is healthy"), is_healthy).await;
     }
 
     /// The next controller to replace with this build, or `None` if all controllers are of this build.
@@ -90,7 +90,7 @@
             let leader = self.site.leader();
             leader.is_some_and(|number| self.programs[number] == program)
         };
-        until("a controller of the build leads", leads).await;
+        until(&format!("a controller of {program} leads"), leads).await;
         for number in others {
             self.start(number).await;
         }
@@ -122,8 +122,8 @@
         self.submitted_rounds += 1;
     }
 
-    /// Submits a job with more tasks than the limit allows to run at a time, and another round, which waits. The
-    /// numbers of all other jobs end in 0 to 3.
+    /// Submits a job with more tasks than the limit allows to run at a time, and another round, whose arrays have the
+    /// same limit. The job's number is 5; the numbers of all other jobs end in 0 to 3.
     async fn submit_more_than_the_limit_allows(&mut self) {
         self.submit(0, &job(5, "arrays", 10, 1.0)).await;
         self.submit_round().await;
@@ -140,7 +140,7 @@
             self.site.submit_at(number, &long).await;
             let world = self.site.cloud.world.clone();
             let is_running = async || world.lock().unwrap().running_tasks(&id) > 0;
-            until("the job to cancel runs", is_running).await;
+            until(&format!("{id}, which is to be cancelled, runs"), is_running).await;
             let other = (number + 1) % CONTROLLERS;
             assert_eq!(self.site.cancel_at(other, &id).await, "cancelled");
             self.cancelled.push(id);
@@ -289,8 +289,8 @@
     mixed.submit_more_than_the_limit_allows().await;
     // Without controllers, records change only when they expire.
     mixed.site.kill_all();
-    // The last four jobs are one whose tasks the limit does not allow to run all at once, and the three of the round
-    // after it.
+    // The last four jobs are job-5, of which the limit allows only some tasks to run at a time, and the three of the
+    // round after it.
     let partly_running = mixed.expected_done[mixed.expected_done.len() - 4].as_str();
     let commands = [
         (0, vec!["status"]),
--- a/tests/limits/races.rs
+++ b/tests/limits/races.rs
@@ -5,13 +5,12 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-// Guards against a fault that occurred in about one of forty runs: a controller without a machine never released its
-// slot of the limit, so the limit was not fully used. Only two machines had been rented for three controllers ("rental
-// confirmed" twice), and they were reassigned among them ("machines reassigned"). The third controller had a slot but
-// no machine ("limited team's job forecast permitted=1 late=1 helped=1"). It did not transfer the slot, because each
-// controller kept the quota that its oldest task needs: "quota allocation changed" came only after its work had ended.
-// A controller without a machine now releases this slot, too, to a controller that waits for the limit and has a
-// machine.
+// Guards against a fault that occurred in about one of forty runs: a controller without a machine kept quota for one
+// task, so the team never used its whole limit. Only two machines had been rented ("rental confirmed" twice), and they
+// were reassigned among the three controllers ("machines reassigned"). The third controller had quota but no machine
+// ("limited team's job forecast" with permitted=1 late=1 helped=1). It did not transfer the quota, because each
+// controller kept what its oldest task needs: "quota allocation changed" came only after its work had ended. It now
+// transfers this quota, too, to a controller that waits for the limit and has a machine.
 
 /// Jobs of one task each are submitted to all controllers at once under a limit of three tasks. A fourth task never
 /// runs at the same time, and the whole limit is used.
@@ -27,16 +26,16 @@
     assert_eq!(site.peak_cpus()["t"], 3.0, "the whole limit is used");
 }
 
-/// Bounds the time until the gang runs, as the sum of these steps with the settings of these tests: headroom is reserved
-/// for the gang after at most 9 s, the other controllers learn of it within 5 s, the tasks that run by then end within a
-/// second, a forecast includes the gang after 5 s, the leader rents machines for it after another 5 s, and these report
-/// 3 s later.
+/// An upper bound of the time until the gang runs. With the settings of these tests, the steps take at most 28 s
+/// together: headroom is reserved for the gang after at most 9 s, the other controllers learn of it within 5 s, the
+/// tasks that run by then end within a second, a forecast includes the gang after 5 s, the leader rents machines for it
+/// after another 5 s, and these report 3 s later.
 const MAX_GANG_DELAY: Duration = Duration::from_secs(30);
 
 /// A gang that needs most of the limit starts within a bounded time, although single tasks of its team wait at every
 /// controller for much longer than that.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_gang_that_needs_most_of_the_limit_begins_amid_a_flood() {
+async fn a_gang_that_needs_most_of_the_limit_starts_while_many_tasks_wait() {
     let mut site = Site::new(&[("t", 8.0)], Duration::from_millis(700)).await;
     site.start_all().await;
     let competing: Vec<_> = (0..12).map(|n| job(n, "t", 60, 1.0)).collect();
@@ -50,7 +49,7 @@
     let took = submitted.elapsed();
     assert!(took < MAX_GANG_DELAY, "the gang started after {took:?}");
     let stage = site.stage("job-11").await;
-    assert_ne!(stage, "done", "other tasks of the team still wait");
+    assert_ne!(stage, "done", "other jobs of the team are still open");
     for n in 0..12 {
         site.cancel(&format!("job-{n}")).await;
     }
@@ -61,9 +60,10 @@
 // one machine of 4 CPUs while 600 tasks waited. The log repeated "scaling decided late=3.0 counted=3.0 wanted=0.0
 // decision=ScaleOut(100)": the forecast covered the 12 tasks for which there was headroom. All of them were late, but
 // none would start sooner on a new machine, since the one machine would start all 12, of half a second each, before a
-// new one is up. The forecast now also covers the tasks behind these 12: "limited team's job forecast" logs those that
-// machines help as helped_beyond_headroom, and as unused_quota_tasks how many more tasks could run at once. Machines
-// are rented for no more than these.
+// new one is up. The forecast now also covers the tasks behind these 12. "limited team's job forecast" logs how many of
+// them would start sooner with more machines as helped_beyond_headroom, and as unused_quota_tasks how many more tasks
+// the quota would let run once a new machine is up. No machines are rented for more tasks beyond the headroom than
+// these.
 
 /// Machines are rented for a team that lacks machines rather than quota, until it uses its whole limit.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/tests/limits/site.rs
+++ b/tests/limits/site.rs
@@ -91,7 +91,7 @@
         self.cluster.start_all();
         for number in 0..CONTROLLERS {
             let healthy = async || self.is_healthy(number).await;
-            until("the controller is healthy", healthy).await;
+            until(&format!("controller {number} is healthy"), healthy).await;
         }
         let divided = async || self.are_divided();
         until("the limits are divided", divided).await;
@@ -120,7 +120,7 @@
         teams.map(|(team, _)| (*team, peak(team))).collect()
     }
 
-    /// Runs the `limits` command of the client with these arguments.
+    /// Runs the `limits` command of the current build's client with these arguments.
     pub fn client(&self, arguments: &[&str]) -> ClientOutput {
         self.client_of(PROGRAM, arguments)
     }
@@ -160,7 +160,7 @@
     }
 }
 
-/// A job whose tasks start one by one.
+/// A job whose tasks start independently.
 pub fn job(number: usize, team: &str, tasks: u32, cpus: f64) -> Value {
     request(number, team, tasks, cpus).array()
 }
