--- a/tests/cells/measure.rs
+++ b/tests/cells/measure.rs
@@ -1,7 +1,8 @@
-//! Measurements of the time and the ledger writes that cells cost. They check no bounds. Run them in a release build:
+//! Measurements of the time of a takeover, and of the time and the ledger revisions per job. They check no bounds. Run
+//! them in a release build:
 //! `cargo test --release --test cells measure -- --ignored --nocapture --test-threads 1`
 
-use super::site::{NAMES, Site, job, until};
+use super::site::{CELL_NAMES, Site, job, until};
 use std::time::{Duration, Instant};
 
 const ROUNDS: usize = 5;
@@ -66,8 +67,9 @@
     );
 }
 
-/// How fast a cell accepts jobs of one task that are submitted one after the other, and how long all of them take. Runs
-/// the measurement without cells and with them, and so without the ledger and with it.
+/// How fast a cell accepts jobs of one task that are submitted one after the other, how long all of them take, and how
+/// many ledger revisions each takes. Runs the measurement without cells and with them, and so without the ledger and
+/// with it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 #[ignore = "measurement that takes several minutes"]
 async fn cost_of_the_ledger() {
@@ -81,7 +83,7 @@
                 site.start_all().await;
             } else {
                 site = Site::without_cells(task_duration).await;
-                site.start_all_unregistered().await;
+                site.start_all_until_healthy().await;
             }
             let first_revision = site.ledger.revision();
             let began = Instant::now();
@@ -95,14 +97,14 @@
             for number in 0..JOBS {
                 let id = format!("job-{number}");
                 let is_done = async || site.stage(0, &id).await == "done";
-                until("the job is done", is_done).await;
+                until(&format!("{id} is done"), is_done).await;
             }
             let total_s = began.elapsed().as_secs_f64();
             let revisions = (site.ledger.revision() - first_revision) as f64 / JOBS as f64;
             println!(
                 "round {round}, {} cells: {:.0} jobs accepted per second, all done after {total_s:.1} s, \
                  {revisions:.2} ledger revisions per job",
-                if with_cells { NAMES.len() } else { 0 },
+                if with_cells { CELL_NAMES.len() } else { 0 },
                 JOBS as f64 / submission_s,
             );
             print_quantiles("  time of an acceptance", answer_times);
--- a/tests/cells/random_kills.rs
+++ b/tests/cells/random_kills.rs
@@ -1,7 +1,7 @@
 //! Kills cells at seeded random times, with their machines or without, and restarts them after random downtimes.
 //! Meanwhile users submit, poll and cancel jobs at random cells.
 
-use super::site::{NAMES, Site, job, until};
+use super::site::{CELL_NAMES, Site, job, until};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::{Duration, Instant};
@@ -26,7 +26,7 @@
 
 impl RandomKills {
     fn kill_random_cell(&mut self) {
-        let cell = self.rng.random_range(0..NAMES.len());
+        let cell = self.rng.random_range(0..CELL_NAMES.len());
         self.site.cells[cell].cluster.kill_all();
         if self.rng.random_bool(0.5) {
             self.site.cells[cell].cluster.cloud.power_off();
@@ -50,7 +50,7 @@
     fn random_running_cell(&mut self) -> usize {
         let down = self.killed.as_ref().map(|killed| killed.cell);
         loop {
-            let cell = self.rng.random_range(0..NAMES.len());
+            let cell = self.rng.random_range(0..CELL_NAMES.len());
             if Some(cell) != down {
                 return cell;
             }
@@ -82,7 +82,8 @@
     }
 }
 
-/// Runs random kills with a seed, and checks that each cell reports every job as ended and that no rule is broken.
+/// Runs random kills with a seed, and checks that each cell reports every job as ended, that no rule is broken and that
+/// no job is lost.
 async fn run_with_seed(seed: u64) {
     let mut site = Site::new(Duration::from_millis(1500)).await;
     site.start_all().await;
@@ -96,7 +97,7 @@
     let site = random_kills.site;
     for number in 0..JOBS {
         let id = format!("job-{number}");
-        for (cell, name) in NAMES.iter().enumerate() {
+        for (cell, name) in CELL_NAMES.iter().enumerate() {
             let has_ended = async || ["done", "cancelled"].contains(&&*site.stage(cell, &id).await);
             until(&format!("{name} reports {id} as ended"), has_ended).await;
         }
@@ -112,7 +113,7 @@
     run_with_seed(1).await;
 }
 
-/// `cargo test --release --test cells random_kills_with_many_seeds -- --ignored --nocapture`
+/// Run with `cargo test --release --test cells random_kills_with_many_seeds -- --ignored --nocapture`.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 #[ignore = "takes several minutes"]
 async fn random_kills_with_many_seeds() {
