--- a/crates/rowanmill-limits/tests/model/controller.rs
+++ b/crates/rowanmill-limits/tests/model/controller.rs
@@ -10,7 +10,8 @@
 
 pub const TEAM: &str = "t";
 
-/// A revision that no record reaches: a controller with it acts as if all changes were applied.
+/// A revision that no record reaches. A controller acts as if all changes were applied if this is its applied
+/// revision.
 const ALL_CHANGES: u64 = u64::MAX;
 
 pub struct Controller {
@@ -22,7 +23,7 @@
     pub omission: Omission,
 }
 
-/// A start for which a controller has headroom.
+/// Tasks of one job that start together, and the resources that they need.
 pub struct Start {
     job: usize,
     tasks: Vec<usize>,
@@ -44,8 +45,8 @@
         }
     }
 
-    /// The revision up to which it has applied all changes. If the controller omits the safeguard `omission`,
-    /// it acts as if all changes were applied.
+    /// The revision up to which the controller has applied all changes, or [`ALL_CHANGES`] if it omits the
+    /// safeguard `omission`.
     fn applied_revision(&self, omission: Omission) -> u64 {
         if self.omission == omission {
             return ALL_CHANGES;
@@ -63,8 +64,8 @@
         }
     }
 
-    /// The transaction that the controller should send if it is the leader: an assignment to the controllers
-    /// that are present, or an allocation of the limit.
+    /// The transaction that the controller should send now if it is the leader, if any: an assignment to the
+    /// controllers that are present, or else a frozen record or a new allocation of the limit.
     pub fn leader_transaction(&self) -> Option<Transaction> {
         let leader = self.replica.leader.as_ref()?;
         if leader.record != self.name {
@@ -125,7 +126,7 @@
         change
     }
 
-    /// All starts for which it has headroom now.
+    /// The next start of each of its jobs, without those that exceed its headroom now.
     pub fn permitted_starts(&mut self) -> Vec<Start> {
         let demand = self.replica.demand();
         let charged = demand.used_by(&self.name);
--- a/crates/rowanmill-limits/tests/model/mod.rs
+++ b/crates/rowanmill-limits/tests/model/mod.rs
@@ -1,6 +1,6 @@
 //! A deterministic model of a state service, jobs and controllers, which runs in one thread and is driven by
-//! a seed. Transactions can be answered, lost, delayed or refused, and can be interleaved in any order with
-//! reads, transfers, task exits, and kills and restarts of controllers.
+//! a seed. Transactions can be answered, applied without an answer, applied late or refused. They can be
+//! interleaved in any order with reads, completions of tasks, and kills and restarts of controllers.
 
 mod controller;
 mod generate;
@@ -27,8 +27,8 @@
     InDoubtStarts,
     /// Transfers in doubt are not charged.
     InDoubtTransfers,
-    /// A controller resolves transactions in doubt without reading first, as if it had applied all changes
-    /// that came before its own.
+    /// A controller resolves transactions in doubt without reading first: after its own write, it acts as if
+    /// it had also applied all changes that came before that write.
     ReadBeforeResolving,
     /// The leader allocates without first reading all changes up to the previous record and the assignment.
     ReadBeforeAllocating,
@@ -36,7 +36,7 @@
     Freeze,
 }
 
-/// The outcome of a transaction.
+/// The outcome of a transaction. One that is applied has an effect only if its preconditions hold at that time.
 #[derive(Debug, Clone, Copy)]
 pub enum Outcome {
     Answered,
@@ -44,6 +44,7 @@
     AnswerLost,
     /// Not answered, but applied later.
     Delayed,
+    /// Not applied, and answered so.
     Refused,
 }
 
@@ -51,7 +52,7 @@
     random: StdRng,
     /// The probability that a controller reads before it acts; it differs between schedules.
     read_probability: f64,
-    /// The number of faults per 60 steps on average; it differs between schedules.
+    /// The average number of steps in 60 that may inject a fault; it differs between schedules.
     faults_per_60: u32,
     omission: Omission,
     store: Store,
@@ -62,13 +63,15 @@
     now: Instant,
     /// The outcome of all transactions; `None` if each one's is random.
     pub outcome: Option<Outcome>,
-    /// Descriptions of starts after which more was in use than the limit in the record that they required.
+    /// Descriptions of starts after which more was in use than the limit in the team's record at that time, or
+    /// which were applied without such a record.
     pub overshoots: Vec<String>,
     pub starts: usize,
-    pub transfers: usize,
-    /// The longest sequence of rounds without a start while waiting work fits into the headroom that the
-    /// limit leaves. Rounds in which a gang waits do not count, because headroom that accumulates for a gang
-    /// is left unused on purpose.
+    /// Transfers and fences that were answered as applied.
+    pub record_changes: usize,
+    /// The longest sequence of rounds without a start while a waiting task fits into the headroom that the
+    /// limit leaves. A round in which a gang waits ends the sequence, because headroom that accumulates for a
+    /// gang is left unused on purpose.
     pub longest_idle: usize,
 }
 
@@ -98,7 +101,7 @@
             outcome: None,
             overshoots: Vec::new(),
             starts: 0,
-            transfers: 0,
+            record_changes: 0,
             longest_idle: 0,
             random,
             omission,
@@ -216,7 +219,8 @@
         }
     }
 
-    /// Lets a controller read all records, and makes it the leader if there is none.
+    /// Lets a controller read all records and its team's limit. Makes it the leader if there is none, which it
+    /// sees at its next read.
     pub fn read(&mut self, index: usize) {
         let Some(controller) = &mut self.controllers[index] else {
             return;
@@ -260,7 +264,7 @@
                 let controller = self.controllers[index].as_mut().unwrap();
                 controller.record_in_doubt(change.transferred, change.base_revision);
             }
-            answer => self.transfers += usize::from(answer == Some(true)),
+            answer => self.record_changes += usize::from(answer == Some(true)),
         }
     }
 
@@ -282,7 +286,7 @@
         }
     }
 
-    /// Completes and records a random placed task.
+    /// Completes the first placed task of a random job.
     fn complete_task(&mut self) {
         let jobs = self.store.jobs.iter().enumerate();
         let placed: Vec<(usize, usize)> = jobs
@@ -297,7 +301,7 @@
         self.store.jobs[job].revision = self.store.revision;
     }
 
-    /// Applies one of the delayed transactions; returns whether its preconditions held.
+    /// Delivers one of the delayed transactions, if there are any; returns whether it was applied.
     pub fn deliver_delayed(&mut self) -> bool {
         if self.delayed.is_empty() {
             return false;
@@ -340,7 +344,7 @@
         }
     }
 
-    /// Sets the limit to 12 CPUs, applies all delayed transactions, restarts all controllers, and answers every
+    /// Sets the limit to 12 CPUs, delivers all delayed transactions, restarts all controllers, and answers every
     /// transaction from now on.
     pub fn recover(&mut self) {
         self.outcome = Some(Outcome::Answered);
@@ -351,9 +355,10 @@
         (0..CONTROLLERS).for_each(|index| self.restart(index));
     }
 
-    /// Runs rounds of a tenth of a second each. In each round, every controller reads and acts once and, if
-    /// `with_exits` is set, one task completes. Returns whether no task waits after at most `max_rounds`.
-    pub fn run_rounds(&mut self, max_rounds: usize, with_exits: bool) -> bool {
+    /// Runs rounds of a tenth of a second each. In each round, every controller reads and then sends at most
+    /// one transaction as the leader, one change of the record and one start. If `with_completions` is set,
+    /// one task completes at the end of the round. Returns whether no task waits after at most `max_rounds`.
+    pub fn run_rounds(&mut self, max_rounds: usize, with_completions: bool) -> bool {
         let mut idle = 0;
         for _ in 0..max_rounds {
             let starts_before = self.starts;
@@ -373,7 +378,7 @@
                 idle = 0;
             }
             self.longest_idle = self.longest_idle.max(idle);
-            if with_exits {
+            if with_completions {
                 self.complete_task();
             }
         }
--- a/crates/rowanmill-limits/tests/model/store.rs
+++ b/crates/rowanmill-limits/tests/model/store.rs
@@ -76,8 +76,8 @@
     Assignment(Vec<String>),
 }
 
-/// Revisions that records must have for a transaction to be applied. 0 requires that the record does not
-/// exist.
+/// Revisions that records must have for a transaction to be applied. A `record` or `leader` of 0 requires that
+/// there is none.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Preconditions {
     pub record: Option<u64>,
--- a/crates/rowanmill-limits/tests/schedules.rs
+++ b/crates/rowanmill-limits/tests/schedules.rs
@@ -8,25 +8,30 @@
 /// The number of schedules that CI runs; `more_schedules` runs many more.
 const SCHEDULES: u64 = 2000;
 const STEPS: usize = 400;
-/// Rounds after the last fault within which all waiting work must have started: each round ends one task,
-/// there are at most 19 jobs of 12 tasks, and a transfer or an allocation takes a few rounds.
+/// Rounds after the last fault within which all waiting work must have started: one task completes in each
+/// round, there are at most 19 jobs of fewer than 12 tasks each, and a transfer or an allocation takes a few
+/// rounds.
 const MAX_ROUNDS: usize = 19 * 12 + 60;
 
-/// Rounds, of a tenth of a second each, within which free headroom must be used: they allow for an
-/// allocation, or for several transfers of half a second each at most, and a read between any two of them.
+/// Rounds within which free headroom must be used. They allow for an allocation or for several transfers:
+/// in each round, a controller reads once and makes at most one transfer.
 const MAX_IDLE_ROUNDS: usize = 12;
 
 fn run_schedules(seeds: std::ops::Range<u64>) {
-    let (mut starts, mut transfers, mut longest_idle) = (0, 0, 0);
+    let (mut starts, mut record_changes, mut longest_idle) = (0, 0, 0);
     for seed in seeds {
         let mut model = Model::new(seed, Omission::Nothing);
         model.run(STEPS);
         model.recover();
         let all_started = model.run_rounds(MAX_ROUNDS, true);
-        assert_eq!(model.overshoots, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(
+            model.overshoots,
+            Vec::<String>::new(),
+            "seed {seed}: starts exceeded the limit"
+        );
         assert!(
             all_started,
-            "seed {seed}: work still waits although the limit leaves enough"
+            "seed {seed}: tasks still wait after {MAX_ROUNDS} rounds without faults"
         );
         assert!(
             model.longest_idle <= MAX_IDLE_ROUNDS,
@@ -35,14 +40,14 @@
         );
         longest_idle = longest_idle.max(model.longest_idle);
         starts += model.starts;
-        transfers += model.transfers;
+        record_changes += model.record_changes;
     }
     println!(
-        "{starts} starts, {transfers} transfers, usable headroom free for at most {longest_idle} rounds"
+        "{starts} starts, {record_changes} transfers and fences, usable headroom free for at most {longest_idle} rounds"
     );
     assert!(
-        starts > 0 && transfers > 0,
-        "the schedules include starts and transfers"
+        starts > 0 && record_changes > 0,
+        "the schedules must contain starts and changes of the record"
     );
 }
 
@@ -81,7 +86,10 @@
         .map(|omission| (omission, count_broken(*omission)))
         .collect();
     println!("of {SCHEDULES} schedules: {broken:?}");
-    assert!(broken.iter().all(|(_, count)| *count > 0), "{broken:?}");
+    assert!(
+        broken.iter().all(|(_, count)| *count > 0),
+        "some missing safeguard was not detected: {broken:?}"
+    );
 }
 
 /// The limit of [`Model::with_small_tasks`] in CPUs, and each controller's equal share of it.
@@ -96,8 +104,8 @@
     (0..CONTROLLERS).for_each(|controller| start_tasks(model, controller, tasks));
 }
 
-/// A start is delayed while its controller leaves. The leader reads the usage, then the start is applied, and
-/// then the limit is divided. Returns whether the limit was exceeded.
+/// A start is delayed while its controller leaves. The leader reads the usage, then the start is delivered, and
+/// then the leader divides the limit. Returns whether the limit was exceeded.
 fn overshoots_on_delayed_start_of_leaving_controller(omission: Omission) -> bool {
     let mut model = Model::with_small_tasks(omission);
     start_tasks_at_each(&mut model, SHARE - 1);
@@ -115,7 +123,7 @@
     model.run_rounds(20, false);
     assert!(
         model.cpus_in_use() >= LIMIT - 1,
-        "at least all but one CPU of the limit is in use"
+        "more than one CPU of the limit is unused"
     );
     !model.overshoots.is_empty()
 }
@@ -127,7 +135,7 @@
     assert!(overshoots(Omission::AssignmentPrecondition));
 }
 
-/// A controller that has not read a lowered limit starts a task after the leader has read the usage. Returns
+/// Two controllers that have not read a lowered limit start tasks after the leader has read the usage. Returns
 /// whether the lowered limit was exceeded.
 fn overshoots_on_lowered_limit(omission: Omission) -> bool {
     let mut model = Model::with_small_tasks(omission);
@@ -150,8 +158,8 @@
 }
 
 /// A controller with little work transfers a part of its allocation and gets no answer. New work is submitted
-/// to the controller and started within that part, and its remaining work is cancelled. Then the transfer is
-/// applied. Returns whether the limit was exceeded.
+/// to it, of which it starts as much as it has headroom for, and the remaining work is cancelled. Then the
+/// transfer is applied. Returns whether the limit was exceeded.
 fn overshoots_on_delayed_transfer(omission: Omission) -> bool {
     let mut model = Model::with_small_tasks(omission);
     for controller in [1, 2] {
@@ -167,11 +175,14 @@
     model.read(0);
     start_tasks(&mut model, 0, SHARE);
     model.set_waiting(0, 0);
-    assert!(model.deliver_delayed(), "the transfer is applied");
+    assert!(
+        model.deliver_delayed(),
+        "the delayed transfer was not applied"
+    );
     model.run_rounds(20, false);
     assert!(
         model.cpus_in_use() >= LIMIT - 1,
-        "at least all but one CPU of the limit is in use"
+        "more than one CPU of the limit is unused"
     );
     !model.overshoots.is_empty()
 }
