--- a/crates/rowanmill-limits/tests/config.rs
+++ b/crates/rowanmill-limits/tests/config.rs
@@ -1,4 +1,5 @@
-//! Invalid configuration files and settings are rejected with a message that names the field.
+//! Invalid configuration files and settings are rejected with a message that names the field or, for malformed
+//! JSON, the position.
 
 use rowanmill_config::ConfigFile;
 use rowanmill_limits::LimitsConfig;
--- a/crates/rowanmill-limits/tests/idle_headroom.rs
+++ b/crates/rowanmill-limits/tests/idle_headroom.rs
@@ -1,5 +1,5 @@
-//! Headroom that a controller cannot use is transferred to one that can, within the time in the settings, and
-//! is not transferred back and forth. A *slot* is the headroom for one task.
+//! Headroom that a controller cannot use is transferred to one that can, once it has been idle for
+//! `idle_after_s`, and is not transferred back and forth. A *slot* is the headroom for one task.
 
 use rowanmill_limits::{
     AllocationRecord, LimitsConfig, MemberDemand, QuotaHolder, RecordChange, ResourceAmount,
@@ -17,10 +17,11 @@
     micro_gpus: 0,
 };
 const NAMES: [&str; 3] = ["a", "b", "c"];
-/// How long headroom must be idle before a controller releases it: `idle_after_s` of the default settings.
+/// How long headroom must be idle before a controller releases it: `idle_after_s` of the default configuration.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The demand of a controller with twenty waiting tasks that could first start at `since_ms`.
+/// The demand of a controller with twenty waiting tasks that could first start at `since_ms`, and one running
+/// task if `running` is set.
 fn demand(member: &str, running: bool, lacks_machines: bool, since_ms: u64) -> MemberDemand {
     MemberDemand {
         used: if running {
@@ -43,9 +44,9 @@
     }
 }
 
-/// Two controllers that each run a task on a machine, and a third one whose work is the oldest. The third
-/// lacks machines if `lacks_machines` is set.
-fn two_run_and_one_lacks_machines(lacks_machines: bool) -> [MemberDemand; 3] {
+/// Two controllers that each run a task on a machine, and a third one that runs none and whose work is the
+/// oldest. The third one lacks machines if `lacks_machines` is set.
+fn two_run_and_third_waits(lacks_machines: bool) -> [MemberDemand; 3] {
     [
         demand("a", true, false, 5),
         demand("b", true, false, 6),
@@ -53,6 +54,7 @@
     ]
 }
 
+/// A record that allocates to each controller the headroom for this many tasks.
 fn record(tasks: [u64; 3]) -> AllocationRecord {
     let mut record = AllocationRecord::frozen(5, LIMIT);
     for (name, tasks) in NAMES.iter().zip(tasks) {
@@ -116,22 +118,22 @@
 /// no machine.
 #[test]
 fn a_controller_without_a_machine_releases_its_last_slot_to_one_that_can_use_it() {
-    let members = two_run_and_one_lacks_machines(true);
+    let members = two_run_and_third_waits(true);
     let (too_early, change) = release(&members);
     assert_eq!(too_early, None);
-    let change = change.expect("the slot is released after the idle time");
+    let change = change.expect("the slot should be released after the idle time");
     assert_eq!(change.transferred, TASK_AMOUNT);
     assert_eq!(
         change.record,
         record([2, 1, 0]),
-        "the whole slot goes to the controller with the older work"
+        "of the other two controllers, the one with the older work must get the whole slot"
     );
 }
 
-/// A controller that has a machine, booting or idle, keeps the headroom that its next task needs.
+/// A controller that has a machine, even one that is still booting, keeps the headroom that its next task needs.
 #[test]
 fn a_controller_with_a_machine_keeps_a_slot_for_its_next_task() {
-    let members = two_run_and_one_lacks_machines(false);
+    let members = two_run_and_third_waits(false);
     assert_eq!(release(&members), (None, None));
 }
 
@@ -143,11 +145,12 @@
     assert_eq!(release(&members), (None, None));
 }
 
-/// A gang that asks for the limit accumulates headroom even if its controller has no machine. It asks only once
-/// its machines are nearly available or it has waited for long.
+/// Headroom accumulates for a gang that waits for the limit, even if its controller has no machine: that
+/// controller releases none, and the others transfer theirs to it. Such a gang counts as waiting for the limit
+/// only once its machines are nearly available or it has waited for long.
 #[test]
 fn a_gang_that_waits_for_the_limit_releases_no_headroom() {
-    let mut members = two_run_and_one_lacks_machines(true);
+    let mut members = two_run_and_third_waits(true);
     if let Some(gang) = &mut members[2].oldest {
         gang.is_gang = true;
     }
@@ -157,14 +160,14 @@
     assert_eq!(change.unwrap().record, record([1, 1, 1]));
 }
 
-/// A released slot does not come back while its controller has no machine, however old the work there is. It
-/// comes back once there is a machine.
+/// A released slot is not returned to the controller that released it while that controller has no machine,
+/// even if its work is the oldest. It is returned once the controller has a machine.
 #[test]
 fn a_released_slot_is_returned_only_to_a_controller_with_a_machine() {
     let now = Instant::now();
     let released = record([2, 1, 0]);
     for lacks_machines in [true, false] {
-        let members = two_run_and_one_lacks_machines(lacks_machines);
+        let members = two_run_and_third_waits(lacks_machines);
         let changes = (0..NAMES.len()).filter_map(|index| {
             let mut controller = Controller::new(&members, index);
             controller.next_change(&released, now)
--- a/crates/rowanmill-limits/tests/properties.rs
+++ b/crates/rowanmill-limits/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Properties of targets, allocations and transfers for random demand, and the rejection of invalid input.
+//! Properties of targets, allocations, transfers, encoded keys and amounts for random input, and the rejection
+//! of invalid input.
 
 use proptest::prelude::*;
 use rowanmill_limits::key::{decode_team, encode_team};
@@ -61,8 +62,9 @@
         prop_assert!(sum(targets.into_iter()).fits_within(limit));
     }
 
-    /// Each controller's allocation covers the usage of its tasks, and the sum of all allocations does not
-    /// exceed the limit.
+    /// Each controller's allocation covers the usage of its tasks, and the sum of all allocations and of the
+    /// usage of jobs without a controller does not exceed the limit. Nothing is allocated while the usage exceeds
+    /// the limit, or before the replica has applied all changes up to the assignment.
     #[test]
     fn allocations_cover_what_is_in_use(
         limit in amount(20_000),
@@ -86,7 +88,7 @@
                 }
             }
             AllocationDecision::Keep => prop_assert!(!in_use.fits_within(limit)),
-            AllocationDecision::Freeze(_) => prop_assert!(false, "nothing can be started without a record"),
+            AllocationDecision::Freeze(_) => prop_assert!(false, "the leader freezes although there is no record"),
         }
         let behind = LeaderView { applied_revision: 4, ..view };
         prop_assert_eq!(decide_allocation(&behind), AllocationDecision::Keep);
@@ -119,7 +121,7 @@
         if let Some(change) = holder.next_change("t", &view, charged, Instant::now()) {
             prop_assert_eq!(change.base_revision, 7);
             prop_assert_eq!(change.record.total_allocated(), record.total_allocated());
-            prop_assert!(charged.fits_within(change.record.allocation_of("m0")), "the allocation still covers the charged amount");
+            prop_assert!(charged.fits_within(change.record.allocation_of("m0")), "the allocation no longer covers the charged amount");
             prop_assert!(change.transferred.fits_within(spare));
             for member in &members[1..] {
                 prop_assert!(member.used.fits_within(change.record.allocation_of(&member.member)));
@@ -143,6 +145,7 @@
     }
 }
 
+/// Invalid amounts are rejected, and decimal fractions are counted exactly.
 #[test]
 fn invalid_amounts_are_rejected() {
     for bad in [-1.0, f64::NAN, f64::INFINITY, 1e12] {
@@ -156,6 +159,7 @@
     );
 }
 
+/// A record whose allocations exceed its limit is rejected, and so is a malformed one.
 #[test]
 fn records_that_exceed_their_limit_are_rejected() {
     let fine = r#"{"assignment":3,"limit":[10,2],"allotments":{"a":[6,1],"b":[4,1]}}"#;
--- a/crates/rowanmill-limits/tests/records.rs
+++ b/crates/rowanmill-limits/tests/records.rs
@@ -1,5 +1,5 @@
-//! The stored JSON of a team's quota allocations and the encoding of team names in keys. Renaming an
-//! identifier must not change either.
+//! The stored JSON of a team's quota allocations and of waiting units, and the encoding of team names in keys.
+//! Renaming an identifier must change none of them.
 
 use rowanmill_limits::key::{decode_team, encode_team};
 use rowanmill_limits::{AllocationRecord, ResourceAmount, WaitingUnit};
