--- a/crates/rowanmill-cells/tests/model/cell.rs
+++ b/crates/rowanmill-cells/tests/model/cell.rs
@@ -21,7 +21,7 @@
     Completed,
     Stopped,
     Renewed,
-    /// No controller answers. The task runs until its lease expires.
+    /// No controller is running, or it may not renew leases. The task runs until its lease expires.
     Unanswered,
 }
 
@@ -87,8 +87,8 @@
         self.controllers[controller].read_ledger(ledger, &tracked, now);
     }
 
-    /// Extends the cell's lease; returns the transaction that registers the cell or updates its presence, if one
-    /// is needed.
+    /// Extends the cell's lease or creates a new one; returns the transaction that registers the cell or updates its
+    /// presence, if one is needed.
     pub fn renew_presence(
         &mut self,
         controller: usize,
--- a/crates/rowanmill-cells/tests/model/controller.rs
+++ b/crates/rowanmill-cells/tests/model/controller.rs
@@ -95,8 +95,8 @@
         halted.contains(id) || self.contact.halted.contains(id)
     }
 
-    /// Extends the cell's lease. Returns the transaction that registers the cell or updates its presence, if one is
-    /// needed.
+    /// Extends the cell's lease, or creates a new one if the controller has none that is valid. Returns the transaction
+    /// that registers the cell or updates its presence, if one is needed.
     pub fn renew_presence(
         &mut self,
         mut presence: CellPresence,
--- a/crates/rowanmill-cells/tests/model/controller_step.rs
+++ b/crates/rowanmill-cells/tests/model/controller_step.rs
@@ -1,5 +1,5 @@
-//! A controller's part of a simulation step: it reads the ledger, renews the cell's presence and carries out the
-//! actions that its planner returns.
+//! A controller's part of a simulation step: it reads the ledger and, as the leader, renews the cell's presence and
+//! carries out the actions that its planner returns.
 
 use super::records::RecordChange;
 use super::{CELLS, Defect, Model};
--- a/crates/rowanmill-cells/tests/model/mod.rs
+++ b/crates/rowanmill-cells/tests/model/mod.rs
@@ -38,7 +38,7 @@
 pub enum Defect {
     /// All safeguards are in place.
     None,
-    /// Jobs are taken over as soon as a cell is absent.
+    /// Jobs are taken over so soon after a cell became absent that their tasks may still run there.
     TakeOverAtOnce,
     /// Controllers start tasks regardless of the age of their last read of the ledger.
     StartWithoutRead,
@@ -56,7 +56,7 @@
     pub cancellations: usize,
     /// Restarts of all controllers of a cell.
     pub restarts: usize,
-    /// Adoptions of a job by a cell that had relinquished it before.
+    /// Adoptions that a cell sent for a job that it had relinquished before.
     pub readoptions: usize,
 }
 
@@ -106,8 +106,8 @@
         self.checker.violations()
     }
 
-    /// Runs the schedule until all jobs have ended or an invariant is violated. Reports the jobs that have not ended in
-    /// time as violations.
+    /// Runs the schedule through the fault period and until all jobs have ended, or until an invariant is violated.
+    /// Reports the jobs that have not ended in time as violations.
     pub fn run(&mut self) {
         while self.now < self.start + FAULT_PERIOD + RECOVERY_PERIOD {
             self.step();
--- a/crates/rowanmill-cells/tests/model/records.rs
+++ b/crates/rowanmill-cells/tests/model/records.rs
@@ -7,8 +7,8 @@
 /// A change of a cell's own records, with its precondition.
 #[derive(Clone)]
 pub enum RecordChange {
-    /// Inserts a job. The job must not be open or ended, and `relinquished_revision` must be the revision at which
-    /// the cell last relinquished it, or 0 if it never did.
+    /// Inserts a job. The cell must have no record of it, neither open nor ended, and `relinquished_revision` must be
+    /// the revision at which the cell last relinquished it, or 0 if it never did.
     Adopt {
         id: String,
         ownership: OwnershipVersion,
@@ -50,6 +50,7 @@
 #[derive(Default)]
 pub struct LocalRecords {
     revision: u64,
+    /// Jobs that have neither ended nor left the cell, including those that are cancelled or withdrawn.
     pub open: BTreeMap<String, JobRecord>,
     pub ended: BTreeMap<String, LocalJobState>,
     relinquished: BTreeMap<String, Relinquished>,
--- a/crates/rowanmill-cells/tests/records.rs
+++ b/crates/rowanmill-cells/tests/records.rs
@@ -122,7 +122,8 @@
     assert_eq!(read, summary);
 }
 
-/// The CPUs that all tasks of a job request together. An amount that is missing or invalid counts as 0.
+/// The CPUs that all tasks of a job request together. The total is 0 if the CPUs or the number of tasks are missing or
+/// invalid.
 #[test]
 fn requested_cpus_follow_from_the_description() {
     let cpus =
--- a/crates/rowanmill-cells/tests/schedules.rs
+++ b/crates/rowanmill-cells/tests/schedules.rs
@@ -1,7 +1,7 @@
 //! Randomized simulations ("schedules") of three cells that share a ledger, in simulated time. Faults are injected:
-//! ledger transactions whose responses are lost or that are carried out late, controllers that are paused, restarted
-//! or disconnected from the ledger, and cancellations at any time. A checker outside the cells verifies at every
-//! step which jobs the machines run and what users are told.
+//! ledger transactions whose responses are lost, writes that are carried out late, controllers that are paused,
+//! restarted or disconnected from the ledger, and cells without room. Jobs are cancelled at random times. A checker
+//! outside the cells verifies at every step which jobs the machines run and what users are told.
 
 mod model;
 
@@ -133,8 +133,8 @@
 }
 
 /// A handover gets no response, and the cell adopts the job again. If the handover were committed late, another cell
-/// could run the job, too. The cell therefore reclaims the job before it adopts it: this increments the epoch, and the
-/// late handover fails.
+/// could run the job, too. The cell therefore reclaims the job before it adopts it: this changes the revision of the
+/// job's record, which is a precondition of the late handover.
 #[test]
 fn late_handover_fails_once_the_cell_reclaimed_the_job() {
     let hands_over = |with_reclaim: bool| {
--- a/crates/rowanmill-cells/tests/spilling.rs
+++ b/crates/rowanmill-cells/tests/spilling.rs
@@ -1,7 +1,7 @@
 //! Randomized simulations ("schedules") of jobs that are spilled to other cells because they wait, in simulated time.
 //! Cells read the ledger late, rely on outdated summaries, decline jobs, or cannot rent machines although their
-//! summaries say so. Every job must end as long as one cell that accepts it has room, and none may move earlier than
-//! the settings allow.
+//! summaries say that they can. Every job must end, because one cell always accepts it and has room for it. A job must
+//! not be spilled earlier after its previous spill, or after the start, than the configuration allows.
 
 #[path = "model/ledger.rs"]
 mod ledger;
@@ -30,7 +30,7 @@
 /// and runs the jobs ahead of it first.
 const MAX_SCHEDULE_TIME: Duration = Duration::from_secs(150);
 
-/// The moves of a job, as observed in the ledger.
+/// The spills of a job, as observed in the ledger. Handovers by a cell that declines the job do not count.
 #[derive(Default)]
 struct Moves {
     count: u32,
@@ -116,7 +116,8 @@
         jobs.filter_map(|id| Some((id, self.ledger.job(id)?.record)))
     }
 
-    /// The violation if a job has moved before it waited in its cell for as long as the settings require.
+    /// The violation if the time between two spills of a job, or before its first one, is shorter than the
+    /// configuration requires.
     fn premature_move(&mut self) -> Option<String> {
         let now = self.now;
         for (id, moves) in &mut self.moves {
@@ -147,7 +148,7 @@
 #[test]
 fn waiting_jobs_end_where_there_is_room_and_do_not_move_early() {
     let mut moved = 0;
-    let mut moved_beyond_bound = 0;
+    let mut moved_more_often = 0;
     for seed in 0..SEEDS {
         let mut schedule = Schedule::new(seed);
         if let Err(violation) = schedule.run() {
@@ -155,10 +156,10 @@
         }
         for moves in schedule.moves.values() {
             moved += u32::from(moves.count > 0);
-            moved_beyond_bound += u32::from(moves.count > SPILL_MOVES);
+            moved_more_often += u32::from(moves.count > SPILL_MOVES);
         }
     }
-    println!("jobs that moved: {moved}; more than {SPILL_MOVES} times: {moved_beyond_bound}");
+    println!("jobs that moved: {moved}; more than {SPILL_MOVES} times: {moved_more_often}");
     // The schedules must contain the moves that they are meant to test.
     assert!(moved > 500);
 }
