--- a/crates/rowanmill-cells/src/config/tests.rs
+++ b/crates/rowanmill-cells/src/config/tests.rs
@@ -29,8 +29,8 @@
     checked.map_err(|problem| CellsConfig::error("cells.json", problem))
 }
 
-/// A value that is invalid, or that would let two cells run the same job, is rejected with the name of its
-/// field.
+/// A value is rejected if it is invalid, contradicts another one of the file or of the cell's settings, or would
+/// let two cells run the same job. The error names a field or, if the value cannot be parsed, its position.
 #[test]
 fn invalid_files_are_refused_by_field_name() {
     assert!(check(&valid_file()).is_ok());
@@ -62,6 +62,7 @@
         let shown = value.to_string();
         match file.pointer_mut(at) {
             Some(field) => *field = value,
+            // The valid file leaves out only `spill.at_once`.
             None => file["spill"]["at_once"] = value,
         }
         let error = check(&file).expect_err(at);
--- a/crates/rowanmill-cells/src/plan/tests.rs
+++ b/crates/rowanmill-cells/src/plan/tests.rs
@@ -11,7 +11,7 @@
 const JOB: &str = "job-1";
 /// Epoch of the job in these tests.
 const EPOCH: u64 = 2;
-/// The ledger's revision of all records in these tests.
+/// The ledger's revision of the jobs' records and of the replica in these tests.
 const REVISION: u64 = 9;
 
 fn config() -> CellsConfig {
@@ -175,10 +175,10 @@
     assert_eq!(plan_at(&replica, now), [Action::Adopt { id: id() }]);
 }
 
-/// A job that reached the spill limit does not leave after the usual wait, and no further job leaves while
+/// A job that has spilled `moves` times does not leave after the usual wait, and no further job leaves while
 /// `at_once` jobs are leaving.
 #[test]
-fn spills_are_limited_per_job_and_at_a_time() {
+fn spills_are_delayed_per_job_and_limited_at_a_time() {
     let now = Instant::now();
     let leaves = |spill_count: u32, relinquished: usize| {
         let mut record = job_of("a");
@@ -197,14 +197,18 @@
             .any(|action| matches!(action, Action::Withdraw { .. }))
     };
     assert!(leaves(0, 0) && leaves(2, 7));
-    assert!(!leaves(3, 0), "the job reached the spill limit");
-    assert!(!leaves(0, 8), "8 jobs are already leaving");
+    assert!(
+        !leaves(3, 0),
+        "the job has spilled `moves` times and must wait longer"
+    );
+    assert!(!leaves(0, 8), "no job may leave while 8 others are leaving");
 }
 
 /// A job that has spilled `moves` times must not stay for good in a cell that cannot run it: it waits longer
-/// in each further cell, and then spills again if another cell has capacity. With `moves` of 0 no job spills.
+/// in each further cell, and then spills again if another cell has capacity. With `moves` of 0, no job spills
+/// because it waits.
 #[test]
-fn job_at_the_spill_limit_waits_longer_before_it_spills() {
+fn job_that_spilled_often_waits_longer_before_it_spills_again() {
     let now = Instant::now();
     let leaves = |moves: u32, waited_s: u64| {
         let mut config = config();
@@ -293,8 +297,8 @@
     assert_eq!(count("job-declined", LocalJobState::Absent), 0);
 }
 
-/// A cell that cannot run a job hands it over to the cell that accepted it, or keeps it until another cell is
-/// present.
+/// A cell that cannot run a job relinquishes it and hands it over to the cell that accepted it. If no other cell
+/// is present, it keeps the job.
 #[test]
 fn declined_job_is_handed_over_to_its_home() {
     let now = Instant::now();
--- a/crates/rowanmill-cells/src/ranking/tests.rs
+++ b/crates/rowanmill-cells/src/ranking/tests.rs
@@ -38,9 +38,9 @@
     let by_class =
         "fn choose(job, cells) { if job.grist == \"render\" { \"danang\" } else { \"hue\" } }";
     assert_eq!(choose(by_class).as_deref(), Some("danang"));
-    let least = "fn choose(job, cells) { let best = cells[0]; for c in cells { if c.free_cpus > best.free_cpus \
+    let most_free = "fn choose(job, cells) { let best = cells[0]; for c in cells { if c.free_cpus > best.free_cpus \
                  { best = c; } } best.name }";
-    assert_eq!(choose(least).as_deref(), Some("hanoi"));
+    assert_eq!(choose(most_free).as_deref(), Some("hanoi"));
 }
 
 /// A cell is chosen within a limited time, in whichever way a script fails.
@@ -86,7 +86,7 @@
         .collect();
     assert!(
         !blocks.is_empty(),
-        "operations.md contains an example script"
+        "operations.md must contain an example script"
     );
     for block in blocks {
         assert_eq!(choose(block).as_deref(), Some("danang"), "{block}");
--- a/crates/rowanmill-cells/src/replica/tests.rs
+++ b/crates/rowanmill-cells/src/replica/tests.rs
@@ -28,8 +28,9 @@
     json!({"controller": "m-0", "incarnation": 1})
 }
 
-/// A malformed record, or one that names a cell outside of the operators' file, is counted and not applied. A
-/// job with such a record is marked unreadable, so that it counts neither as another cell's nor as unknown.
+/// A record that is malformed, names a cell outside of the operators' file or is of an unknown kind is counted
+/// and not applied. A job with such a record is marked unreadable until a valid record replaces it, so that it
+/// is taken neither for another cell's job nor for one that the ledger does not contain.
 #[test]
 fn malformed_records_are_counted_and_ignored() {
     let now = Instant::now();
@@ -109,8 +110,9 @@
     assert_eq!(replica.revoked_since("a", 6), Some(Vec::new()));
 }
 
-/// Just after a cancellation was read, another controller may still start the job by an earlier read. A reload
-/// from a listing discards the time of that read, so that a cancellation in the listing counts as just read.
+/// Just after a cancellation was read, another controller may still start the job by an earlier read, so the
+/// cancellation takes effect only after a delay. A reload from a listing without the job discards the time at
+/// which the cancellation was read.
 #[test]
 fn cancellation_takes_effect_after_a_delay() {
     let start = Instant::now();
--- a/crates/rowanmill-cells/src/report/tests.rs
+++ b/crates/rowanmill-cells/src/report/tests.rs
@@ -45,7 +45,7 @@
     replica
 }
 
-/// Scripts parse the JSON: this snapshot must not change while the format version is 1.
+/// Scripts parse the JSON, so the JSON in this snapshot must not change while the format version is 1.
 #[test]
 fn cells_report_format_is_stable() {
     let report = report_cells(&replica());
