--- a/crates/rowanmill-config/src/tests.rs
+++ b/crates/rowanmill-config/src/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn every_error_names_the_file_and_keeps_its_source() {
+fn errors_name_the_file_and_keep_their_source() {
     let missing = Example::load(Path::new("/nonexistent/example.json")).unwrap_err();
     assert!(matches!(missing.problem, ConfigProblem::Unreadable(_)));
     let malformed = Example::parse("{}", "e.json").unwrap_err();
--- a/crates/rowanmill-state/src/client/tests.rs
+++ b/crates/rowanmill-state/src/client/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 
-/// A client adopts the announced lower quota after three refusals, but not after a single one, and never if no
-/// lower quota is announced.
+/// A client adopts the announced lower quota after three refusals or at another controller's report, but not after
+/// a single refusal, and never if no lower quota is announced. Its write headroom is capped while other controllers
+/// are short of writes.
 #[test]
 fn repeated_refusals_lower_the_quota() {
     let addr = SocketAddr::from(([127, 0, 0, 1], 1));
