--- a/crates/rowanmill-testing/src/cloud/mod.rs
+++ b/crates/rowanmill-testing/src/cloud/mod.rs
@@ -59,7 +59,8 @@
         self.rentals.lock().unwrap().values().map(Vec::len).sum()
     }
 
-    /// Stops all machines at once, with the tasks that run on them.
+    /// Stops all machines at once, with the tasks that run on them, as if they had been released. New machines
+    /// can still be rented.
     pub fn power_off(&self) {
         let mut world = self.world.lock().unwrap();
         let rentals = self.rentals.lock().unwrap();
@@ -77,6 +78,7 @@
         })
     }
 
+    /// Answers a request. The list of rented machines is always empty.
     fn answer(&self, request: &StubRequest) -> (u16, Value) {
         match request.path.as_str() {
             "/catalog" => (200, catalog()),
@@ -87,7 +89,8 @@
         }
     }
 
-    /// Rents out as many of the requested machines as the capacity permits. A repeated request gets the same machines.
+    /// Rents out as many of the requested machines as the capacity permits; if that is none, answers with status 503.
+    /// A repeated request gets the same machines.
     fn rent(&self, body: &Value) -> (u16, Value) {
         let id = body["hire"].as_str().unwrap().to_owned();
         let mut world = self.world.lock().unwrap();
--- a/crates/rowanmill-testing/src/cloud/worker.rs
+++ b/crates/rowanmill-testing/src/cloud/worker.rs
@@ -1,5 +1,5 @@
-//! The worker on a machine: it sends heartbeats, executes the commands in the answers, checks their fencing tokens, ends
-//! its tasks when its lease expires, and runs each task for a fixed duration.
+//! The worker on a machine: it sends heartbeats, executes the commands in the answers, checks their fencing tokens,
+//! ends its tasks when its lease expires, and runs each task for a fixed duration.
 
 use super::Cloud;
 use crate::ask;
@@ -11,10 +11,11 @@
 /// The pause between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A task that a controller has started on the worker and has not reaped.
+/// A task that a controller has started on the worker. It is kept until the controller reaps it or the lease expires.
 struct Task {
     attempt: u64,
     started: Instant,
+    /// Whether it completed or was stopped. Heartbeats report either as `done`.
     has_ended: bool,
 }
 
@@ -27,7 +28,8 @@
     sequence: u64,
     /// The index of the controller that it reports to.
     controller: usize,
-    /// When the last answered heartbeat was sent. Before the first answer, when this incarnation began.
+    /// When the last heartbeat whose answer renewed the lease was sent. Before the first such answer, when this
+    /// incarnation began.
     lease_renewed: Instant,
     tasks: BTreeMap<String, Task>,
 }
@@ -150,8 +152,8 @@
         }
     }
 
-    /// Renews the lease and executes the commands. An answer with a lower fencing token than an earlier one comes from a
-    /// replaced owner and is ignored.
+    /// Renews the lease and executes the commands. An answer with a lower fencing token than an earlier one comes from
+    /// a replaced owner and is ignored.
     fn handle_answer(&mut self, answer: &Value, sent: Instant) {
         let token = answer["warrant"].as_u64().unwrap();
         if token < self.fencing_token {
--- a/crates/rowanmill-testing/src/cloud/world.rs
+++ b/crates/rowanmill-testing/src/cloud/world.rs
@@ -10,9 +10,10 @@
 /// also detects a task that runs on machines of two clouds.
 #[derive(Default)]
 pub struct World {
+    /// All machines that were ever rented, with the handles that stop their workers.
     machines: BTreeMap<String, AbortHandle>,
     released: HashSet<String>,
-    /// The machine on which each running task is.
+    /// The machine of each running task.
     machine_by_task: HashMap<String, String>,
     completed: HashSet<String>,
     /// By job, the tasks that must be completed before any of its own starts.
@@ -23,7 +24,7 @@
     pub hung: HashSet<String>,
     /// Machines whose heartbeats reach no controller.
     pub cannot_send: HashSet<String>,
-    /// Machines that no answer of a controller reaches.
+    /// Machines that no answer of a controller reaches. Their heartbeats still arrive.
     pub cannot_receive: HashSet<String>,
     /// The number of worker leases that expired while the worker had tasks.
     pub expired_leases: usize,
@@ -92,7 +93,7 @@
         self.machines.insert(name.to_owned(), worker);
     }
 
-    /// Stops a machine, with the tasks that run on it.
+    /// Stops a machine, with the tasks that run on it, and marks it as released.
     pub(super) fn release(&mut self, machine: &str) {
         if let Some(worker) = self.machines.get(machine) {
             worker.abort();
@@ -132,7 +133,7 @@
             .filter(|dependency| !self.completed.contains(*dependency))
             .collect();
         if !missing.is_empty() {
-            let broken = format!("{task} starts before {missing:?}");
+            let broken = format!("{task} starts before its dependencies {missing:?} are completed");
             self.broken_rules.push(broken);
         }
     }
@@ -184,7 +185,7 @@
         let late: Vec<String> = tasks.filter(is_late).cloned().collect();
         for task in late {
             self.record_broken_rule(format!(
-                "{task} still runs too long after its job was cancelled"
+                "{task} still runs more than {timeout:?} after its job was cancelled"
             ));
         }
     }
