--- a/crates/rowanmill-testing/src/cluster/mod.rs
+++ b/crates/rowanmill-testing/src/cluster/mod.rs
@@ -51,7 +51,7 @@
     pub state: StateService,
     /// The stand-in for the cloud.
     pub cloud: Cloud,
-    /// For each controller, whether its connection to the state service is cut: its requests then get status 503.
+    /// For each controller, whether its connection to the state service is cut: new requests then get status 503.
     pub state_cuts: Vec<Arc<AtomicBool>>,
     /// The address of each controller for users and workers.
     pub api: Vec<SocketAddr>,
@@ -59,7 +59,7 @@
     pub mesh: Vec<SocketAddr>,
     state_addrs: Vec<SocketAddr>,
     cloud_addr: SocketAddr,
-    /// The arguments that all controllers are started with, besides `serve --config`.
+    /// The arguments that all controllers are started with, besides `serve` and `--config`.
     arguments: Vec<OsString>,
     /// The path of each controller's program.
     programs: Vec<PathBuf>,
@@ -98,19 +98,20 @@
         }
     }
 
-    /// Adds arguments that each controller gets from its next start.
+    /// Adds arguments that each controller gets from its next start on.
     pub fn add_arguments(&mut self, arguments: impl IntoIterator<Item = impl AsRef<OsStr>>) {
         let arguments = arguments.into_iter();
         self.arguments
             .extend(arguments.map(|argument| argument.as_ref().to_owned()));
     }
 
-    /// Sets the program, such as another build, that a controller runs from its next start.
+    /// Sets the program, such as another build, that a controller runs from its next start on.
     pub fn set_program(&mut self, number: usize, program: impl Into<PathBuf>) {
         self.programs[number] = program.into();
     }
 
-    /// Sets the policy that each controller uses from its next start.
+    /// Sets the policy that each controller uses from its next start on. May be called only once, because the program
+    /// refuses a repeated `--policy`.
     pub fn set_policy(&mut self, policy: &str) {
         let file = self.folder.write("policy", policy);
         self.add_arguments(["--policy".as_ref(), file.as_os_str()]);
@@ -130,7 +131,8 @@
         std::fs::read_to_string(self.log_file(number)).unwrap_or_default()
     }
 
-    /// The lines in the logs of all controllers that report an error, such as a record that was rejected as malformed.
+    /// The lines in the logs of all controllers that contain `ERROR`, `rejected` or `malformed`, and so report an error,
+    /// such as a record that was rejected as malformed.
     pub fn logged_errors(&self) -> Vec<String> {
         let is_error = |line: &&str| {
             let words = ["ERROR", "rejected", "malformed"];
@@ -176,7 +178,7 @@
     /// Kills a controller's process at once, without an orderly shutdown.
     pub fn kill(&mut self, number: usize) {
         if let Some(mut process) = self.processes[number].take() {
-            // Both calls fail only if the process has already exited by itself.
+            // Neither call fails if the process has already exited by itself. Other failures are not expected.
             let _ = process.kill();
             let _ = process.wait();
         }
@@ -187,7 +189,7 @@
         (0..self.config.controllers).for_each(|number| self.kill(number));
     }
 
-    /// Sends a signal, such as `-STOP` or `-CONT`, to a controller's process.
+    /// Sends a signal, such as `-STOP` or `-CONT`, to a controller's process if it was started and not killed.
     pub fn signal(&self, number: usize, signal: &str) {
         if let Some(process) = &self.processes[number] {
             let pid = process.id().to_string();
@@ -196,7 +198,7 @@
         }
     }
 
-    /// The number of the leading controller, if there is a leader.
+    /// The number of the leading controller according to its record in the state service, if there is one.
     pub fn leader(&self) -> Option<usize> {
         let record = self.state.stored("r/leader").into_values().next()?;
         settings::controller_number(record["member"].as_str()?)
@@ -237,7 +239,7 @@
 /// The result of a command of the command-line client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClientOutput {
-    /// The exit code.
+    /// The exit code, or -1 if a signal ended the program.
     pub code: i32,
     /// The standard output.
     pub text: String,
--- a/crates/rowanmill-testing/src/cluster/settings.rs
+++ b/crates/rowanmill-testing/src/cluster/settings.rs
@@ -17,7 +17,7 @@
 pub struct StateRates {
     /// Requests per second.
     pub requests_per_s: f64,
-    /// Changes per second.
+    /// Operations in transactions per second.
     pub writes_per_s: f64,
 }
 
--- a/crates/rowanmill-testing/src/cluster/users.rs
+++ b/crates/rowanmill-testing/src/cluster/users.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
-/// How users retry a request that fails temporarily.
+/// How users retry a request that fails temporarily. The test fails after the last attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct Retry {
     /// The maximum number of attempts.
@@ -58,13 +58,17 @@
                 self.record_reported_stage(id, answer["stage"].as_str().unwrap());
                 return answer;
             }
-            assert!(is_retryable(status), "{status} {answer}");
+            assert!(
+                is_retryable(status),
+                "submission of {id} refused: {status} {answer}"
+            );
             tokio::time::sleep(pause).await;
         }
-        panic!("not accepted after {attempts} attempts: {job}");
+        panic!("submission not accepted after {attempts} attempts: {job}");
     }
 
-    /// Cancels a job at one controller after the other until one confirms the request. Returns the stage in the answer.
+    /// Cancels a job at one controller after the other, beginning with controller 0, until one confirms the request.
+    /// Returns the stage in the answer.
     pub async fn cancel(&self, id: &str) -> String {
         self.cancel_with_step(0, 1, id).await
     }
@@ -90,13 +94,17 @@
                 }
                 return stage;
             }
-            assert!(is_retryable(status), "{status} {answer}");
+            assert!(
+                is_retryable(status),
+                "cancellation of {id} refused: {status} {answer}"
+            );
             tokio::time::sleep(pause).await;
         }
         panic!("cancellation not confirmed after {attempts} attempts: {id}");
     }
 
-    /// A job's stage as the first controller that answers reports it; empty if none answers.
+    /// A job's stage as the first controller that answers with status 200 reports it; empty if none does. Fails the
+    /// test if one that is asked does not know the job.
     pub async fn stage(&self, id: &str) -> String {
         for number in 0..self.config.controllers {
             if let Some(stage) = self.stage_at(number, id).await {
@@ -106,7 +114,8 @@
         String::new()
     }
 
-    /// A job's stage as one controller reports it, if it answers.
+    /// A job's stage as one controller reports it, if it answers with status 200. Fails the test if it does not know
+    /// the job.
     pub async fn stage_at(&self, number: usize, id: &str) -> Option<String> {
         let (status, answer) = self.get(number, &format!("/v1/jobs/{id}")).await;
         assert_ne!(status, 404, "controller {number} does not know {id}");
@@ -129,7 +138,7 @@
                 }
                 assert!(
                     Instant::now() < deadline,
-                    "{id} is still {stage} after {timeout:?}"
+                    "{id} has not ended after {timeout:?}; last reported stage: {stage:?}"
                 );
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
@@ -159,8 +168,8 @@
         world.history.record(Event::StageReported { job, stage });
     }
 
-    /// Rules that the machines found broken, and violations that the checker finds in the history of reports to users
-    /// and of task runs.
+    /// The broken rules that the world has recorded, and the violations that the checker finds in its history. Jobs
+    /// that have not ended do not count as lost.
     pub fn broken_rules(&self) -> Vec<String> {
         let world = self.cloud.world.lock().unwrap();
         let violations = world.history.violations(false);
