--- a/crates/rowanmill-testing/src/cluster/mod.rs
+++ b/crates/rowanmill-testing/src/cluster/mod.rs
@@ -131,8 +131,8 @@
         std::fs::read_to_string(self.log_file(number)).unwrap_or_default()
     }
 
-    /// The lines in the logs of all controllers that contain `ERROR`, `rejected` or `malformed`, and so report an error,
-    /// such as a record that was rejected as malformed.
+    /// The lines in the logs of all controllers that contain `ERROR`, `rejected` or `malformed`, as those that report
+    /// a malformed record do.
     pub fn logged_errors(&self) -> Vec<String> {
         let is_error = |line: &&str| {
             let words = ["ERROR", "rejected", "malformed"];
--- a/crates/rowanmill-testing/src/cluster/users.rs
+++ b/crates/rowanmill-testing/src/cluster/users.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
-/// How users retry a request that fails temporarily. The test fails after the last attempt.
+/// How users retry a request that fails temporarily. The test fails if the last attempt fails too.
 #[derive(Debug, Clone, Copy)]
 pub struct Retry {
     /// The maximum number of attempts.
--- a/crates/rowanmill-testing/src/history/tests.rs
+++ b/crates/rowanmill-testing/src/history/tests.rs
@@ -100,7 +100,7 @@
     for (what, events) in contradictory {
         let all: Vec<Event> = accepted.iter().chain(events).cloned().collect();
         let found = violations(&all);
-        assert!(!found.is_empty(), "{what} is not detected");
+        assert!(!found.is_empty(), "no violation is found for {what:?}");
         trace.push_str(&format!("{what}: {}\n", found.join("; ")));
     }
     insta::assert_snapshot!(trace, @r"
--- a/crates/rowanmill-testing/src/state/mod.rs
+++ b/crates/rowanmill-testing/src/state/mod.rs
@@ -85,8 +85,8 @@
         self.0.lock().unwrap().store.revision
     }
 
-    /// The values of all keys with a prefix. Keys of a lease that has expired are included until the next
-    /// request is served.
+    /// The values of all keys with a prefix. Keys of a lease that has expired are included until the next request is
+    /// served.
     pub fn stored(&self, prefix: &str) -> BTreeMap<String, Value> {
         self.0.lock().unwrap().store.values(prefix)
     }
