--- a/src/testing/tests.rs
+++ b/src/testing/tests.rs
@@ -301,7 +301,7 @@
 /// outage for all. Its peer must take over the tasks that it placed without running one twice, and both controllers
 /// must know each job once the connection is restored.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_controller_reached_only_by_its_workers_is_taken_over() {
+async fn tasks_of_a_controller_without_state_service_and_peer_are_taken_over() {
     let cluster = TestCluster::new(2, Duration::from_millis(2500)).await;
     let cut = Arc::new(AtomicBool::new(false));
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
