--- a/src/testing/fault_scenarios.rs
+++ b/src/testing/fault_scenarios.rs
@@ -398,7 +398,7 @@
 /// four a second. A quarter is cancelled at once, another quarter about when its task ends. In the end only the final
 /// states may be left of the jobs.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_controller_reports_an_older_stage_than_another_did() {
+async fn no_controller_contradicts_a_final_stage_that_another_reported() {
     let cluster = TestCluster::new(3, Duration::from_millis(400)).await;
     let _controllers = start_three(&cluster).await;
     let users = Users::new(&cluster);
