--- a/src/testing/mod.rs
+++ b/src/testing/mod.rs
@@ -1,5 +1,5 @@
-//! Tests of whole controllers, each on a thread with its own runtime, against the state service, the cloud and
-//! the workers of `rowanmill-testing`.
+//! Tests of whole controllers against stand-ins for the state service, the cloud and the workers; snapshots of every
+//! interface, in `compatibility`; and a check of the paths on the pages for newcomers, in `documentation`.
 
 pub mod compatibility;
 mod documentation;
@@ -24,7 +24,8 @@
     mesh: SocketAddr,
 }
 
-/// A running controller. Dropping it stops it without a shutdown, at whatever await point its tasks have reached.
+/// A controller that runs on a thread with its own runtime. Dropping it ends its tasks at whatever await points they
+/// have reached, without a graceful shutdown.
 struct Controller {
     stop: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
@@ -33,19 +34,22 @@
 /// The feature level and the settings with which a controller is started.
 #[derive(Clone, Copy)]
 struct ControllerConfig {
-    /// The highest feature level that the controller supports. `NONE` is that of the previous version.
+    /// The feature level that the controller supports, without that of divided limits, which `divides_limits` adds.
+    /// `NONE` is that of the previous version.
     supported_level: FeatureLevel,
-    /// Maximum size of a value in the state service, in KiB.
+    /// Maximum size of a value in the state service, in KiB, according to the settings. The stand-in applies only the
+    /// limits that a test sets on it.
     value_kb: f64,
-    /// Lower limits that the state service is going to apply: value size in KiB, operations per transaction and
-    /// writes per second.
+    /// Lower limits of the state service that the settings announce: value size in KiB, operations per transaction
+    /// and writes per second.
     next_state_limits: Option<(f64, usize, f64)>,
     timeouts: Timeouts,
-    /// Whether each team's limit is divided among the controllers.
+    /// Whether the controller is configured to divide the teams' limits among the controllers.
     divides_limits: bool,
     /// The team's limit, in CPUs.
     team_limit_cpus: f64,
-    /// Memory limit in MB. It applies to the whole test process, in which all controllers of a test run.
+    /// Memory limit in MB. The controller compares it with the allocated memory of the whole test process, which
+    /// contains all controllers of a test.
     memory_mb: f64,
 }
 
--- a/src/testing/tests.rs
+++ b/src/testing/tests.rs
@@ -83,10 +83,13 @@
             if matches!(status, 200 | 201) {
                 return body;
             }
-            assert!(matches!(status, 0 | 429 | 503), "{status} {body}");
+            assert!(
+                matches!(status, 0 | 429 | 503),
+                "the job was refused permanently: {status} {body}"
+            );
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
-        panic!("not accepted within 400 attempts: {job}");
+        panic!("the job was not accepted within 400 attempts: {job}");
     }
 
     /// Submits a job that depends on others, each given with its number of tasks. The cloud's world records a broken
@@ -155,8 +158,16 @@
     assert_eq!((again.0, again.1["stage"].as_str()), (200, Some("done")));
     let world = cluster.cloud.world.lock().unwrap();
     assert_eq!(world.broken_rules, Vec::<String>::new());
-    assert!(world.starts >= 12);
-    assert!(world.peak_running <= 6, "the team's limit is 6 CPUs");
+    assert!(
+        world.starts >= 12,
+        "12 tasks are done after {} starts",
+        world.starts
+    );
+    assert!(
+        world.peak_running <= 6,
+        "{} tasks of 1 CPU ran at a time, more than the team's limit of 6 CPUs",
+        world.peak_running
+    );
 }
 
 /// Guards against a reported cancellation that a later answer contradicts, tasks that keep running although their job's
@@ -189,8 +200,8 @@
     );
 }
 
-/// During an outage of the state service a controller refuses submissions at once, stays healthy, and keeps the final
-/// states of jobs. Requests that can never succeed get a 4xx status.
+/// Once the state service has been out for a few seconds, a controller refuses submissions at once. It stays healthy
+/// and keeps the final states of jobs. Requests that can never succeed get a 4xx status.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_outage_of_the_state_service_refuses_at_once_and_loses_no_job() {
     let cluster = TestCluster::new(1, Duration::from_millis(300)).await;
@@ -215,6 +226,7 @@
     let done = async || cluster.stage(0, "job-4").await == "done";
     until("the job is done", done).await;
     cluster.state.set_outage(true);
+    // Longer than `STATE_TIMEOUT`, after which requests are refused at once instead of after a timeout.
     tokio::time::sleep(Duration::from_millis(3500)).await;
     let sent = Instant::now();
     assert_eq!(
@@ -223,17 +235,17 @@
     );
     assert!(
         sent.elapsed() < Duration::from_millis(500),
-        "the refusal is not delayed"
+        "the refusal was delayed"
     );
     assert_eq!(
         cluster.get(0, "/v1/jobs/job-6").await.0,
         503,
-        "without a read it is undecided whether the job exists"
+        "whether the job exists cannot be known without a read"
     );
     assert_eq!(
         cluster.stage(0, "job-4").await,
         "done",
-        "a final state is served without a read"
+        "a final state must be served without a read"
     );
     assert_eq!(cluster.get(0, "/healthz").await.0, 200);
     cluster.state.set_outage(false);
@@ -266,7 +278,7 @@
                 200 | 201
             )
         };
-        until("the job is accepted", accepted).await;
+        until(&format!("{id} is accepted"), accepted).await;
     }
     for _ in 0..3 {
         // Two of three controllers restart before their presence leases expire, possibly the leader among them.
@@ -286,7 +298,11 @@
         for n in 20..25 {
             let id = format!("job-{n}");
             let done = async || cluster.stage(number, &id).await == "done";
-            until("each controller knows how each job ended", done).await;
+            until(
+                &format!("controller {number} knows that {id} is done"),
+                done,
+            )
+            .await;
             let again = cluster.post(number, "/v1/jobs", job(&id, 3, 1.0)).await;
             assert_eq!((again.0, again.1["stage"].as_str()), (200, Some("done")));
         }
@@ -297,9 +313,10 @@
 }
 
 /// Guards against a task that runs on two machines at the same time, and an accepted job that is no longer known: a
-/// controller loses the state service and its peers, but its workers still reach it, which it cannot tell from an
-/// outage for all. Its peer must take over the tasks that it placed without running one twice, and both controllers
-/// must know each job once the connection is restored.
+/// controller that cannot reach its peer loses its connection to the state service, but its workers still reach it. It
+/// cannot tell this from an outage of the state service for all controllers. Its peer must take over the tasks that it
+/// placed, without running one on two machines at the same time, and both controllers must know each job once the
+/// connection is restored.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn tasks_of_a_controller_without_state_service_and_peer_are_taken_over() {
     let cluster = TestCluster::new(2, Duration::from_millis(2500)).await;
@@ -317,25 +334,29 @@
     let ids: Vec<String> = (40..46).map(|n| format!("job-{n}")).collect();
     for (n, id) in ids.iter().enumerate() {
         let status = cluster.post(n % 2, "/v1/jobs", job(id, 3, 1.0)).await.0;
-        assert_eq!(status, 201);
+        assert_eq!(status, 201, "{id} must be accepted");
     }
     let running = async || cluster.stage(1, "job-40").await == "running";
     until("the job runs", running).await;
     cut.store(true, Ordering::Relaxed);
     for id in &ids {
         let done = async || cluster.stage(1, id).await == "done";
-        until("the peer finishes the job", done).await;
+        until(&format!("the peer reports {id} as done"), done).await;
     }
     let (status, _) = cluster.post(0, "/v1/jobs", job("job-46", 1, 1.0)).await;
-    assert_eq!(status, 503, "a job that cannot be recorded is not accepted");
+    assert_eq!(status, 503, "a job that cannot be recorded must be refused");
     cut.store(false, Ordering::Relaxed);
     for id in &ids {
         let done = async || cluster.stage(0, id).await == "done";
-        until("the first controller knows that the job is done", done).await;
+        until(&format!("the first controller reports {id} as done"), done).await;
     }
     let world = cluster.cloud.world.lock().unwrap();
     assert_eq!(world.broken_rules, Vec::<String>::new());
-    assert!(world.starts >= 18);
+    assert!(
+        world.starts >= 18,
+        "18 tasks are done after {} starts",
+        world.starts
+    );
 }
 
 /// Guards against a task that starts before the jobs that its job depends on are done, a job that is not cancelled
@@ -354,7 +375,8 @@
         .submit_after(1, "job-53", &[("job-51", 2), ("job-52", 2)])
         .await;
     assert_eq!(body["stage"], "queued");
-    // Refused permanently: unknown jobs, the job itself, values that are no list of ids, and a list that is too long.
+    // Refused permanently: unknown jobs, the job itself, values that are not a list of ids, and a list that is too
+    // long.
     for (awaits, status) in [
         (json!(["job-99"]), 422),
         (json!(["job-50", "job-54"]), 422),
@@ -367,11 +389,16 @@
     ] {
         let mut job = job("job-54", 1, 1.0);
         job["awaits"] = awaits;
-        assert_eq!(cluster.post(0, "/v1/jobs", job).await.0, status);
+        assert_eq!(
+            cluster.post(0, "/v1/jobs", job).await.0,
+            status,
+            "invalid dependencies must be refused"
+        );
     }
     let running = async || cluster.stage(0, "job-50").await == "running";
     until("the first job runs", running).await;
-    // Both controllers stop around the end of the first job. Its dependents must still be released.
+    // One controller stops while the first job runs, the other right after its end. The jobs that depend on it must
+    // still run.
     drop(first);
     let done = async || cluster.stage(1, "job-50").await == "done";
     until("the first job is done", done).await;
@@ -381,11 +408,11 @@
     assert_ne!(
         cluster.stage(0, "job-53").await,
         "",
-        "a blocked job is known"
+        "a blocked job must be known"
     );
     let done = async || cluster.stage(0, "job-53").await == "done";
     until("the last job is done", done).await;
-    // A job whose dependencies are already done is not blocked. A repeated submission returns the job's stage.
+    // A job whose dependencies are already done is accepted. A repeated submission returns the job's stage.
     cluster.submit_after(1, "job-55", &[("job-53", 2)]).await;
     let again = cluster
         .submit_after(0, "job-53", &[("job-51", 2), ("job-52", 2)])
@@ -419,7 +446,7 @@
     let body = cluster.submit_after(1, "job-70", &[("job-69", 2)]).await;
     assert_eq!(
         body["stage"], "cancelled",
-        "a job that depends on a cancelled one is accepted and cancelled"
+        "a job that depends on a cancelled one must be accepted and cancelled"
     );
     let ended = async || cluster.state.stored("r/j/").is_empty();
     until("no open or blocked job is recorded", ended).await;
@@ -439,8 +466,9 @@
 }
 
 /// A rolling upgrade from the previous version: controllers are replaced one at a time, the leader first or last, and
-/// the limits of the state service are lowered after, during or before the upgrade. Each task must run once, jobs with
-/// dependencies are refused until every controller is upgraded, and no transaction exceeds the limits.
+/// the limits of the state service are lowered after, during or before the upgrade. Every job must be done, and no task
+/// may run on two machines at the same time. Jobs with dependencies are refused until every controller is upgraded. No
+/// transaction may have more operations than the lowered limit.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_rolling_upgrade_under_lowered_state_limits_keeps_every_job() {
     let next_state_limits = Some((1.0, 8, 60.0));
@@ -491,7 +519,7 @@
             until("the upgraded controller is healthy", ready).await;
             if count < 2 {
                 let (status, _) = cluster.post(number, "/v1/jobs", blocked).await;
-                assert_eq!(status, 503, "dependencies need every controller upgraded");
+                assert_eq!(status, 503, "not every controller supports dependencies");
             }
             let id = format!("job-{}", 81 + count);
             cluster.submit((number + 1) % 3, &job(&id, 30, 0.1)).await;
@@ -506,10 +534,10 @@
         cluster.submit(1, &job("job-86", 100, 0.05)).await;
         for id in ["job-80", "job-81", "job-82", "job-83", "job-85", "job-86"] {
             let done = async || cluster.stage(1, id).await == "done";
-            until("the job is done", done).await;
+            until(&format!("{id} is done"), done).await;
         }
         assert_eq!(cluster.broken_rules(), Vec::<String>::new());
         let too_many = cluster.state.refusals().too_many_operations;
-        assert_eq!(too_many, 0, "no transaction has too many operations");
+        assert_eq!(too_many, 0, "transactions had too many operations");
     }
 }
