--- a/src/testing/fault_scenarios.rs
+++ b/src/testing/fault_scenarios.rs
@@ -1,4 +1,5 @@
-//! Combinations of two faults, each in the order of events that would break a rule.
+//! Faults, combinations of faults, and concurrent requests, each in an order of events in which a faulty controller
+//! would break a rule.
 
 use super::tests::{TestCluster, job};
 use super::{Controller, ControllerConfig, DEFAULT_CONFIG, Timeouts};
@@ -19,7 +20,8 @@
     cancel_s: 10.0,
 };
 
-/// Serves the state service at an address for one controller, and returns it with the flag that cuts the connection.
+/// Serves the state service to one controller at an address of its own. Returns the address, and the flag that cuts the
+/// connection.
 async fn serve_state_with_cut(cluster: &TestCluster) -> (SocketAddr, Arc<AtomicBool>) {
     let cut = Arc::new(AtomicBool::new(false));
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -28,8 +30,8 @@
     (addr, cut)
 }
 
-/// Cancels a job, and repeats the request until the controller confirms it. From then on the world records a broken rule
-/// if a task of the job starts or runs for too long.
+/// Cancels a job, and repeats the request until the controller confirms it. From then on the world records a broken
+/// rule if a task of the job starts, or still runs after `cancel_s`.
 async fn cancel(cluster: &TestCluster, number: usize, id: &str) {
     let confirmed = async || {
         let path = format!("/v1/jobs/{id}/abort");
@@ -41,9 +43,9 @@
 }
 
 /// Guards against tasks that start, or still run after `cancel_s`, although their job's cancellation was confirmed: the
-/// state service refuses only the leader, the peer confirms a cancellation, and then the state service is out for all
-/// for longer than `cancel_s`, while workers report to the old leader. If the leader reaches its peer, it stops only
-/// the tasks of the cancelled job, and all others run through the outage.
+/// owner of all machines loses its connection to the state service, and its peer confirms a cancellation. Then the
+/// state service is out for both for longer than `cancel_s`, while the workers still report to the owner. If the owner
+/// reaches its peer, it must stop only the tasks of the cancelled job, and all others must run through the outage.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_owner_without_state_service_stops_only_jobs_that_its_peer_cancelled() {
     let scenario = DisconnectedOwner::new(true).await;
@@ -52,23 +54,31 @@
         let world = scenario.cluster.cloud.world.lock().unwrap();
         assert_eq!(world.broken_rules, Vec::<String>::new());
         let running = (world.running_tasks("job-1"), world.running_tasks("job-2"));
-        assert_eq!((running, world.expired_leases), ((0, 3), 0));
+        assert_eq!(
+            (running, world.expired_leases),
+            ((0, 3), 0),
+            "(running tasks of the cancelled and of the other job), expired leases of workers with tasks"
+        );
     }
     assert_eq!(
         scenario.cluster.stage(0, "job-1").await,
         "cancelled",
-        "the owner learned of the cancellation from its peer"
+        "the owner must have learned of the cancellation from its peer"
     );
     scenario.restore_connections().await;
 }
 
-/// Guards against the same failure as the test above, but the leader does not reach its peer and cannot know which jobs
-/// are cancelled. It must stop renewing all leases in time, so that no cancelled task runs for longer than `cancel_s`.
+/// Guards against the same failure as the test above, but the owner does not reach its peer and cannot know which jobs
+/// are cancelled. It must stop renewing the leases of all workers in time, so that no cancelled task runs for longer
+/// than `cancel_s`.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_owner_without_state_service_and_peers_lets_all_leases_expire() {
     let scenario = DisconnectedOwner::new(false).await;
     scenario.cancel_and_outlast_timeout().await;
-    assert!(scenario.cluster.cloud.world.lock().unwrap().nothing_runs());
+    assert!(
+        scenario.cluster.cloud.world.lock().unwrap().nothing_runs(),
+        "tasks still run after their workers' leases should have expired"
+    );
     scenario.restore_connections().await;
 }
 
@@ -98,7 +108,7 @@
         for id in ["job-1", "job-2"] {
             cluster.submit(0, &job(id, 3, 1.0)).await;
             let running = || cluster.cloud.world.lock().unwrap().running_tasks(id) == 3;
-            until("all tasks of the job run", async || running()).await;
+            until(&format!("all tasks of {id} run"), async || running()).await;
         }
         let peer = cluster.start_with(config, 1);
         let ready = async || cluster.get(1, "/healthz").await.0 == 200;
@@ -113,8 +123,8 @@
         }
     }
 
-    /// Cuts the first controller from the state service, cancels a job at the second, and then plays an outage for all
-    /// that lasts longer than tasks of a cancelled job may run.
+    /// Cuts the first controller's connection to the state service, cancels a job at the second, and then begins an
+    /// outage for both, which lasts for longer than tasks of a cancelled job may run.
     async fn cancel_and_outlast_timeout(&self) {
         self.cut.store(true, Ordering::Relaxed);
         cancel(&self.cluster, 1, "job-1").await;
@@ -123,13 +133,18 @@
         assert_eq!(self.cluster.broken_rules(), Vec::<String>::new());
     }
 
-    /// Restores all connections. The cancelled job must stay cancelled, and the other must run.
+    /// Restores all connections. Both controllers must then report the cancelled job as cancelled, and the other job
+    /// must run.
     async fn restore_connections(&self) {
         self.cluster.state.set_outage(false);
         self.cut.store(false, Ordering::Relaxed);
         for number in 0..2 {
             let cancelled = async || self.cluster.stage(number, "job-1").await == "cancelled";
-            until("the job is reported as cancelled", cancelled).await;
+            until(
+                &format!("controller {number} reports the cancelled job"),
+                cancelled,
+            )
+            .await;
         }
         let runs = || {
             self.cluster
@@ -197,12 +212,12 @@
     let (status, _) = cluster.post(1, "/v1/jobs", job("job-1", 2, 1.0)).await;
     assert_eq!(
         status, 200,
-        "repeated submission of a job that the other controller accepted"
+        "a job that the other controller accepted must be known"
     );
     let (status, _) = cluster
         .post(1, "/v1/jobs", json!({"nameId": "job-3"}))
         .await;
-    assert_eq!(status, 400, "an invalid submission stays invalid");
+    assert_eq!(status, 400, "an invalid submission must get status 400");
     let done = async || cluster.stage(1, "job-1").await == "done";
     until("the job is done and reported as done", done).await;
     cluster.submit(0, &job("job-4", 500, 1.0)).await;
@@ -254,7 +269,7 @@
                 let stage = answer["stage"].as_str().unwrap_or_default();
                 assert!(
                     status == 200 && expected.contains(&stage),
-                    "{status} {answer}"
+                    "{field}={value} at controller {number}: {status} {answer}"
                 );
             }
         }
@@ -268,7 +283,7 @@
     assert_eq!(
         cluster.get(0, "/v1/jobs/job-2").await.0,
         404,
-        "no invalid submission was accepted"
+        "an invalid submission was accepted"
     );
     insta::assert_snapshot!(trace, @r#"
     sacks=0: 400 `sacks` is invalid
@@ -285,7 +300,8 @@
     "#);
 }
 
-/// Users of all controllers. They check that no answer contradicts what any controller reported before the request.
+/// Users of all controllers. They check that every controller knows each accepted job, and that no answer contradicts a
+/// final stage that any controller reported before the request.
 struct Users<'a> {
     cluster: &'a TestCluster,
     /// The last stage reported for each job; a final stage stays.
@@ -303,7 +319,8 @@
     }
 
     /// Checks an answer against `before`, the stage that had been reported when the request was sent, and records the
-    /// new stage. Returns the stage, or `None` if the request was refused or the job is unknown.
+    /// new stage. Returns the stage, or `None` if the request got no answer, was refused for now, or names an unknown
+    /// job.
     fn record_answer(
         &self,
         id: &str,
@@ -318,7 +335,10 @@
             assert_eq!(before, None, "{id} was accepted and is unknown now");
             return None;
         }
-        assert!(matches!(status, 200 | 201), "{id}: {status} {body}");
+        assert!(
+            matches!(status, 200 | 201),
+            "a request about {id} was refused permanently: {status} {body}"
+        );
         let stage = body["stage"].as_str().unwrap().to_owned();
         if let Some(last) = before.filter(|b| b == "done" || b == "cancelled") {
             assert_eq!(stage, last, "the final stage of {id} changed");
@@ -360,7 +380,7 @@
 
     async fn submit_until_accepted(&self, number: usize, job: &Value) {
         let accepted = async || self.submit(number, job).await.is_some();
-        until("the job is accepted", accepted).await;
+        until(&format!("{} is accepted", job["nameId"]), accepted).await;
     }
 
     async fn abort(&self, number: usize, id: &str) -> Option<String> {
@@ -395,8 +415,8 @@
 /// Guards against a reported final stage that a later answer contradicts, an accepted job that is no longer known, and
 /// a job that nobody submitted but that is reported as known: users poll all controllers at the same time and repeat
 /// the submission right after a job was accepted, cancelled or reported as done. The jobs have one task each and arrive
-/// four a second. A quarter is cancelled at once, another quarter about when its task ends. In the end only the final
-/// states may be left of the jobs.
+/// at four per second. A quarter of them is cancelled at once, another quarter at about the time when its task ends. In
+/// the end only the final states of the jobs may be left in the state service.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn no_controller_contradicts_a_final_stage_that_another_reported() {
     let cluster = TestCluster::new(3, Duration::from_millis(400)).await;
@@ -408,7 +428,11 @@
         let job = job(id, 1, 1.0);
         users.submit_until_accepted(n % 3, &job).await;
         users.poll_all(id).await;
-        assert_ne!(users.submit((n + 1) % 3, &job).await, Some(String::new()));
+        assert_ne!(
+            users.submit((n + 1) % 3, &job).await,
+            Some(String::new()),
+            "the answer to the repeated submission of {id} has an empty stage"
+        );
         if n.is_multiple_of(4) {
             let cancelled = async || users.abort((n + 2) % 3, id).await.is_some();
             until("the cancellation is confirmed", cancelled).await;
@@ -446,15 +470,11 @@
         let of_jobs = |key: &&String| ["r/j/", "r/p/", "r/q/"].iter().any(|p| key.starts_with(p));
         records.keys().filter(of_jobs).count() == 0
     };
-    until(
-        "no record of the jobs but their final states is left",
-        none_left,
-    )
-    .await;
+    until("of the jobs, only the final states are left", none_left).await;
     assert_eq!(cluster.broken_rules(), Vec::<String>::new());
     assert!(
         users.poll(0, "job-99").await.is_none(),
-        "a job that was never submitted is unknown"
+        "a job that was never submitted must be unknown"
     );
 }
 
@@ -467,13 +487,17 @@
     let cluster = TestCluster::new(3, Duration::from_millis(700)).await;
     let _controllers = start_three(&cluster).await;
     let users = Users::new(&cluster);
-    // The submission and the cancellation are applied, but their answers are lost: every controller reports them.
+    // The submission and the cancellation are applied, but their answers are lost. Every controller must know the job,
+    // and then report it as cancelled.
     let first = job("job-1", 2, 1.0);
     cluster
         .state
         .inject_fault("r/j/job-1", TransactionFault::AnswerLost, 1);
     assert_eq!(users.submit(0, &first).await, None);
-    assert!(users.poll_all("job-1").await.iter().all(Option::is_some));
+    assert!(
+        users.poll_all("job-1").await.iter().all(Option::is_some),
+        "a controller does not report a job whose submission was applied"
+    );
     cluster
         .state
         .inject_fault("r/j/job-1", TransactionFault::AnswerLost, 1);
@@ -494,12 +518,12 @@
     assert_eq!(
         users.abort(1, "job-2").await,
         None,
-        "cancellation not confirmed"
+        "the cancellation was confirmed before it was applied"
     );
     assert_eq!(
         cluster.state.deliver_delayed(),
         1,
-        "only the cancellation succeeds: the job did not change before it was applied"
+        "of the delayed transactions, only the cancellation must succeed: the job's record has not changed since"
     );
     assert_eq!(users.poll_all("job-2").await, cancelled);
     // A task start that is delayed until its job is cancelled fails, since it requires the job's earlier revision.
@@ -513,7 +537,11 @@
     .await;
     let confirmed = async || users.abort(1, "job-3").await.is_some();
     until("the job is cancelled", confirmed).await;
-    assert_eq!(cluster.state.deliver_delayed(), 0);
+    assert_eq!(
+        cluster.state.deliver_delayed(),
+        0,
+        "a delayed task start was applied after the job's cancellation"
+    );
     // Faults of the writes of task starts, task exits, final states and the assignment: each job ends, and a delayed
     // transaction fails, since it requires the revisions that were read before it.
     for (key, fault) in [
@@ -531,7 +559,11 @@
             users.submit_until_accepted(n % 3, &job(id, 2, 1.0)).await;
         }
         users.wait_until_all_ended(&[0, 1, 2], &ids).await;
-        assert_eq!(cluster.state.deliver_delayed(), 0, "{key}");
+        assert_eq!(
+            cluster.state.deliver_delayed(),
+            0,
+            "delayed transactions on {key} were applied after all jobs had ended"
+        );
     }
     for id in ["job-1", "job-2", "job-3"] {
         assert_eq!(users.poll_all(id).await, cancelled);
@@ -539,9 +571,9 @@
     assert_eq!(cluster.broken_rules(), Vec::<String>::new());
 }
 
-/// Guards against a task that starts again although an attempt of it may still be running: the write of task starts is
-/// delayed while a later one is applied and the tasks run. The delayed write must fail, since it requires the page's
-/// earlier revision.
+/// Guards against a task that starts again although an attempt of it may still be running: two writes of task starts
+/// are delayed while a later one is applied and the tasks run. The delayed writes must fail, since they require the
+/// page's earlier revision.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_delayed_start_is_rejected_after_a_later_one() {
     let cluster = TestCluster::new(2, Duration::from_secs(600)).await;
@@ -552,9 +584,13 @@
         .inject_fault("r/p/job-1/", TransactionFault::Delayed, 2);
     cluster.submit(0, &job("job-1", 3, 1.0)).await;
     let runs = || cluster.cloud.world.lock().unwrap().running_tasks("job-1") == 3;
-    until("the job runs by a later write", async || runs()).await;
-    assert!(cluster.state.has_delayed());
-    assert_eq!(cluster.state.deliver_delayed(), 0);
+    until("a later write starts all tasks", async || runs()).await;
+    assert!(cluster.state.has_delayed(), "no task start was delayed");
+    assert_eq!(
+        cluster.state.deliver_delayed(),
+        0,
+        "a delayed task start was applied after a later one"
+    );
 }
 
 /// The first of ten job numbers that no other call returns.
@@ -607,14 +643,18 @@
     users.wait_until_all_ended(&[0, 1, 2], &ids).await;
     assert_eq!(cluster.broken_rules(), Vec::<String>::new());
     let world = cluster.cloud.world.lock().unwrap();
-    assert!(world.peak_running <= 12, "the team's limit is 6 CPUs");
+    assert!(
+        world.peak_running <= 12,
+        "{} tasks of 0.5 CPUs ran at a time, more than the team's limit of 6 CPUs",
+        world.peak_running
+    );
 }
 
 /// Guards against a team that uses more than its limit, a task that starts, or still runs after the permitted time,
 /// although its job's cancellation was confirmed, and a task that runs on two machines at the same time: a team uses
 /// its whole limit, and one of its jobs is cancelled while the job's machine hangs, cannot send or cannot receive, and
-/// the controller that manages the limit stops. The task counts against the limit until it is known to have ended. Only
-/// then may the next task start.
+/// the controller that manages the limit stops. The task must count against the limit until it is known to have ended.
+/// Only then may the next task start.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_task_counts_against_the_limit_until_it_is_known_to_have_ended() {
     tokio::join!(
@@ -624,7 +664,7 @@
     );
 }
 
-/// Plays the scenario with one fault of the cancelled job's machine.
+/// Runs the scenario with one fault of the cancelled job's machine.
 async fn check_limit_with(fault: &str) {
     let timeouts = Timeouts {
         lease_s: 10.0,
@@ -646,7 +686,7 @@
     let running = |id| cluster.cloud.world.lock().unwrap().running_tasks(id);
     for (id, cpus) in [("job-1", 4.0), ("job-2", 2.0)] {
         cluster.submit(0, &job(id, 1, cpus)).await;
-        until("the job runs", async || running(id) == 1).await;
+        until(&format!("{fault}: {id} runs"), async || running(id) == 1).await;
     }
     {
         let mut world = cluster.cloud.world.lock().unwrap();
@@ -662,31 +702,30 @@
         .values()
         .next()
         .expect("an assignment is recorded");
-    let quota_owner = assignment["teams"]["t"].as_u64().unwrap() as usize;
-    let quota_owner = assignment["members"][quota_owner]["name"].as_str().unwrap();
-    let quota_owner: usize = quota_owner
-        .trim_start_matches("millstone-")
-        .parse()
-        .unwrap();
-    cancel(&cluster, 1 - quota_owner, "job-1").await;
-    cluster.submit(1 - quota_owner, &job("job-3", 1, 2.0)).await;
-    controllers[quota_owner] = None;
+    // The limit is not divided, so the owner of the team's jobs manages it.
+    let owner_index = assignment["teams"]["t"].as_u64().unwrap() as usize;
+    let owner_name = assignment["members"][owner_index]["name"].as_str().unwrap();
+    let owner: usize = owner_name.trim_start_matches("millstone-").parse().unwrap();
+    cancel(&cluster, 1 - owner, "job-1").await;
+    cluster.submit(1 - owner, &job("job-3", 1, 2.0)).await;
+    controllers[owner] = None;
     if fault == "hung" {
         // The machine recovers before its lease expires, so its task runs until the worker is told to stop it.
         tokio::time::sleep(Duration::from_secs(6)).await;
         cluster.cloud.world.lock().unwrap().hung.clear();
     }
-    until("the next task starts", async || running("job-3") == 1).await;
+    let starts = format!("{fault}: the next task starts");
+    until(&starts, async || running("job-3") == 1).await;
     let world = cluster.cloud.world.lock().unwrap();
     assert_eq!(world.broken_rules, Vec::<String>::new(), "{fault}");
     assert_eq!(
         world.peak_running, 2,
-        "{fault}: more than the limit's 6 CPUs"
+        "{fault}: besides the two first tasks, another must not run at the same time"
     );
 }
 
 /// Guards against a task that runs on two machines at the same time, an accepted job that is no longer known, and
-/// machines that would never be used or returned: a leader stops right after it rented machines, which boot at once,
+/// machines that would never be used or released: a leader stops right after it rented machines, which boot at once,
 /// while the transaction that records their names gets no answer. Later no controller runs for longer than the workers'
 /// lease.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -697,7 +736,7 @@
     );
 }
 
-/// Plays the scenario with one fault of the transaction that records the machines.
+/// Runs the scenario with one fault of the transaction that records the machines.
 async fn check_rental_with(fault: TransactionFault) {
     let cluster = TestCluster::with_timeouts(2, Duration::from_millis(2500), SHORT_TIMEOUTS).await;
     let config = ControllerConfig {
@@ -740,6 +779,6 @@
     assert_eq!(world.broken_rules, Vec::<String>::new());
     assert!(
         world.expired_leases > 0,
-        "workers' leases expired meanwhile"
+        "no lease of a worker with tasks expired"
     );
 }
