--- a/src/testing/documentation.rs
+++ b/src/testing/documentation.rs
@@ -4,11 +4,11 @@
 
 /// Pages whose paths are checked.
 const PAGES: [&str; 2] = ["docs/architecture.md", "docs/glossary.md"];
-/// Folders whose paths are recognized.
+/// A text in backticks is recognized as a path if it begins with one of these folders, or if it is `src`.
 const ROOTS: [&str; 5] = ["src/", "crates/", "tests/", "deploy/", "docs/"];
 
-/// Words that introduce an item's name where it is defined.
-const DEFINITIONS: [&str; 7] = ["fn", "struct", "enum", "const", "trait", "type", "mod"];
+/// Keywords that an item's name follows in its definition.
+const ITEM_KEYWORDS: [&str; 7] = ["fn", "struct", "enum", "const", "trait", "type", "mod"];
 
 /// The paths in backticks on a page, each with the item that it names, if any.
 fn named_paths(page: &str) -> Vec<(&str, Option<&str>)> {
@@ -25,13 +25,14 @@
         .collect()
 }
 
+/// Whether an item's name follows one of the keywords anywhere in the source, including its comments and strings.
 fn defines(source: &str, item: &str) -> bool {
     let words: Vec<&str> = source
         .split(|c: char| !c.is_alphanumeric() && c != '_')
         .collect();
     words
         .windows(2)
-        .any(|pair| DEFINITIONS.contains(&pair[0]) && pair[1] == item)
+        .any(|pair| ITEM_KEYWORDS.contains(&pair[0]) && pair[1] == item)
 }
 
 #[test]
@@ -49,10 +50,14 @@
                     .is_ok_and(|source| defines(&source, item)),
             };
             if !exists {
-                missing.push(format!("{page}: {path}::{}", item.unwrap_or("(file)")));
+                let item = item.map_or(String::new(), |item| format!("::{item}"));
+                missing.push(format!("{page}: {path}{item}"));
             }
         }
     }
-    assert!(missing.is_empty(), "{missing:#?}");
+    assert!(
+        missing.is_empty(),
+        "these paths or items do not exist: {missing:#?}"
+    );
     assert!(checked > 50, "only {checked} paths were recognized");
 }
--- a/src/testing/limits.rs
+++ b/src/testing/limits.rs
@@ -23,8 +23,9 @@
     controller
 }
 
-/// The number of controllers among which the team's limit is divided. 0 if one controller manages the whole limit.
-fn controllers_with_part(cluster: &TestCluster) -> usize {
+/// The number of controllers to which parts of the team's limit are allocated. 0 if one controller manages the whole
+/// limit, or if it is not allocated yet.
+fn allocation_count(cluster: &TestCluster) -> usize {
     let assignments = cluster.state.stored("r/shares");
     let is_undivided = |assignment: &serde_json::Value| assignment["teams"].get("t").is_some();
     if assignments.values().next().is_none_or(is_undivided) {
@@ -38,7 +39,7 @@
 
 /// Guards against a team that uses more than its limit during an upgrade and a downgrade: controllers that divide
 /// limits replace those that do not, one at a time. Then one of them is replaced by a controller that does not divide
-/// limits. Throughout, the team has more work than its limit allows.
+/// limits. At the start and after each replacement, jobs are submitted whose tasks together need more than the limit.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn limits_are_divided_only_while_every_controller_divides_them() {
     let cluster = TestCluster::new(2, Duration::from_millis(250)).await;
@@ -62,35 +63,42 @@
     let first = start(&cluster, 0, false).await;
     let second = start(&cluster, 1, false).await;
     submit(1).await;
-    assert_eq!(controllers_with_part(&cluster), 0);
+    assert_eq!(
+        allocation_count(&cluster),
+        0,
+        "no controller divides limits"
+    );
     drop(first);
     let _first = start(&cluster, 0, true).await;
     submit(2).await;
     assert_eq!(
-        controllers_with_part(&cluster),
+        allocation_count(&cluster),
         0,
         "one of two controllers does not divide limits"
     );
     drop(second);
     let second = start(&cluster, 1, true).await;
     until("the limit is divided", async || {
-        controllers_with_part(&cluster) == 2
+        allocation_count(&cluster) == 2
     })
     .await;
     submit(3).await;
     drop(second);
     let _second = start(&cluster, 1, false).await;
     until("the limit is undivided again", async || {
-        controllers_with_part(&cluster) == 0
+        allocation_count(&cluster) == 0
     })
     .await;
     submit(4).await;
     for n in 10..50 {
         let id = format!("job-{n}");
         let done = async || cluster.stage(0, &id).await == "done";
-        until("the job is done", done).await;
+        until(&format!("{id} is done"), done).await;
     }
     assert_eq!(cluster.broken_rules(), Vec::<String>::new());
     let peak = cluster.cloud.world.lock().unwrap().quota.peak_usage("t");
-    assert_eq!(peak, 4000, "the whole limit is used");
+    assert_eq!(
+        peak, 4000,
+        "the team must have used its whole limit at some time, and no more"
+    );
 }
