--- a/src/testing/fleet_scale.rs
+++ b/src/testing/fleet_scale.rs
@@ -1,6 +1,7 @@
-//! Two controllers boot a fleet of 4,000 machines, fill it with tasks, change the leader and release the fleet. Guards
-//! against fixed limits that a fleet of this size would exceed. The controllers run as in production, but without
-//! listeners: the machines are simulated, and their heartbeats are passed to the controllers as function calls.
+//! Two controllers rent a fleet of 4,000 machines and fill it with tasks. Then the leader stops, and the other controller
+//! becomes the leader, takes over all machines and releases them after their tasks have ended. Guards against fixed limits
+//! that a fleet of this size would exceed. The controllers run as in production, but without listeners: the machines are
+//! simulated, and heartbeats and submissions are passed to the controllers as function calls.
 
 use super::load_profile::{Cloud, Fleet, Load, MachineType, body_of, serve_on_own_thread};
 use crate::api::Server;
@@ -27,10 +28,10 @@
 const TASKS_PER_JOB: usize = MACHINES * 2 / JOBS;
 const VALUE_BYTES: usize = 8 << 10;
 const TRANSACTION_OPERATIONS: usize = 24;
-/// Limit on the puts of the controller that takes over, records the end of all tasks and releases the fleet. A rental
-/// holds many machines and a progress page many tasks, so it needs less than one put per machine. With a key for each
-/// machine it would need three per machine.
-const MAX_PUTS: u64 = MACHINES as u64;
+/// Limit on the writes (puts and deletes) of the controller that takes over, records the end of all tasks and releases
+/// the fleet. A rental holds many machines and a progress page many tasks, so it needs less than one write per machine.
+/// With a key for each machine it would need three per machine.
+const MAX_WRITES: u64 = MACHINES as u64;
 /// Limit on the allocated memory of the test process, in which other tests may run at the same time.
 const MAX_ALLOCATED_BYTES: usize = 400 << 20;
 
@@ -74,7 +75,8 @@
     Settings::parse(&settings.to_string(), "scale").unwrap()
 }
 
-/// A controller on a runtime of its own. Dropping it stops all its background tasks at once.
+/// A controller on a runtime of its own. Dropping it ends its background tasks at their next await points, and does not
+/// wait for them.
 struct Controller {
     node: Arc<Node>,
     runtime: Option<tokio::runtime::Runtime>,
@@ -113,7 +115,7 @@
     fleet: Fleet,
     /// The controllers; `None` for one that was stopped.
     nodes: Mutex<Vec<Option<Arc<Node>>>>,
-    /// Whether tasks end as soon as they start.
+    /// Whether tasks that start from now on end at once.
     tasks_end_at_once: AtomicBool,
     answered_heartbeats: AtomicU64,
 }
@@ -123,8 +125,8 @@
         self.nodes.lock().unwrap()[number].clone()
     }
 
-    /// Sends a heartbeat to the `first` controller, or to the other if that one does not answer. Returns the number of
-    /// the controller that answered and its answer.
+    /// Sends a heartbeat to the `first` controller, or to the other if that one is stopped or does not answer with
+    /// status 200. Returns the number of the controller that answered with status 200, and its answer.
     async fn send_heartbeat(
         &self,
         name: &str,
@@ -141,7 +143,7 @@
                 return Some((number, body_of(answer).await));
             }
         }
-        tracing::debug!(name, "no controller answered the heartbeat");
+        tracing::debug!(name, "no controller answered the heartbeat with status 200");
         None
     }
 
@@ -165,7 +167,7 @@
     }
 
     async fn run(self: Arc<Self>) {
-        // The controller that last answered each machine.
+        // The controller that last answered a heartbeat, by machine.
         let last_answered = Arc::new(Mutex::new(std::collections::HashMap::<String, usize>::new()));
         loop {
             for (name, heartbeat) in self.due_heartbeats(Instant::now()) {
@@ -329,7 +331,7 @@
     assert_eq!(
         workers.running_tasks(),
         MACHINES * 2,
-        "no machine lost its tasks"
+        "tasks were lost in the change of the leader"
     );
     println!(
         "largest value at full load: {} bytes",
@@ -339,7 +341,7 @@
     println!("allocated at full load: {} MB", allocated >> 20);
     assert!(
         allocated < MAX_ALLOCATED_BYTES,
-        "{allocated} bytes allocated"
+        "{allocated} bytes are allocated at full load"
     );
 
     workers.end_tasks();
@@ -352,10 +354,20 @@
 
     let refusals = state.refusals();
     let refused_for_size = (refusals.too_large, refusals.too_many_operations);
-    assert_eq!(refused_for_size, (0, 0), "records fit the limits");
-    assert!(largest_value(&state) <= VALUE_BYTES);
+    assert_eq!(
+        refused_for_size,
+        (0, 0),
+        "transactions were refused: (values too large, too many operations)"
+    );
+    assert!(
+        largest_value(&state) <= VALUE_BYTES,
+        "a stored value exceeds {VALUE_BYTES} bytes"
+    );
     let heartbeats = workers.answered_heartbeats.load(Ordering::Relaxed);
-    let puts = second.node.state.counters.writes.load(Ordering::Relaxed);
-    println!("heartbeats answered: {heartbeats}; puts of the second controller: {puts}");
-    assert!(puts < MAX_PUTS, "{puts} puts");
+    let writes = second.node.state.counters.writes.load(Ordering::Relaxed);
+    println!("heartbeats answered: {heartbeats}; writes of the second controller: {writes}");
+    assert!(
+        writes < MAX_WRITES,
+        "the second controller wrote or deleted {writes} values"
+    );
 }
--- a/src/testing/load_profile.rs
+++ b/src/testing/load_profile.rs
@@ -30,6 +30,7 @@
     pub value_kb: f64,
     pub without_gpus: MachineType,
     pub with_gpus: MachineType,
+    /// Numbers of tasks from which each gang's is chosen at random.
     pub gang_sizes: &'static [u32],
     /// Gangs submitted at the start.
     pub gangs: u32,
@@ -39,6 +40,7 @@
     pub arrays: u32,
     /// Interval between further arrays.
     pub array_interval_s: f64,
+    /// Maximum number of tasks of an array.
     pub largest_array: u32,
     pub array_task_s: f64,
 }
@@ -110,14 +112,14 @@
     pub sequence: u64,
     /// When it sent its last heartbeat. Before the first one, the end of its boot.
     pub reported: Instant,
-    /// Attempt and end time of each task.
+    /// Attempt and end time of each task that has been started and not reaped, by the task's id.
     pub tasks: BTreeMap<String, (u64, Instant)>,
 }
 
 /// The machines that are rented and not released, by name.
 pub(super) type Fleet = Arc<Mutex<BTreeMap<String, Machine>>>;
 
-/// A simulated cloud, whose machines run no worker of their own.
+/// A simulated cloud. It keeps the state of its machines' workers, but does not run the workers.
 #[derive(Clone)]
 pub(super) struct Cloud {
     pub load: &'static Load,
@@ -217,7 +219,8 @@
             "sacks": tasks.collect::<Vec<_>>()})
     }
 
-    /// Carries out the commands of an answer. `task_s` is the duration of a task, by its id.
+    /// Takes over the fencing token of an answer and carries out its commands. `task_s` returns the duration of a task
+    /// in seconds, by its id.
     pub fn apply_commands(&mut self, answer: &Value, task_s: &dyn Fn(&str) -> f64, now: Instant) {
         self.fencing_token = answer["warrant"].as_u64().unwrap();
         for command in answer["orders"].as_array().unwrap() {
@@ -327,7 +330,8 @@
     }
 }
 
-/// Submits the jobs of the start and then those that follow at intervals. Gangs get even numbers.
+/// Submits the jobs that are due at the start, and then further jobs at their intervals. Gangs get even numbers, arrays
+/// odd ones.
 async fn submit(load: &'static Load, node: Arc<Node>) {
     let server = Arc::new(Server {
         node,
@@ -358,7 +362,7 @@
     }
 }
 
-/// Serves a stand-in on a thread of its own, so that the controller's profile does not include it.
+/// Serves a stand-in on a thread of its own, so that a profile shows its work apart from the controller's.
 pub(super) fn serve_on_own_thread(
     handler: Arc<dyn Fn(StubRequest) -> ReplyFuture + Send + Sync>,
 ) -> SocketAddr {
@@ -407,7 +411,7 @@
     let metrics = &node.core().metrics;
     println!("{}: {} machines", load.name, fleet.lock().unwrap().len());
     println!(
-        "  longest scheduling cycle of the last period: {:?}",
+        "  longest scheduling cycle since the counters were last logged: {:?}",
         metrics.longest_cycle
     );
     let processor_time = node.processor_time.totals();
