--- a/src/testing/fault_scenarios.rs
+++ b/src/testing/fault_scenarios.rs
@@ -542,8 +542,10 @@
         0,
         "a delayed task start was applied after the job's cancellation"
     );
-    // Faults of the writes of task starts, task exits, final states and the assignment: each job ends, and a delayed
-    // transaction fails, since it requires the revisions that were read before it.
+    // Faults of writes of progress pages, which record the starts and exits of tasks, of final states and of the
+    // assignment: each job ends, and a delayed transaction fails, since it requires the revisions that were read before
+    // it. The assignment is written only if it changes, for example with the registered controllers, so its fault may not
+    // occur.
     for (key, fault) in [
         ("r/p/", TransactionFault::Delayed),
         ("r/p/", TransactionFault::AnswerLost),
