--- a/src/placement/forecast/beyond_headroom/tests.rs
+++ b/src/placement/forecast/beyond_headroom/tests.rs
@@ -6,7 +6,7 @@
 use crate::placement::tests::{job, machine};
 use crate::placement::{FreeSlot, MachineSnapshot, Resources};
 
-const BOOT_S: f64 = 30.0;
+const PROVISIONING_S: f64 = 30.0;
 /// Startup tasks of each job.
 const STARTUP_COUNT: u32 = 2;
 
@@ -38,7 +38,7 @@
     JobSnapshot {
         team: Some(0),
         duration,
-        provisioning_s: BOOT_S,
+        provisioning_s: PROVISIONING_S,
         image_gb: 0.0,
         ..job("a", 1.0, tasks, 1.0)
     }
@@ -70,14 +70,14 @@
     assert!(found.helped > 20, "{found:?}");
 }
 
-/// With machines for the whole limit, all other tasks wait for quota, however many there are. The same holds if
-/// one of these machines is still booting, and if the whole limit is in use.
+/// With machines for the whole limit, the tasks beyond the headroom wait for quota, however many there are. The same
+/// holds if one of these machines is still booting, and if the whole limit is in use.
 #[test]
 fn tasks_that_lack_quota_are_not_counted() {
     let running = [(5.0, 4.0), (5.0, 4.0)];
     let two_busy = [busy_until("m", 5.0), busy_until("n", 5.0)];
     let idle = machine("o", 0.0, 4.0);
-    let booting = machine("o", BOOT_S - 1.0, 4.0);
+    let booting = machine("o", PROVISIONING_S - 1.0, 4.0);
     for third in [idle, booting] {
         let mut machines = two_busy.to_vec();
         machines.push(third);
@@ -89,7 +89,8 @@
     assert_eq!(found, BeyondHeadroom::default());
 }
 
-/// Unused quota counts for no more tasks than the limit permits, and for no more than wait.
+/// Unused quota counts for no more tasks than the limit permits, and for no more than wait for machines: of the nine
+/// waiting tasks in the second case, four run on the present machine.
 #[test]
 fn unused_quota_is_bounded_by_the_limit_and_by_the_waiting_tasks() {
     let found = beyond(limited_job(600, 10.0), &[], &headroom(12.0, &[]));
@@ -171,9 +172,13 @@
         .map(|number| machine(&format!("m-{number}"), 0.0, 4.0))
         .collect();
     let predicted = forecast(&jobs, &machines, &headroom, STARTUP_COUNT);
-    // Within a team's headroom of eight tasks, each task examines all machines at most, and so does one more search
-    // for the head of the queue. Beyond the headroom each job examines all machines once, and each task one more.
+    // Within a team's headroom of eight tasks, the bound allows one search of all machines for each task and one more
+    // for the head of the queue. Beyond the headroom, each job examines all machines once, and each task one more.
     let within_headroom = TEAMS * (8 + 1) * (machines.len() + 1);
     let bound = within_headroom + MAX_JOBS * machines.len() + MAX_TASKS;
-    assert!(predicted.machines_examined as usize <= bound);
+    let examined = predicted.machines_examined as usize;
+    assert!(
+        examined <= bound,
+        "{examined} machines examined, at most {bound} expected"
+    );
 }
--- a/src/placement/index/tests.rs
+++ b/src/placement/index/tests.rs
@@ -32,24 +32,25 @@
                 .filter(|p| p.1 <= ROUNDING_TOLERANCE)
                 .collect();
             let at_once = choose_slots(job, size, machines, &free);
-            let handicap_of_later = if at_once.is_some() {
+            let later_penalty = if at_once.is_some() {
                 job.duration * 0.25
             } else {
                 0.0
             };
             let later = choose_slots(job, size, machines, &slots);
-            for (found, handicap) in [(at_once, 0.0), (later, handicap_of_later)] {
+            for (found, penalty) in [(at_once, 0.0), (later, later_penalty)] {
                 if let Some((end, slots)) = found
-                    && best.as_ref().is_none_or(|b| end + handicap < b.0)
+                    && best.as_ref().is_none_or(|b| end + penalty < b.0)
                 {
-                    best = Some((end + handicap, slots));
+                    best = Some((end + penalty, slots));
                 }
             }
         }
         best.map(|b| b.1)
     }
 
-    /// Machine and start of each slot: the earliest end first, and the emptiest machine among equal ends.
+    /// Machine and start of each slot: the earliest end first, rounded to a second, and the emptiest machine among
+    /// equal ends.
     fn ordered_slots(
         job: &JobSnapshot,
         size: usize,
@@ -61,10 +62,10 @@
             if zone.is_some_and(|z| z != machine.zone) || !job.may_use(machine) {
                 continue;
             }
-            let mut all = Resources::default();
+            let mut requested = Resources::default();
             for _ in 0..size {
-                all.add(&job.resources);
-                if let Some(start) = machine.earliest_start(&all) {
+                requested.add(&job.resources);
+                if let Some(start) = machine.earliest_start(&requested) {
                     let end = start + fetch_and_run(job, machine);
                     slots.push((end.round() as u64, machine.emptiness(), index, start));
                 }
@@ -140,8 +141,8 @@
     gang
 }
 
-/// The cached values of the index must lead to the same slots as the reference search, also after machines
-/// changed through tasks and reservations.
+/// The index must lead to the same slots as the reference search, also after tasks and reservations have changed
+/// machines whose values it had cached.
 #[test]
 fn gang_slots_match_the_reference_search() {
     let mut rng = StdRng::seed_from_u64(7);
@@ -182,8 +183,8 @@
     assert!(gangs_placed > 200, "only {gangs_placed} gangs found slots");
 }
 
-/// With more distinct requests than `MAX_CACHED_REQUESTS` the start times stay right, and no more than that
-/// many requests are cached.
+/// With more distinct requests than `MAX_CACHED_REQUESTS`, the start times are still right, and at most
+/// `MAX_CACHED_REQUESTS` requests are cached.
 #[test]
 fn start_times_of_many_requests_are_right_and_bounded() {
     let mut machines = vec![machine("a", 0.0, 16.0), machine("b", 5.0, 8.0)];
--- a/src/placement/scale_tests.rs
+++ b/src/placement/scale_tests.rs
@@ -47,7 +47,7 @@
     busy: 0.7,
 };
 
-/// The same later in the day, when nearly all machines are busy and gangs wait.
+/// The same parts later in the day, when nearly all machines are busy and fewer CPU arrays wait.
 const TWO_ZONES_NEARLY_FULL: Workload = Workload {
     cpu_arrays: 3,
     busy: 0.98,
@@ -62,6 +62,7 @@
 /// The interned machine types.
 const WITHOUT_GPUS: u32 = 0;
 const WITH_GPUS: u32 = 1;
+/// Number of images that the jobs use.
 const IMAGES: u32 = 10;
 
 impl Workload {
@@ -88,21 +89,25 @@
     }
 
     fn machine(&self, number: u32, rng: &mut StdRng) -> MachineSnapshot {
-        let kind = if rng.random_bool(0.3) {
+        let machine_type = if rng.random_bool(0.3) {
             WITH_GPUS
         } else {
             WITHOUT_GPUS
         };
-        let gpus = f64::from(kind) * 2.0;
+        let gpus = f64::from(machine_type) * 2.0;
         let name = format!("vm-{number:06}");
         let mut machine = super::tests::machine(&name, 0.0, 16.0);
-        machine.machine_type = kind;
+        machine.machine_type = machine_type;
         machine.zone = rng.random_range(0..self.zones);
         machine.spot = rng.random_bool(0.4);
-        machine.price = if kind == WITH_GPUS { 4.61 } else { 0.96 };
+        machine.price = if machine_type == WITH_GPUS {
+            4.61
+        } else {
+            0.96
+        };
         machine.fetch_gb_per_s = 0.3;
         machine.slowness = rng.random_range(0.9..1.2);
-        machine.cpus_per_gpu = f64::from(kind) * 6.4;
+        machine.cpus_per_gpu = f64::from(machine_type) * 6.4;
         machine.images = (0..IMAGES).filter(|_| rng.random_bool(0.3)).collect();
         let boots_until = if rng.random_bool(0.1) { 20.0 } else { 0.0 };
         let busy = if rng.random_bool(self.busy) {
@@ -139,27 +144,28 @@
         job.one_zone = true;
         job.machine_types = vec![WITHOUT_GPUS, WITH_GPUS];
         job.due_milestone = Milestone::Start;
-        self.vary(&mut job, 90.0, rng);
+        self.randomize(&mut job, 90.0, rng);
         job
     }
 
-    fn array(&self, kind: u32, rng: &mut StdRng) -> JobSnapshot {
+    fn array(&self, machine_type: u32, rng: &mut StdRng) -> JobSnapshot {
         let tasks = rng.random_range(1..=self.largest_array);
         let mut job = super::tests::job("", 1.0, tasks, 0.0);
         job.resources.memory_gb = 2.4;
         job.machine_types = vec![WITHOUT_GPUS, WITH_GPUS];
-        if kind == WITH_GPUS {
+        if machine_type == WITH_GPUS {
             job.machine_types = vec![WITH_GPUS];
             job.resources.cpus = rng.random_range(4.0..8.0);
             job.resources.gpus = 1.0;
             job.resources.memory_gb = 30.0;
         }
-        self.vary(&mut job, 40.0, rng);
+        self.randomize(&mut job, 40.0, rng);
         job
     }
 
-    fn vary(&self, job: &mut JobSnapshot, seconds: f64, rng: &mut StdRng) {
-        job.duration = seconds * rng.random_range(0.5..2.0);
+    /// Draws the job's other parameters at random; `base_run_s` scales its run time.
+    fn randomize(&self, job: &mut JobSnapshot, base_run_s: f64, rng: &mut StdRng) {
+        job.duration = base_run_s * rng.random_range(0.5..2.0);
         job.due = rng.random_range(-20.0..150.0);
         job.next_due = job.due + rng.random_range(0.0..150.0);
         job.arrived = -rng.random_range(0.0..100.0);
@@ -186,7 +192,7 @@
     })
 }
 
-/// The decisions for a workload as text: readable totals, and a checksum of all single decisions.
+/// The decisions for a workload as text: totals, and a checksum of the individual decisions.
 fn decisions(workload: &Workload, seed: u64) -> String {
     let (jobs, machines) = workload.generate(seed);
     let mut all = String::new();
@@ -233,12 +239,12 @@
         predicted.machines_needed.len()
     )
     .unwrap();
-    for mapped in &predicted.jobs {
+    for counts in &predicted.jobs {
         let JobForecast {
             tasks,
             late,
             helped,
-        } = mapped;
+        } = counts;
         // The checksum in the snapshot covers this text.
         let counts = format!("Mapped {{ tasks: {tasks}, late: {late}, helped: {helped} }}");
         writeln!(all, "{counts}").unwrap();
--- a/src/placement/service/tests.rs
+++ b/src/placement/service/tests.rs
@@ -5,8 +5,9 @@
 use serde_json::json;
 use std::time::Instant;
 
-/// A start that is planned and evicted in the same cycle must be discarded. Otherwise the start is still
-/// recorded and the eviction is lost, so the gang for which the task was evicted waits until it ends.
+/// Guards against a lost eviction: if a task's start is planned and the task is evicted in the same cycle, the
+/// planned start must be discarded. Otherwise the start is still recorded and the task is not stopped, so the gang
+/// for which it was evicted waits until the task ends.
 #[test]
 fn eviction_discards_a_planned_start_and_stops_a_recorded_one() {
     let mut core = Core::new(crate::jobs::pages::tests::plain_layout(8), Instant::now());
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -86,10 +86,10 @@
         ));
     }
     let predicted = forecast(jobs, machines, &QuotaHeadroom::default(), 2);
-    for (job, mapped) in jobs.iter().zip(&predicted.jobs) {
+    for (job, counts) in jobs.iter().zip(&predicted.jobs) {
         text.push_str(&format!(
             "{}: {} of {} late\n",
-            job.id, mapped.late, mapped.tasks
+            job.id, counts.late, counts.tasks
         ));
     }
     text
@@ -150,12 +150,12 @@
     let mut constrained = job("picky", 1.0, 4, 100.0);
     constrained.spot = false;
     constrained.most_in_zone = 2;
-    constrained.avoid.insert("sick".into());
+    constrained.avoid.insert("avoided".into());
     let mut far = machine("far", 0.0, 8.0);
     far.zone = 1;
     let machines = vec![
         spot,
-        machine("sick", 0.0, 8.0),
+        machine("avoided", 0.0, 8.0),
         machine("near", 0.0, 8.0),
         far,
     ];
@@ -206,7 +206,7 @@
     }
 }
 
-/// No job starves: a large gang and a large array of low urgency start within four minutes although a
+/// A large gang and the first task of a large array, both of low urgency, start within four minutes although a
 /// stream of small urgent jobs could fill the fleet by itself.
 #[test]
 fn a_large_gang_and_a_large_array_start_despite_a_stream_of_urgent_work() {
@@ -245,7 +245,10 @@
         .collect();
     let longest = small.iter().copied().fold(0.0, f64::max);
     let (gang, array) = (wait("gang").unwrap(), wait("array").unwrap());
-    assert!(gang <= 240.0 && array <= 240.0);
+    assert!(
+        gang <= 240.0 && array <= 240.0,
+        "the gang started after {gang} s, the array after {array} s"
+    );
     insta::assert_snapshot!(format!(
         "gang of 8 machines begins after {gang} s, array of 400 after {array} s;\n\
          {} of 300 small jobs began, the last to wait after {longest} s",
@@ -278,8 +281,8 @@
     );
 }
 
-/// A forecast searches the fleet for a bounded number of gangs, however many wait: with some hundreds of
-/// them and a thousand machines, one forecast delayed heartbeats for most of a second.
+/// A forecast searches the fleet for a bounded number of gangs, however many wait. Without the bound, one forecast
+/// for some hundreds of gangs and a thousand machines delayed heartbeats for most of a second.
 #[test]
 fn forecast_cost_is_bounded_however_many_gangs_wait() {
     let forecast_of = |gangs: usize| {
@@ -312,8 +315,8 @@
     );
 }
 
-/// Jobs of other cells are neither started on protected machines nor mapped to them by the forecast,
-/// however much capacity is free there; the cell's own jobs are.
+/// A job is neither started on the idle machine of a pool that is excluded for it, nor assigned to it by the forecast;
+/// a job without excluded pools is. Pools that are protected from jobs of other cells are excluded for these jobs.
 #[test]
 fn protected_machines_take_no_jobs_of_other_cells() {
     let machines = || vec![machine("vm-1", 0.0, 4.0)];
@@ -327,9 +330,14 @@
             ..snapshot
         }];
         let placed = packing::pack(&jobs, &mut machines(), unlimited(), 2, 100);
-        let mapped = forecast::forecast(&jobs, &machines(), &QuotaHeadroom::default(), 2);
+        let predicted = forecast::forecast(&jobs, &machines(), &QuotaHeadroom::default(), 2);
         let expected = if index == 0 { 2 } else { 0 };
-        assert_eq!(placed.starts.len(), expected);
-        assert_eq!(mapped.machines_needed.len(), expected.min(1));
+        let id = &jobs[0].id;
+        assert_eq!(placed.starts.len(), expected, "starts of {id}");
+        assert_eq!(
+            predicted.machines_needed.len(),
+            expected.min(1),
+            "machines needed for {id}"
+        );
     }
 }
