--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -8,7 +8,7 @@
 const OWN_NAME: &str = "n-0";
 
 /// The state of one of two controllers. Team `t` has a limit of `cpus` CPUs, of which `micro_cpus` millionths
-/// of a CPU are allocated to this controller; the other places no jobs.
+/// of a CPU are allocated to this controller; no jobs are assigned to the other.
 fn core(cpus: f64, micro_cpus: u64) -> Core {
     let mut core = Core::new(plain_layout(8), Instant::now());
     let limit = TeamLimit::from_settings(cpus, 0.0).unwrap();
@@ -54,8 +54,8 @@
         .sum()
 }
 
-/// Planned starts that the record no longer covers after a change are discarded, gangs as a whole. The other
-/// planned starts are charged to the record.
+/// Planned starts that the controller's allocation does not cover are discarded, gangs as a whole, also after the
+/// allocation has become smaller. The charge for the others requires the record from which the headroom was computed.
 #[test]
 fn starts_that_the_allocation_does_not_cover_are_discarded() {
     let mut core = core(10.0, 5_000_000);
@@ -80,7 +80,11 @@
     let smaller = json!({"assignment": 5, "limit": [10_000_000, 0], "allotments": {OWN_NAME: [2_500_000, 0]}});
     put(&mut core, "r/a/t", smaller, 8);
     discard_uncovered_starts(&mut core);
-    assert_eq!(planned_starts(&core), 2);
+    assert_eq!(
+        planned_starts(&core),
+        2,
+        "starts that 2.5 allocated CPUs cover"
+    );
 }
 
 #[test]
@@ -110,11 +114,12 @@
         plan_start(&mut core, "job-1", 0);
         put(&mut core, key, data.clone(), 9);
         discard_uncovered_starts(&mut core);
-        assert_eq!(planned_starts(&core), 0, "{data}");
+        assert_eq!(planned_starts(&core), 0, "starts with {key} = {data}");
     }
 }
 
-/// A start in doubt stays charged until the record has changed and all changes up to that one are applied.
+/// A start whose transaction got no answer stays charged until the team's record has changed and the replica has
+/// applied all changes up to that one.
 #[test]
 fn a_start_in_doubt_is_charged_until_its_outcome_is_known() {
     let mut core = core(10.0, 4_000_000);
@@ -123,7 +128,7 @@
     core.limits.record_in_doubt(&charge);
     refresh_usage(&mut core);
     let headroom_cpus = |core: &Core| core.limits.divided_team(core, "t").unwrap().headroom().cpus;
-    assert_eq!(headroom_cpus(&core), 1.0);
+    assert_eq!(headroom_cpus(&core), 1.0, "the start in doubt is charged");
     let again = json!({"assignment": 5, "limit": [10_000_000, 0], "allotments": {OWN_NAME: [4_000_000, 0]}});
     put(&mut core, "r/a/t", again, 9);
     refresh_usage(&mut core);
@@ -134,12 +139,12 @@
     );
     core.replica.apply(Vec::new(), 9);
     refresh_usage(&mut core);
-    assert_eq!(headroom_cpus(&core), 4.0);
+    assert_eq!(headroom_cpus(&core), 4.0, "the start is no longer in doubt");
 }
 
 /// Guards against a team that uses more than its limit: the headroom of a task that was only seen to be absent was used
 /// again before its absence was recorded. Meanwhile its machine was reassigned to another controller, which started the
-/// task because it was still recorded as placed.
+/// task again because it was still recorded as placed.
 #[test]
 fn only_completed_tasks_free_headroom_before_that_is_recorded() {
     let mut core = core(10.0, 3_000_000);
@@ -150,7 +155,7 @@
         refresh_usage(core);
         core.limits.divided_team(core, "t").unwrap().headroom().cpus
     };
-    assert_eq!(headroom_cpus(&mut core), 0.0);
+    assert_eq!(headroom_cpus(&mut core), 0.0, "three tasks are placed");
     core.record_change(&TaskId::new("job-1", 0), TaskRecord::Waiting { last: 1 });
     assert_eq!(
         headroom_cpus(&mut core),
@@ -158,11 +163,16 @@
         "an absence frees no headroom before it is recorded"
     );
     core.record_change(&TaskId::new("job-1", 1), TaskRecord::Done);
-    assert_eq!(headroom_cpus(&mut core), 1.0);
+    assert_eq!(
+        headroom_cpus(&mut core),
+        1.0,
+        "a completion frees headroom at once"
+    );
 }
 
-/// Guards against records that no longer fit into a value of the state service. With 200 limited teams and 2,000
-/// jobs, the record of a team stays small, and the published gangs take no more room than is kept for them.
+/// Guards against records that do not fit into a value of the state service. A team's allocation record for five
+/// controllers takes at most 512 bytes. With a blocked gang in each of 200 teams, the published gangs take at most
+/// `MAX_PUBLISHED_GANG_BYTES`. The 2,000 jobs belong to team `t`, which has no limit here, so no limit counts them.
 #[test]
 fn records_of_200_teams_stay_small() {
     let members = 5;
--- a/src/membership/assignment/tests.rs
+++ b/src/membership/assignment/tests.rs
@@ -7,7 +7,7 @@
     }
 }
 
-fn show(assignment: &Assignment) -> String {
+fn describe(assignment: &Assignment) -> String {
     let mut text = String::new();
     for (index, member) in assignment.members.iter().enumerate() {
         let slots = assignment.slots.iter().filter(|s| **s == index).count();
@@ -26,8 +26,10 @@
     text
 }
 
+/// When controllers leave or join, the others keep their teams with undivided quotas, and their hash slots up to their
+/// share. Each such team is owned by one controller.
 #[test]
-fn jobs_are_reassigned_only_if_their_controller_left_and_teams_with_undivided_quotas_stay_whole() {
+fn present_controllers_keep_their_teams_and_their_hash_slots_up_to_their_share() {
     let undivided_teams = BTreeMap::from([("plans".to_string(), 5.0), ("scores".to_string(), 3.0)]);
     let workload = Workload {
         undivided_teams: &undivided_teams,
@@ -47,9 +49,9 @@
     });
     insta::assert_snapshot!(format!(
         "a, b and c\n{}c exited\n{}c restarted\n{}slots with unchanged owner: {}",
-        show(&first),
-        show(&after_exit),
-        show(&after_restart),
+        describe(&first),
+        describe(&after_exit),
+        describe(&after_restart),
         unchanged.count()
     ), @r#"
     a, b and c
--- a/src/membership/load/tests.rs
+++ b/src/membership/load/tests.rs
@@ -6,7 +6,7 @@
 use rowanmill_config::ConfigFile;
 use serde_json::json;
 
-/// Guards against a new load estimate for each of many submissions, which delayed heartbeats when users returned after an
+/// Guards against a new load estimate for each of many submissions, which delayed the answers to heartbeats after an
 /// outage. The submissions share one estimate and are still distributed among the controllers.
 #[test]
 fn concurrent_submissions_are_distributed_by_a_single_load_estimate() {
@@ -26,8 +26,8 @@
         Policy::default(),
     );
     let mut core = node.core();
-    let kind = json!({"sku":"m","cpus":4.0,"memGb":16.0,"hourly":1.0,"yards":["a"]});
-    core.machine_types = vec![serde_json::from_value::<MachineType>(kind).unwrap()];
+    let machine_type = json!({"sku":"m","cpus":4.0,"memGb":16.0,"hourly":1.0,"yards":["a"]});
+    core.machine_types = vec![serde_json::from_value::<MachineType>(machine_type).unwrap()];
     let members = json!([{"name":"n-0","incarnation":1},{"name":"n-1","incarnation":1}]);
     let assignment =
         json!({"members":members,"teams":{},"gangs":[0],"had_gangs":false,"slots":[0]});
@@ -48,7 +48,8 @@
     choose_placer(&node, &mut core, &job(1)).unwrap();
     assert_eq!(
         core.membership.load.as_ref().map(|e| e.estimated_at),
-        estimated_at
+        estimated_at,
+        "the last submission made a new estimate"
     );
     insta::assert_snapshot!(chosen.join("\n"), @r#"
     40 tasks to n-0
--- a/src/membership/machine_assignment/tests.rs
+++ b/src/membership/machine_assignment/tests.rs
@@ -7,9 +7,10 @@
     }
 }
 
-fn any(n: f64) -> MachineDemand {
+/// Demand of work that may use any machine.
+fn any(machines: f64) -> MachineDemand {
     MachineDemand {
-        any: n,
+        any: machines,
         on_demand: 0.0,
     }
 }
@@ -96,9 +97,9 @@
     insta::assert_snapshot!(format!("{counts:?}"), @r#"{("a", "west"): 20, ("b", "east"): 10, ("b", "west"): 10, ("c", "east"): 20}"#);
 }
 
-/// Guards against two cases of work that waited indefinitely beside idle machines. After the takeover of a cell, two tasks
-/// that filled half a machine waited at a controller without machines while the other had idle ones. Before that, 39 of
-/// 4,000 machines stayed idle.
+/// Guards against two cases of work that waited indefinitely although machines were idle. In one, two tasks that filled
+/// half a machine waited at a controller without machines while the other controller had idle ones. In the other, 39 of
+/// 4,000 machines stayed idle at one controller while tasks waited at the other.
 #[test]
 fn an_idle_machine_moves_to_a_controller_that_lacks_part_of_one_and_stays_there() {
     let (a, b) = (member("a", 1), member("b", 1));
@@ -107,6 +108,7 @@
         let levels = BTreeMap::from([(Urgency::Standard, any(n))]);
         ((m.clone(), "m".to_owned()), levels)
     };
+    // The number of machines that move to b and to a.
     let moves = |machines: usize, of_a: usize, demand: (f64, f64)| {
         let names: Vec<String> = (0..machines).map(|n| format!("vm-{n:05}")).collect();
         let demand: DemandByMember = [demand_of(&a, demand.0), demand_of(&b, demand.1)].into();
@@ -126,7 +128,11 @@
         let to_b = moves.iter().filter(|r| r.owner == b).count();
         (to_b, moves.len() - to_b)
     };
-    assert_eq!(moves(4, 4, (1.5, 0.5)), (1, 0));
+    assert_eq!(
+        moves(4, 4, (1.5, 0.5)),
+        (1, 0),
+        "one machine moves to a deficit of half a machine"
+    );
     assert_eq!(
         moves(4, 3, (1.5, 0.5)),
         (0, 0),
@@ -137,6 +143,14 @@
         (0, 0),
         "a surplus of half a machine moves no machine"
     );
-    assert_eq!(moves(4_000, 2_039, (2_000.0, 2_000.0)), (39, 0));
-    assert_eq!(moves(4_000, 2_000, (2_000.0, 2_000.0)), (0, 0));
+    assert_eq!(
+        moves(4_000, 2_039, (2_000.0, 2_000.0)),
+        (39, 0),
+        "the whole surplus moves"
+    );
+    assert_eq!(
+        moves(4_000, 2_000, (2_000.0, 2_000.0)),
+        (0, 0),
+        "no machine moves without an imbalance"
+    );
 }
--- a/src/membership/probe/tests.rs
+++ b/src/membership/probe/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Tasks are lost if all workers are redirected in an outage, and also if all are kept in a partition.
+/// Tasks are lost if all workers are redirected in an outage of the state service, and also if all are kept in a
+/// partition. In the outage the redirected worker returns; in the partition it does not.
 #[test]
 fn redirecting_one_worker_distinguishes_a_partition_from_an_outage() {
     let start = Instant::now();
--- a/src/renting/forecast/tests.rs
+++ b/src/renting/forecast/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 
-/// A forecast whose record exceeds the value limit is refused forever. The largest forecast, with as many long
-/// machine names as are published at once, fits each limit.
+/// Guards against a forecast that is never published: the state service rejects a record that exceeds its value
+/// limit, also when it is written again. With as many long machine names as are published at once, the record fits
+/// each limit.
 #[test]
 fn the_largest_forecast_fits_its_record() {
     let number = 123_456.789_012_345_6;
@@ -24,23 +25,26 @@
         idle_names: vec![longest.to_owned(); names],
     };
     let mut trace = String::new();
-    for (value, kinds) in [(2048_usize, 2_usize), (2048, 3), (8192, 2), (32768, 3)] {
-        let room =
-            (value / kinds).saturating_sub(FORECAST_BYTES) / (longest.len() + NAME_OVERHEAD_BYTES);
-        let room = room.max(1);
-        let of = |n: usize| (format!("a-kind-{n:08}"), forecast(room));
+    for (value_bytes, machine_types) in [(2048_usize, 2_usize), (2048, 3), (8192, 2), (32768, 3)] {
+        let names = (value_bytes / machine_types).saturating_sub(FORECAST_BYTES)
+            / (longest.len() + NAME_OVERHEAD_BYTES);
+        let names = names.max(1);
+        let entry = |n: usize| (format!("a-kind-{n:08}"), forecast(names));
         let record = ForecastSummaryRecord {
             at_ms: u64::MAX >> 11,
             puts_per_s: number,
             write_backlog: number,
             has_lower_quota: true,
-            by_machine_type: (0..kinds).map(of).collect(),
+            by_machine_type: (0..machine_types).map(entry).collect(),
             blocked_gangs: BTreeMap::new(),
         };
         let bytes = serde_json::to_vec(&record).unwrap().len();
-        assert!(bytes <= value, "{bytes} of {value}");
+        assert!(
+            bytes <= value_bytes,
+            "the record takes {bytes} bytes, at most {value_bytes} are allowed"
+        );
         trace.push_str(&format!(
-            "{value} bytes, {kinds} kinds: {room} names each, {bytes}\n"
+            "{value_bytes} bytes, {machine_types} kinds: {names} names each, {bytes}\n"
         ));
     }
     insta::assert_snapshot!(trace, @r#"
--- a/src/renting/tests.rs
+++ b/src/renting/tests.rs
@@ -11,6 +11,7 @@
     }
 }
 
+/// A forecast from the late and the counted work, now and as predicted for the next provisioning event.
 fn forecast(now: (i32, i32), next: (i32, i32)) -> DemandForecast {
     DemandForecast {
         late_now: now.0.into(),
