--- a/src/membership/load/tests.rs
+++ b/src/membership/load/tests.rs
@@ -9,7 +9,7 @@
 /// Guards against a new load estimate for each of many submissions, which delayed the answers to heartbeats after an
 /// outage. The submissions share one estimate and are still distributed among the controllers.
 #[test]
-fn concurrent_submissions_are_distributed_by_a_single_load_estimate() {
+fn submissions_in_quick_succession_are_distributed_by_a_single_load_estimate() {
     let settings = json!({"member": "n-0", "site": "a", "api_addr": "127.0.0.1:1",
         "mesh_addr": "127.0.0.1:2", "known": [],
         "endpoints": {"cloud": "127.0.0.1:3", "state": "127.0.0.1:4"},
--- a/src/placement/service/tests.rs
+++ b/src/placement/service/tests.rs
@@ -38,28 +38,14 @@
         .collect();
     insta::assert_snapshot!(
         format!(
-            "{}\n{}\nto be stopped {stops:?}",
-            record_text(core.task_record("job-1", 0)),
-            record_text(core.task_record("job-1", 1))
+            "{:?}\n{:?}\nto be stopped {stops:?}",
+            core.task_record("job-1", 0),
+            core.task_record("job-1", 1)
         ),
         @r#"
-        Placed { attempt: 1, machine: "vm-1", session: 1 }
+        Placed { attempt: 1, machine: "vm-1", incarnation: 1 }
         Waiting { last: 0 }
         to be stopped [(("job-1", 0), 1)]
         "#
     );
 }
-
-/// A task's record as text; `session` is the name of `incarnation` in the snapshot.
-fn record_text(record: &TaskRecord) -> String {
-    match record {
-        TaskRecord::Placed {
-            attempt,
-            machine,
-            incarnation,
-        } => {
-            format!("Placed {{ attempt: {attempt}, machine: {machine:?}, session: {incarnation} }}")
-        }
-        other => format!("{other:?}"),
-    }
-}
