--- a/src/jobs/pages/tests.rs
+++ b/src/jobs/pages/tests.rs
@@ -9,7 +9,8 @@
     }
 }
 
-/// A page is rejected if a task's code refers to a machine that is not in the list.
+/// A page is rejected if a task's code refers to a machine that is not in the list, or if it is not in the compact
+/// encoding.
 #[test]
 fn a_compact_page_reads_back_as_written() {
     let placed = |attempt, machine: &str, incarnation| TaskRecord::Placed {
--- a/src/jobs/submission/tests.rs
+++ b/src/jobs/submission/tests.rs
@@ -11,8 +11,8 @@
 #[test]
 fn refusals_name_the_field() {
     let mut trace = String::new();
-    let mut show = |what: &str, body: &[u8]| {
-        let verdict = match Submission::parse(body) {
+    let mut record = |case: &str, body: &[u8]| {
+        let outcome = match Submission::parse(body) {
             Ok(Submission { spec, depends_on }) if depends_on.is_empty() => {
                 format!("accepted {}", spec.id)
             }
@@ -22,12 +22,12 @@
             ),
             Err(error) => format!("refused: {error}"),
         };
-        trace.push_str(&format!("{what} -> {verdict}\n"));
+        trace.push_str(&format!("{case} -> {outcome}\n"));
     };
-    show("as documented", valid_submission().to_string().as_bytes());
-    show("half a body", b"{\"nameId\":");
-    show("a list", b"[]");
-    show("NaN", br#"{"nameId":"job-1","cpus":NaN}"#);
+    record("as documented", valid_submission().to_string().as_bytes());
+    record("half a body", b"{\"nameId\":");
+    record("a list", b"[]");
+    record("NaN", br#"{"nameId":"job-1","cpus":NaN}"#);
     for (field, value) in [
         ("nameId", json!("task-1")),
         ("sacks", json!(0)),
@@ -51,10 +51,10 @@
     ] {
         let mut body = valid_submission();
         body[field] = value.clone();
-        show(&format!("{field}={value}"), body.to_string().as_bytes());
+        record(&format!("{field}={value}"), body.to_string().as_bytes());
     }
     let mut body = valid_submission();
     body.as_object_mut().unwrap().remove("mould");
-    show("no mould", body.to_string().as_bytes());
+    record("no mould", body.to_string().as_bytes());
     insta::assert_snapshot!(trace);
 }
--- a/src/jobs/writer/tests.rs
+++ b/src/jobs/writer/tests.rs
@@ -174,14 +174,12 @@
     let mut record_waits = |core: &Core, what: &str| {
         let waits = [1, 3, 11].map(|s| {
             let written = page_writes(core, &me, 96, Quota::Scarce, start + Duration::from_secs(s));
-            format!(
-                "{s} s {}",
-                if written.is_empty() {
-                    "waits"
-                } else {
-                    "written"
-                }
-            )
+            let outcome = if written.is_empty() {
+                "waits"
+            } else {
+                "written"
+            };
+            format!("{s} s {outcome}")
         });
         trace.push_str(&format!("{what}: {}\n", waits.join(", ")));
     };
@@ -201,11 +199,11 @@
     "#);
 }
 
-/// With limits of 2 KiB per value and 8 operations per transaction, a gang of 16 tasks on 16 rentals is written as
-/// one page. Of an array of 300 tasks, each on a machine of its own with a long name, as many starts are written as
-/// the pages and preconditions allow, and the others stay pending.
+/// With limits of 2 KiB per value and of 8 operations and 32 preconditions per transaction, a gang of 16 tasks on 16
+/// rentals is written as one page. Of an array of 300 tasks, each on a machine of its own with a long name, as many
+/// starts are written as the pages and preconditions allow, and the others stay pending.
 #[test]
-fn pages_fit_the_lower_limits_by_construction() {
+fn page_writes_fit_lowered_limits() {
     let layout = PageLayout {
         plain_tasks: 170,
         compact_tasks: 128,
@@ -254,8 +252,11 @@
     for page in &writes {
         let bytes = json_of(&page.operation).len();
         let (starts, preconditions) = (page.machines.len(), page.preconditions.len());
-        assert!(bytes <= 2048 && preconditions <= 32);
         let key = RecordKey::page(&page.job, page.page_id).to_string();
+        assert!(
+            bytes <= 2048 && preconditions <= 32,
+            "{key} takes {bytes} bytes and {preconditions} preconditions"
+        );
         trace.push_str(&format!(
             "{key}: {starts} starts, {preconditions} preconditions, {bytes} bytes\n"
         ));
@@ -330,8 +331,8 @@
     format!("{key}@{revision}")
 }
 
-/// A machine was drained while a pending start on it waited to be written. The job then never ended, and the machine
-/// was never released (scenario `troubles`, after the limits were lowered).
+/// Guards against a job that never ends and a machine that is never released: the machine was drained while a pending
+/// start on it waited to be written, in a run with lowered limits of the state service.
 #[test]
 fn a_pending_start_on_a_draining_machine_is_discarded() {
     let (me, mut core) = core_with_a_job();
@@ -356,8 +357,8 @@
     );
 }
 
-/// One controller's starts used its whole write quota, and it wrote no exit of another controller's job for 100 s
-/// (objective `deadline dawn-dispatch-push` was .33 on scenario `troubles` after the limits were lowered).
+/// Guards against exits that are not written: with lowered limits of the state service, a controller's starts used its
+/// whole write quota, and it wrote no exit of another controller's job for 100 s. A deadline objective fell to 0.33.
 #[test]
 fn overdue_exits_are_written_before_starts() {
     let (me, mut core) = core_with_a_job();
@@ -391,8 +392,9 @@
     "#);
 }
 
-/// A gang lost the machine of one pending start, and the other starts were written. Those tasks waited for a
-/// peer that never started, and the gang was never placed again because it did not count as waiting.
+/// Guards against a gang that never ends: it lost the machine of one pending start, and the other starts were written.
+/// Those tasks waited for a peer that never started, and the gang was not placed again because it did not count as
+/// waiting.
 #[test]
 fn a_gang_is_written_whole_or_discarded() {
     let (me, mut core) = core_with_a_job();
@@ -424,8 +426,8 @@
     "#);
 }
 
-/// The response to a write arrived after the watch had delivered the deletion of the same record. Applying it
-/// restored the record, and nothing would have deleted it again.
+/// Guards against a deleted record that reappears: the response to a write arrived after the watch had delivered the
+/// deletion of the same record. Applying it restored the record, and nothing would have deleted it again.
 #[test]
 fn a_late_response_to_a_write_does_not_restore_a_deleted_record() {
     let (_, mut core) = core_with_a_job();
@@ -438,7 +440,10 @@
     };
     core.replica.apply(vec![deletion], 20);
     core.apply(vec![Operation::put("r/m/r-1", &record)], 12);
-    assert!(core.replica.fleet.rentals.is_empty());
+    assert!(
+        core.replica.fleet.rentals.is_empty(),
+        "the response to the earlier write restored the deleted record"
+    );
     core.apply(vec![Operation::put("r/m/r-3", &record)], 21);
     assert!(core.replica.fleet.rentals.contains_key("r-3"));
 }
@@ -494,9 +499,9 @@
     ");
 }
 
-/// The state service always refuses a record that is too large. When the largest possible array is started on a
-/// thousand machines, each in a rental of its own, each page fits a value and its preconditions fit a transaction.
-/// Starts that do not fit stay pending.
+/// The state service rejects a record that is too large, however often it is written. When the largest possible array
+/// is started on a thousand machines, each in a rental of its own, each page fits a value and its preconditions fit a
+/// transaction. Starts that do not fit stay pending.
 #[test]
 fn the_largest_array_fits_its_records() {
     let max_value_bytes = 8 * 1024;
@@ -540,7 +545,10 @@
         .max()
         .unwrap();
     let bytes = writes.iter().map(PendingPageWrite::bytes).max().unwrap();
-    assert!(largest <= max_value_bytes && preconditions <= 96 && bytes <= MAX_TRANSACTION_BYTES);
+    assert!(
+        largest <= max_value_bytes && preconditions <= 96 && bytes <= MAX_TRANSACTION_BYTES,
+        "a page takes {largest} bytes, {preconditions} preconditions and {bytes} bytes of a transaction"
+    );
     let pages = writes.len();
     insta::assert_snapshot!(
         format!("{pages} pages, the largest of {largest} bytes, with at most {preconditions} preconditions"),
