--- a/src/cells/withdrawal/tests.rs
+++ b/src/cells/withdrawal/tests.rs
@@ -22,8 +22,14 @@
     for tasks in 1..60 {
         let pages = pages(both, tasks);
         for task in 0..tasks {
-            assert!(pages.contains(&both.plain_page_of(task)));
-            assert!(pages.contains(&both.compact_page_of(task)));
+            assert!(
+                pages.contains(&both.plain_page_of(task)),
+                "no plain page for task {task} of {tasks}"
+            );
+            assert!(
+                pages.contains(&both.compact_page_of(task)),
+                "no compact page for task {task} of {tasks}"
+            );
         }
     }
 }
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -25,25 +25,28 @@
     }
 }
 
-/// A record above the value limit is refused forever. Under any value limit, a rental must not request more
-/// machines than its record has room for.
+/// The state service rejects a record above its value limit, however often it is written. Under each limit, a rental
+/// must not request more machines than fit into its record.
 #[test]
 fn a_rental_fits_its_record_under_any_limit_on_values() {
     let mut trace = String::new();
-    for kb in [1, 2, 8, 32] {
-        let max = max_machines_per_rental(kb * 1024);
+    for kib in [1, 2, 8, 32] {
+        let max = max_machines_per_rental(kib * 1024);
         let bytes = serde_json::to_vec(&rental(max, 60)).unwrap().len();
-        assert!(bytes <= kb * 1024, "{max} machines take {bytes}");
+        assert!(
+            bytes <= kib * 1024,
+            "a rental of {max} machines takes {bytes} bytes, more than {kib} KiB"
+        );
         let records = 1122_usize.div_ceil(max);
         trace.push_str(&format!(
-            "{kb} KiB: {max} machines a rental; 1122 machines change hands with {records} puts\n"
+            "{kib} KiB: {max} machines per rental; 1122 machines are reassigned with {records} puts\n"
         ));
     }
     insta::assert_snapshot!(trace, @r"
-    1 KiB: 2 machines a rental; 1122 machines change hands with 561 puts
-    2 KiB: 9 machines a rental; 1122 machines change hands with 125 puts
-    8 KiB: 50 machines a rental; 1122 machines change hands with 23 puts
-    32 KiB: 50 machines a rental; 1122 machines change hands with 23 puts
+    1 KiB: 2 machines per rental; 1122 machines are reassigned with 561 puts
+    2 KiB: 9 machines per rental; 1122 machines are reassigned with 125 puts
+    8 KiB: 50 machines per rental; 1122 machines are reassigned with 23 puts
+    32 KiB: 50 machines per rental; 1122 machines are reassigned with 23 puts
     ");
 }
 
@@ -73,8 +76,8 @@
     }
 }
 
-/// A rental of 50 machines that no longer fits into a record, because the value limit fell, for example to 1 KiB,
-/// is written in parts. The replica keeps all its machines whichever part arrives first.
+/// A rental of 50 machines that no longer fits into its record, because the value limit was lowered, is written in
+/// parts. The replica keeps all its machines whichever part arrives first.
 #[test]
 fn a_rental_too_large_for_its_record_is_written_in_parts() {
     let mut old = rental(50, 9);
@@ -108,7 +111,7 @@
 }
 
 #[test]
-fn machines_changing_owner_share_one_record_and_released_ones_are_remembered() {
+fn changed_machines_of_a_rental_share_one_record_and_released_ones_are_remembered() {
     let mut fleet = Fleet::default();
     fleet.apply_put("r-1", rental(3, 4), 7);
     let read: Rental =
--- a/src/state/keys/tests.rs
+++ b/src/state/keys/tests.rs
@@ -46,6 +46,7 @@
         RecordKey::Relinquished("job-1"),
     ];
     for key in outside_live_prefix {
-        assert_eq!(RecordKey::parse_live(&key.to_string()), None);
+        let key = key.to_string();
+        assert_eq!(RecordKey::parse_live(&key), None, "{key}");
     }
 }
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -180,7 +180,7 @@
         let (stage, spec) = (job.stage(), &job.record.spec);
         let (done, placed) = (job.done, job.placed);
         trace.push_str(&format!(
-            "{id}: {:?} of {}, {stage:?}, {done} done, {placed} placed, due {:?}, since {}\n",
+            "{id}: {:?} of {}, {stage:?}, {done} done, {placed} placed, due {:?}, eligible when accepted {}\n",
             spec.shape,
             spec.tasks,
             spec.deadline_s,
@@ -213,9 +213,9 @@
         replica.is_current_schema_active(),
     ));
     insta::assert_snapshot!(trace, @r#"
-    job-000301: Array of 12, Running, 8 done, 4 placed, due Some(5.0), since true
-    job-000302: Gang of 2, Running, 0 done, 2 placed, due None, since true
-    job-000304: Array of 100, Running, 26 done, 12 placed, due Some(5.0), since true
+    job-000301: Array of 12, Running, 8 done, 4 placed, due Some(5.0), eligible when accepted true
+    job-000302: Gang of 2, Running, 0 done, 2 placed, due None, eligible when accepted true
+    job-000304: Array of 100, Running, 26 done, 12 placed, due Some(5.0), eligible when accepted true
     r-9-1: 5 machines of millstone-0
     r-9-2: 4 machines of millstone-0
     millstone-0 has feature level 0
