--- a/src/workers/service/tests.rs
+++ b/src/workers/service/tests.rs
@@ -16,7 +16,7 @@
     node: Node,
     start: Instant,
     revision: u64,
-    /// Whether the records were read at the time of each heartbeat, or too long before it for starts.
+    /// Whether the records were read when a heartbeat arrives. If not, the last read is too old to permit starts.
     records_recent: bool,
     trace: String,
 }
@@ -109,7 +109,8 @@
         ));
     }
 
-    /// Ingests a heartbeat of vm-1 and appends the result to the trace.
+    /// Ingests a heartbeat of vm-1 and appends the result to the trace, which calls an incarnation `session`, commands
+    /// `orders` and an unresponsive agent `deaf`.
     fn ingest(&mut self, at_s: u64, incarnation: u64, sequence: u64, token: u64, tasks: Value) {
         let heartbeat: Heartbeat =
             serde_json::from_value(json!({"millstone": "vm-1", "endpoint": "",
@@ -245,9 +246,12 @@
     fixture.ingest(1, 1, 1, 7, json!([]));
     assert!(hold_response(&mut fixture, "with a task", running(1)).is_none());
     let mut released = hold_response(&mut fixture, "idle", json!([])).unwrap();
-    assert!(released.try_recv().is_err());
+    assert!(
+        released.try_recv().is_err(),
+        "the response was released without a reason"
+    );
     fixture.node.core().workers.release_held_response("vm-1");
-    assert!(released.try_recv().is_ok());
+    assert!(released.try_recv().is_ok(), "the response is still held");
     let mut released = hold_response(&mut fixture, "idle", json!([])).unwrap();
     fixture.set_owner(false, 8);
     assert!(
@@ -303,7 +307,7 @@
 
 /// Guards against a failure found in a recorded run: heartbeats that a controller may not answer did not count as signs
 /// that the machine is alive. Machines were released right after an outage of the state service, and controllers stepped
-/// down. Stale copies still don't count.
+/// down. Copies, and heartbeats with an earlier fencing token, still don't count.
 #[test]
 fn a_refused_heartbeat_shows_that_the_machine_is_alive() {
     let mut fixture = Fixture::new();
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -73,7 +73,7 @@
     }
     for command in &reconciliation.commands {
         text.push_str(&format!(
-            "order {}\n",
+            "command {}\n",
             serde_json::to_string(command).unwrap()
         ));
     }
@@ -84,17 +84,17 @@
 }
 
 #[test]
-fn a_recorded_start_is_commanded_and_a_withdrawn_one_stopped() {
+fn a_recorded_start_is_commanded_and_a_task_recorded_elsewhere_stopped() {
     let replica = replica(false, json!([[1, "vm-1", 1], [2, "vm-2", 1], true, 3]));
     let not_started = trace(&replica, heartbeat(1, TOKEN, json!([])));
     let two_running = json!([{"sack":"job-1/1","turn":2,"stage":"running"},
         {"sack":"job-1/0","turn":1,"stage":"running"}]);
     let elsewhere = trace(&replica, heartbeat(1, TOKEN, two_running));
-    insta::assert_snapshot!(format!("not begun\n{not_started}recorded on another machine\n{elsewhere}"), @r#"
-    not begun
-    order {"verb":"run","sack":"job-1/0","turn":1}
+    insta::assert_snapshot!(format!("not started\n{not_started}recorded on another machine\n{elsewhere}"), @r#"
+    not started
+    command {"verb":"run","sack":"job-1/0","turn":1}
     recorded on another machine
-    order {"verb":"stop","sack":"job-1/1","turn":2,"windDownS":0.0}
+    command {"verb":"stop","sack":"job-1/1","turn":2,"windDownS":0.0}
     "#);
 }
 
@@ -112,7 +112,7 @@
     unrecorded
     record job-1/0 Done
     recorded
-    order {"verb":"reap","sack":"job-1/0","turn":1}
+    command {"verb":"reap","sack":"job-1/0","turn":1}
     "#);
 }
 
@@ -132,7 +132,7 @@
     our token
     record job-1/0 Waiting { last: 1 }
     running
-    order {"verb":"stop","sack":"job-1/0","turn":1,"windDownS":0.0}
+    command {"verb":"stop","sack":"job-1/0","turn":1,"windDownS":0.0}
     "#);
 }
 
@@ -145,15 +145,15 @@
     for incarnation in [1, 2, 3] {
         let result = trace(&replica, heartbeat(incarnation, TOKEN, json!([])));
         text.push_str(&format!(
-            "recorded in session 2, reported {incarnation}\n{result}"
+            "recorded in incarnation 2, reported {incarnation}\n{result}"
         ));
     }
     insta::assert_snapshot!(text, @r#"
-    recorded in session 2, reported 1
+    recorded in incarnation 2, reported 1
     nothing
-    recorded in session 2, reported 2
-    order {"verb":"run","sack":"job-1/0","turn":1}
-    recorded in session 2, reported 3
+    recorded in incarnation 2, reported 2
+    command {"verb":"run","sack":"job-1/0","turn":1}
+    recorded in incarnation 2, reported 3
     record job-1/0 Waiting { last: 1 }
     "#);
 }
