--- a/src/api/limit/tests.rs
+++ b/src/api/limit/tests.rs
@@ -1,13 +1,14 @@
 use super::*;
 
 #[test]
-fn a_burst_shrinks_the_limit_and_calm_restores_it() {
+fn slow_responses_shrink_the_limit_and_fast_ones_raise_it() {
     let limit = ConcurrencyLimit::new();
     let mut trace = String::new();
     let mut run_round = |phase: &str, offered: u32, response_ms: u64| {
         let mut admitted = 0;
         for _ in 0..offered {
             if let Some(permit) = limit.try_acquire(1.0) {
+                // Dropping the permit would record its own response time.
                 std::mem::forget(permit);
                 admitted += 1;
             }
--- a/src/metrics/memory/tests.rs
+++ b/src/metrics/memory/tests.rs
@@ -32,18 +32,18 @@
 /// or none.
 #[test]
 fn freed_memory_is_no_longer_counted() {
-    const BLOCK: usize = 64 << 20;
+    const BLOCK_BYTES: usize = 64 << 20;
     let before = allocated();
-    let block: Vec<u8> = Vec::with_capacity(BLOCK);
+    let block: Vec<u8> = Vec::with_capacity(BLOCK_BYTES);
     assert!(
-        allocated() >= before + BLOCK / 2,
-        "{before} -> {}",
+        allocated() >= before + BLOCK_BYTES / 2,
+        "the allocated block is not counted: {before} bytes before, {} after",
         allocated()
     );
     drop(block);
     assert!(
-        allocated() < before + BLOCK / 2,
-        "{before} -> {}",
+        allocated() < before + BLOCK_BYTES / 2,
+        "the freed block is still counted: {before} bytes before, {} after",
         allocated()
     );
 }
--- a/src/metrics/processor_time/tests.rs
+++ b/src/metrics/processor_time/tests.rs
@@ -11,7 +11,10 @@
         std::thread::sleep(Duration::from_millis(200));
     }
     let waited = time.totals()[CpuAccount::Placement as usize];
-    assert!(waited < Duration::from_millis(100), "{waited:?}");
+    assert!(
+        waited < Duration::from_millis(100),
+        "{waited:?} charged for 200 ms of waiting"
+    );
     {
         let _charge = time.charge(CpuAccount::RecordWrites);
         let began = thread_time();
@@ -21,7 +24,10 @@
         }
     }
     let worked = time.totals()[CpuAccount::RecordWrites as usize];
-    assert!(worked >= Duration::from_millis(20), "{worked:?}");
+    assert!(
+        worked >= Duration::from_millis(20),
+        "{worked:?} charged for 20 ms of work"
+    );
 }
 
 #[test]
--- a/src/pipelines/tests.rs
+++ b/src/pipelines/tests.rs
@@ -45,8 +45,8 @@
 }
 
 /// Guards against a job that is released before the jobs that it depends on are done, and one that is not cancelled
-/// although a job that it depends on was: job 1 precedes 2 and 3, both precede 4, and 4 precedes 5. The order in which
-/// the records arrive must not change which jobs are released or cancelled.
+/// although a job that it depends on was. Here jobs 2 and 3 depend on 1, job 4 depends on both, and 5 depends on 4. The
+/// order in which the records arrive must not change which jobs are released or cancelled.
 #[test]
 fn a_job_is_released_after_all_dependencies_and_cancelled_with_any() {
     let diamond = |order: [u64; 5]| {
@@ -84,10 +84,13 @@
         replica.apply_put("r/j/job-3", &record.to_string(), 24);
         trace.push_str(&format!("3 is cancelled: {}", describe(&replica)));
         replica.apply_delete("r/j/job-4", 25);
-        trace.push_str(&format!("4 is ended so: {}", describe(&replica)));
+        trace.push_str(&format!("4 has ended: {}", describe(&replica)));
         traces.push(trace);
     }
-    assert!(traces.iter().all(|t| *t == traces[0]));
+    assert!(
+        traces.iter().all(|t| *t == traces[0]),
+        "the order of the records changes the result: {traces:#?}"
+    );
     insta::assert_snapshot!(traces[0], @r#"
     accepted: open [job-1] waiting [job-2 job-3 job-4 job-5] ready [] cancelled []
     1 is done: open [] waiting [job-2 job-3 job-4 job-5] ready [job-2 job-3] cancelled []
@@ -95,7 +98,7 @@
     an older record comes late: open [job-2 job-3] waiting [job-4 job-5] ready [] cancelled []
     2 is done: open [job-3] waiting [job-4 job-5] ready [] cancelled []
     3 is cancelled: open [job-3] waiting [job-4 job-5] ready [] cancelled [job-4 job-5]
-    4 is ended so: open [job-3] waiting [job-5] ready [] cancelled [job-5]
+    4 has ended: open [job-3] waiting [job-5] ready [] cancelled [job-5]
     "#);
     // Job 1 is cancelled after the records of the other jobs arrive; a job that arrives later is cancelled too.
     for order in [[1, 2, 3, 4, 5], [5, 4, 3, 2, 1]] {
@@ -159,7 +162,7 @@
 /// Earlier jobs of a pipeline inherit the urgency of the last job, and its deadline less the duration of the longest path
 /// to it. A job that is submitted later can make these deadlines earlier.
 #[test]
-fn deadlines_propagate_less_the_longest_path_behind() {
+fn deadlines_propagate_less_the_longest_path_to_the_last_job() {
     let mut replica = Replica::new(plain_layout(8));
     put_open(&mut replica, "job-1", 11);
     put_blocked(&mut replica, "job-2", &["job-1"], None, 12);
@@ -174,28 +177,30 @@
         let mut lines: Vec<_> = inherited.into_iter().collect();
         lines.sort_by(|a, b| a.0.cmp(&b.0));
         trace.push_str(&format!("{case}\n"));
-        for (id, p) in lines {
-            let (deadline_s, objective_s) =
-                (p.finish_by_ms / 1000.0, p.objective_finish_by_ms / 1000.0);
+        for (id, required) in lines {
+            let (deadline_s, objective_s) = (
+                required.finish_by_ms / 1000.0,
+                required.objective_finish_by_ms / 1000.0,
+            );
             trace.push_str(&format!(
                 "  {id}: {:?}, by {deadline_s} or {objective_s}\n",
-                p.urgency
+                required.urgency
             ));
         }
     };
-    append_deadlines("without an end", &replica);
+    append_deadlines("no job has a deadline", &replica);
     put_blocked(&mut replica, "job-4", &["job-2", "job-3"], Some(100.0), 14);
-    append_deadlines("with its end", &replica);
+    append_deadlines("job 4 has a deadline", &replica);
     put_blocked(&mut replica, "job-5", &["job-2"], Some(50.0), 15);
-    append_deadlines("with a second one", &replica);
+    append_deadlines("job 5 has an earlier one", &replica);
     insta::assert_snapshot!(trace, @r#"
-    without an end
+    no job has a deadline
       job-1: BestEffort, by inf or inf
-    with its end
+    job 4 has a deadline
       job-1: Urgent, by 60 or 110
       job-2: Urgent, by 90 or 140
       job-3: Urgent, by 90 or 140
-    with a second one
+    job 5 has an earlier one
       job-1: Urgent, by 30 or 55
       job-2: Urgent, by 40 or 65
       job-3: Urgent, by 90 or 140
--- a/src/policy/protection/tests.rs
+++ b/src/policy/protection/tests.rs
@@ -28,7 +28,7 @@
         "time_zone = \"America/Los_Angeles\"\nprotected = zone == \"kamloops\" and hour >= 1 and hour < 2.5",
     );
     let mut trace = String::new();
-    for (what, times) in [
+    for (season, times) in [
         (
             "spring",
             [
@@ -51,9 +51,12 @@
         for time in times {
             let local = local_time(&policy.time_zone, at(time));
             let is_protected = policy.is_protected(&pool("kamloops", 0.0), at(time));
-            assert!(!policy.is_protected(&pool("victoria", 0.0), at(time)));
+            assert!(
+                !policy.is_protected(&pool("victoria", 0.0), at(time)),
+                "a pool in another zone is protected at {time}"
+            );
             trace.push_str(&format!(
-                "{what} {time}: {:.2} h, protected {is_protected}\n",
+                "{season} {time}: {:.2} h, protected {is_protected}\n",
                 local.hour
             ));
         }
@@ -95,7 +98,8 @@
     );
 }
 
-/// The default policy protects nothing. Unknown time zones and invalid protection expressions are rejected.
+/// The default policy protects nothing. Unknown and computed time zones, invalid protection expressions, and the facts
+/// of a protection in other settings are rejected.
 #[test]
 fn invalid_time_zones_and_protections_are_rejected() {
     assert!(!Policy::default().has_protection());
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -19,10 +19,10 @@
 }
 
 #[test]
-fn default_policy_keeps_machines_of_a_zone_during_bulk_arrivals() {
+fn default_policy_keeps_machines_of_one_zone_while_many_tasks_arrive_or_wait() {
     let policy = Policy::default();
     let mut trace = String::new();
-    for (what, arrived, waiting) in [
+    for (case, arrived, waiting) in [
         ("calm", 10.0, 5.0),
         ("bulk", 90.0, 5.0),
         ("backlog", 0.0, 400.0),
@@ -30,7 +30,7 @@
         for zone in ["kamloops", "victoria"] {
             let allows =
                 policy.allows_release(&facts("m", 0.0, arrived, 10.0, waiting), zone, false);
-            trace.push_str(&format!("{what}, {zone}: may return {allows}\n"));
+            trace.push_str(&format!("{case}, {zone}: may return {allows}\n"));
         }
     }
     insta::assert_snapshot!(trace, @r"
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -18,6 +18,7 @@
 
 /// A single remaining controller, of three or of five, owns all machines of a fleet that is 1.5 times the largest
 /// known one. The machines' connections must fit its socket limit, and a takeover must end within a worker's lease.
+/// The last lease that a disconnected controller renews must end within `cancel_s`.
 #[test]
 fn derived_limits_suffice_for_one_controller_with_the_whole_fleet() {
     let mut trace = String::new();
@@ -29,10 +30,17 @@
         let records = machines.div_ceil(max_machines_per_rental(s.max_value_bytes()));
         // Assumes that the leader writes ten records at a time and waits up to 700 ms for each response.
         let takeover = s.presence_ttl() + Duration::from_millis(700) * records.div_ceil(10) as u32;
-        assert!(machines + 200 < sockets - crate::api::RESERVED_SOCKETS);
-        assert!(takeover < s.worker_lease());
         assert!(
-            s.disconnected_lease_limit() + s.worker_lease() < Duration::from_secs_f64(cancel_s)
+            machines + 200 < sockets - crate::api::RESERVED_SOCKETS,
+            "{sockets} sockets do not suffice for {machines} machines"
+        );
+        assert!(
+            takeover < s.worker_lease(),
+            "the takeover takes {takeover:?}"
+        );
+        assert!(
+            s.disconnected_lease_limit() + s.worker_lease() < Duration::from_secs_f64(cancel_s),
+            "leases renewed without contact end later than {cancel_s} s after it"
         );
         trace.push_str(&format!(
             "{machines} machines: {records} records, {} tasks a page, taken over within {:.1} s \
