--- a/src/limits/tests.rs
+++ b/src/limits/tests.rs
@@ -174,7 +174,7 @@
 /// controllers takes at most 512 bytes. With a blocked gang in each of 200 teams, the published gangs take at most
 /// `MAX_PUBLISHED_GANG_BYTES`. The 2,000 jobs belong to team `t`, which has no limit here, so no limit counts them.
 #[test]
-fn records_of_200_teams_stay_small() {
+fn allocation_records_and_published_gangs_stay_small() {
     let members = 5;
     let mut record =
         AllocationRecord::frozen(u64::MAX >> 12, ResourceAmount::from((4 << 40, 4 << 40)));
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -23,7 +23,7 @@
     let policy = Policy::default();
     let mut trace = String::new();
     for (case, arrived, waiting) in [
-        ("calm", 10.0, 5.0),
+        ("normal", 10.0, 5.0),
         ("bulk", 90.0, 5.0),
         ("backlog", 0.0, 400.0),
     ] {
@@ -34,8 +34,8 @@
         }
     }
     insta::assert_snapshot!(trace, @r"
-    calm, kamloops: may return true
-    calm, victoria: may return true
+    normal, kamloops: may return true
+    normal, victoria: may return true
     bulk, kamloops: may return false
     bulk, victoria: may return true
     backlog, kamloops: may return false
--- a/src/renting/forecast/tests.rs
+++ b/src/renting/forecast/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 /// Guards against a forecast that is never published: the state service rejects a record that exceeds its value
-/// limit, also when it is written again. With as many long machine names as are published at once, the record fits
-/// each limit.
+/// limit, also when it is written again. With as many long machine names as are published at once and without gangs,
+/// the record fits each limit.
 #[test]
 fn the_largest_forecast_fits_its_record() {
     let number = 123_456.789_012_345_6;
@@ -26,6 +26,7 @@
     };
     let mut trace = String::new();
     for (value_bytes, machine_types) in [(2048_usize, 2_usize), (2048, 3), (8192, 2), (32768, 3)] {
+        // The formula of `max_published_idle` for controllers that publish no gangs.
         let names = (value_bytes / machine_types).saturating_sub(FORECAST_BYTES)
             / (longest.len() + NAME_OVERHEAD_BYTES);
         let names = names.max(1);
@@ -44,13 +45,13 @@
             "the record takes {bytes} bytes, at most {value_bytes} are allowed"
         );
         trace.push_str(&format!(
-            "{value_bytes} bytes, {machine_types} kinds: {names} names each, {bytes}\n"
+            "{value_bytes} bytes, {machine_types} machine types: {names} names each, {bytes} bytes used\n"
         ));
     }
     insta::assert_snapshot!(trace, @r#"
-    2048 bytes, 2 kinds: 17 names each, 1981
-    2048 bytes, 3 kinds: 6 names each, 1893
-    8192 bytes, 2 kinds: 116 names each, 8119
-    32768 bytes, 3 kinds: 336 names each, 32583
+    2048 bytes, 2 machine types: 17 names each, 1981 bytes used
+    2048 bytes, 3 machine types: 6 names each, 1893 bytes used
+    8192 bytes, 2 machine types: 116 names each, 8119 bytes used
+    32768 bytes, 3 machine types: 336 names each, 32583 bytes used
     "#);
 }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -18,7 +18,7 @@
 
 /// A single remaining controller, of three or of five, owns all machines of a fleet that is 1.5 times the largest
 /// known one. The machines' connections must fit its socket limit, and a takeover must end within a worker's lease.
-/// The last lease that a disconnected controller renews must end within `cancel_s`.
+/// A lease that a controller renews after its last contact with the state service must end within `cancel_s` of it.
 #[test]
 fn derived_limits_suffice_for_one_controller_with_the_whole_fleet() {
     let mut trace = String::new();
--- a/src/workers/service/tests.rs
+++ b/src/workers/service/tests.rs
@@ -192,8 +192,9 @@
     insta::assert_snapshot!(fixture.trace);
 }
 
-/// An agent whose heartbeats arrive but which receives no response must be marked unresponsive. The tasks recorded on
-/// its machine may start elsewhere only once a higher incarnation proves that its lease has ended.
+/// An agent whose heartbeats arrive but which no longer receives responses must be marked unresponsive once it has
+/// ignored a command for long enough. The tasks recorded on its machine may start elsewhere only once a higher
+/// incarnation proves that its lease has ended.
 #[test]
 fn an_unresponsive_agent_is_known_by_ignored_commands() {
     let mut fixture = Fixture::new();
@@ -205,7 +206,7 @@
         fixture.ingest(3 + n * 2, 1, 3 + n, 7, json!([]));
     }
     fixture.ingest(19, 2, 12, 7, json!([]));
-    // An agent that has never received a response.
+    // An agent that has never received a response does not count as unresponsive: no task is placed on its machine.
     let mut never_answered = Fixture::new();
     never_answered.set_owner(true, 7);
     for n in 0..3 {
