--- a/src/placement/service/tests.rs
+++ b/src/placement/service/tests.rs
@@ -5,8 +5,9 @@
 use serde_json::json;
 use std::time::Instant;
 
-/// A start that is planned and evicted in the same cycle must be discarded. Otherwise the start is still
-/// recorded and the eviction is lost, so the gang for which the task was evicted waits until it ends.
+/// Guards against a lost eviction: if a task's start is planned and the task is evicted in the same cycle, the
+/// planned start must be discarded. Otherwise the start is still recorded and the task is not stopped, so the gang
+/// for which it was evicted waits until the task ends.
 #[test]
 fn eviction_discards_a_planned_start_and_stops_a_recorded_one() {
     let mut core = Core::new(crate::jobs::pages::tests::plain_layout(8), Instant::now());
@@ -37,28 +38,14 @@
         .collect();
     insta::assert_snapshot!(
         format!(
-            "{}\n{}\nto be stopped {stops:?}",
-            record_text(core.task_record("job-1", 0)),
-            record_text(core.task_record("job-1", 1))
+            "{:?}\n{:?}\nto be stopped {stops:?}",
+            core.task_record("job-1", 0),
+            core.task_record("job-1", 1)
         ),
         @r#"
-        Placed { attempt: 1, machine: "vm-1", session: 1 }
+        Placed { attempt: 1, machine: "vm-1", incarnation: 1 }
         Waiting { last: 0 }
         to be stopped [(("job-1", 0), 1)]
         "#
     );
 }
-
-/// A task's record as text; `session` is the name of `incarnation` in the snapshot.
-fn record_text(record: &TaskRecord) -> String {
-    match record {
-        TaskRecord::Placed {
-            attempt,
-            machine,
-            incarnation,
-        } => {
-            format!("Placed {{ attempt: {attempt}, machine: {machine:?}, session: {incarnation} }}")
-        }
-        other => format!("{other:?}"),
-    }
-}
