--- a/crates/rowanmill-testing/src/cloud/worker.rs
+++ b/crates/rowanmill-testing/src/cloud/worker.rs
@@ -15,8 +15,27 @@
 struct Task {
     attempt: u64,
     started: Instant,
-    /// Whether it completed or was stopped. Heartbeats report either as `done`.
-    has_ended: bool,
+    /// Why it ended, or `None` while it runs.
+    ended: Option<EndCause>,
+}
+
+/// Why a task ended.
+#[derive(Clone, Copy)]
+enum EndCause {
+    /// It ran for its duration.
+    Completed,
+    /// A controller's `stop` command ended it early.
+    Stopped,
+}
+
+impl EndCause {
+    /// The cause's name in heartbeats.
+    fn name(self) -> &'static str {
+        match self {
+            Self::Completed => "done",
+            Self::Stopped => "stopped",
+        }
+    }
 }
 
 pub(super) struct Worker {
@@ -118,8 +137,8 @@
 
     fn heartbeat(&mut self) -> Value {
         let tasks = self.tasks.iter().map(|(id, task)| {
-            if task.has_ended {
-                json!({"sack": id, "turn": task.attempt, "stage": "ended", "cause": "done"})
+            if let Some(cause) = task.ended {
+                json!({"sack": id, "turn": task.attempt, "stage": "ended", "cause": cause.name()})
             } else {
                 json!({"sack": id, "turn": task.attempt, "stage": "running"})
             }
@@ -145,8 +164,8 @@
         let duration = self.cloud.task_duration;
         let mut world = self.cloud.world.lock().unwrap();
         for (id, task) in &mut self.tasks {
-            if !task.has_ended && task.started.elapsed() >= duration {
-                task.has_ended = true;
+            if task.ended.is_none() && task.started.elapsed() >= duration {
+                task.ended = Some(EndCause::Completed);
                 world.record_completion(id);
             }
         }
@@ -183,15 +202,20 @@
         let task = Task {
             attempt,
             started: Instant::now(),
-            has_ended: false,
+            ended: None,
         };
         self.tasks.insert(id.to_owned(), task);
     }
 
+    /// Stops a task. One that has already ended keeps the cause of its end.
     fn stop_task(&mut self, id: &str) {
-        if let Some(task) = self.tasks.get_mut(id) {
-            task.has_ended = true;
+        let task = self.tasks.get_mut(id);
+        if let Some(task) = task.filter(|task| task.ended.is_none()) {
+            task.ended = Some(EndCause::Stopped);
             self.cloud.world.lock().unwrap().record_stop(id);
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
