--- a/crates/rowanmill-limits/src/transfer.rs
+++ b/crates/rowanmill-limits/src/transfer.rs
@@ -284,7 +284,7 @@
 /// waiting unit does not fit into the free part of their allocation, except those that yield headroom. The one
 /// with the oldest unit that could start with the remainders of all candidates is selected; the remainder of a
 /// controller whose oldest unit is a gang counts only for that gang. If each kept its own remainder, a limit
-/// of eight CPUs over three controllers would let only seven tasks of one CPU run.
+/// of eight CPUs in equal allocations to three controllers would let only six tasks of one CPU run.
 fn remainder_recipient<'a>(
     record: &AllocationRecord,
     members: &'a [MemberDemand],
--- a/crates/rowanmill-limits/tests/schedules.rs
+++ b/crates/rowanmill-limits/tests/schedules.rs
@@ -14,7 +14,8 @@
 const MAX_ROUNDS: usize = 19 * 12 + 60;
 
 /// Rounds within which free headroom must be used. They allow for an allocation or for several transfers:
-/// in each round, a controller reads once and makes at most one transfer.
+/// in each round, a controller reads once and makes at most one transfer. They are fewer than the 20 rounds of
+/// the default `idle_after_s`, after which a controller releases headroom that its waiting work does not use.
 const MAX_IDLE_ROUNDS: usize = 12;
 
 fn run_schedules(seeds: std::ops::Range<u64>) {
