--- a/crates/rowanmill-cells/src/service/watch.rs
+++ b/crates/rowanmill-cells/src/service/watch.rs
@@ -16,8 +16,10 @@
 /// Number of watch requests that fit into the time for which renewals are permitted after a read, so that a
 /// failed one can be repeated in this time.
 const WATCHES_PER_RENEWAL_LIMIT: u32 = 3;
-/// Time without a response after which a controller attests that it has lost contact with the ledger. A
-/// controller that had contact more recently may be about to confirm a change that its replica lacks.
+/// Time without a response after which a controller attests that it has lost contact with the ledger; it
+/// equals the longest duration of a watch request. A controller that had contact more recently may be about to
+/// confirm a change that its replica lacks. A slow change may be confirmed even later: a reconcile round may
+/// begin up to `MAX_READ_AGE_FOR_STARTS` after a read, and each of its writes may take 1.5 s.
 const DISCONNECTED_AFTER: Duration = Duration::from_millis(2500);
 
 impl CellCoordinator {
@@ -37,8 +39,9 @@
         let Some(mut revoked_jobs) = view.replica.revoked_since(cell, revision) else {
             return LedgerLossAttestation::default();
         };
-        // Includes what other controllers attested to this one, and the jobs that it halted itself. The
-        // querying controller may be unable to reach the controller that confirmed a change.
+        // Includes what other controllers attested to this one, and the jobs that it halted itself. They are
+        // listed in addition: attestations count only if the querying controller reaches all others, and so
+        // also the one that confirmed a change.
         revoked_jobs.extend(view.contact.halted.iter().cloned());
         LedgerLossAttestation {
             is_disconnected: view.has_lost_ledger(),
--- a/src/mesh/attestation.rs
+++ b/src/mesh/attestation.rs
@@ -24,8 +24,9 @@
 pub const ATTESTATION_QUERY: u16 = u16::MAX;
 /// Maximum size of an encoded attestation.
 const MAX_FRAME_BYTES: usize = 256 << 10;
-/// A controller counts as disconnected after this time without contact. Until then it may still confirm cancellations that
-/// its replica does not show yet.
+/// A controller counts as disconnected after this time without contact; it equals the longest duration of a watch
+/// request. Until then it may still confirm cancellations that its replica does not show yet. A slow one may be
+/// confirmed even later, as it takes a read and then a write of up to 1.5 s each.
 const DISCONNECTED_AFTER: Duration = Duration::from_millis(2500);
 
 /// A controller's answer to a query. The fields are encoded in this order.
