--- a/crates/rowanmill-cells/src/config/validation.rs
+++ b/crates/rowanmill-cells/src/config/validation.rs
@@ -12,8 +12,9 @@
 const MAX_DURATION_S: f64 = 600.0;
 /// Largest number of characters in a cell's name.
 const MAX_NAME_CHARS: usize = 40;
-/// Smallest permitted limit on the operations of a transaction. Ending a job and registering a cell take two
-/// operations each.
+/// Smallest permitted limit on the operations of a transaction, the same as for a cell's own state service. No
+/// transaction on the ledger needs as many: ending a job and registering a cell take two operations each, a
+/// takeover at least one, and every other change one.
 const MIN_TXN_OPS: usize = 4;
 /// Factor that allows for clock drift between machines. Monotonic clocks drift apart by at most 0.05 %; the
 /// factor allows for twice that.
--- a/crates/rowanmill-cells/src/contact.rs
+++ b/crates/rowanmill-cells/src/contact.rs
@@ -10,7 +10,8 @@
 use std::time::{Duration, Instant};
 
 /// Largest age of the last read at which a task may be started. A controller that can reach the ledger reads
-/// it at least twice in this time.
+/// it at least twice in this time if the watch interval and the response time together take at most half a
+/// second: each watch request waits up to 1 s for a change.
 const MAX_READ_AGE_FOR_STARTS: Duration = Duration::from_secs(3);
 /// Time from reading a cancellation until it is confirmed to users. It is [`MAX_READ_AGE_FOR_STARTS`], after
 /// which no controller can start the job by an earlier read, plus 200 ms for clock drift.
--- a/crates/rowanmill-cells/src/replica/recent_changes.rs
+++ b/crates/rowanmill-cells/src/replica/recent_changes.rs
@@ -2,7 +2,8 @@
 
 use std::collections::VecDeque;
 
-/// Number of changes that are kept, which is as many as the ledger's own log keeps.
+/// Number of changes above which each one that is read from the log displaces the oldest. It is meant to be as
+/// many as the ledger's own log keeps. Changes that this process wrote displace none when they are added.
 const MAX_CHANGES: usize = 10_000;
 
 /// The latest changes of jobs, with their revisions.
