--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -139,9 +139,10 @@
     pub report_s: f64,
     /// Length of a worker's lease: how long it keeps running tasks while no heartbeat is answered.
     pub lease_s: f64,
-    /// How long a task waits for the other tasks of its gang before it gives up.
+    /// How long a task waits for the other tasks of its gang before it gives up. Controllers only validate it.
     pub gang_wait_s: f64,
     /// Time within which a running gang detects the loss of one of its tasks. The whole gang must then be stopped.
+    /// Controllers only validate it.
     pub gang_peer_s: f64,
     /// How long a task may still run after its cancellation was confirmed to the user.
     pub cancel_s: f64,
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -16,9 +16,10 @@
     .to_string()
 }
 
-/// A single remaining controller, of three or of five, owns all machines of a fleet that is 1.5 times the largest
-/// known one. The machines' connections must fit its socket limit, and a takeover must end within a worker's lease.
-/// A lease that a controller renews after its last contact with the state service must end within `cancel_s` of it.
+/// A single remaining controller, of three or of five, owns all machines of a fleet. The fleet is meant to be 1.5 times
+/// the largest known one. The machines' connections must fit the controller's socket limit, and a takeover must end
+/// within a worker's lease. A lease that a controller renews after its last contact with the state service must end
+/// within `cancel_s` of it.
 #[test]
 fn derived_limits_suffice_for_one_controller_with_the_whole_fleet() {
     let mut trace = String::new();
--- a/src/workers/service/tests.rs
+++ b/src/workers/service/tests.rs
@@ -164,8 +164,9 @@
 }
 
 /// Guards against a task that starts again although an attempt of it may still be running: a delayed heartbeat from
-/// before a start must not count as proof that the task is absent, and one from before a change of owner must not make
-/// a dead machine appear alive.
+/// before a start must not count as proof that the task is absent, and one from before a change of owner must not count
+/// as the agent's acknowledgement of the new owner, because the machine may be dead. No task is placed on the machine
+/// before that acknowledgement.
 #[test]
 fn stale_heartbeats_prove_nothing() {
     let mut fixture = Fixture::new();
