--- a/src/placement/scale_tests.rs
+++ b/src/placement/scale_tests.rs
@@ -23,7 +23,8 @@
     busy: f64,
 }
 
-/// One controller's part of the deployment xanhgio-fleet-grown, with the jobs that wait at its start.
+/// One controller's part of a deployment in two zones, with the jobs that wait at its start: mostly gangs, of at most
+/// six tasks.
 const TWO_ZONES: Workload = Workload {
     machines: 640,
     zones: 2,
@@ -35,7 +36,8 @@
     busy: 0.7,
 };
 
-/// One controller's part of the deployment cedarloop-previews-grown, with the jobs that wait at its start.
+/// One controller's part of a smaller deployment in four zones, with the jobs that wait at its start: fewer but larger
+/// gangs, of at most 16 tasks, and fewer but larger arrays.
 const FOUR_ZONES: Workload = Workload {
     machines: 240,
     zones: 4,
--- a/src/testing/fleet_scale.rs
+++ b/src/testing/fleet_scale.rs
@@ -30,7 +30,8 @@
 const TRANSACTION_OPERATIONS: usize = 24;
 /// Limit on the writes (puts and deletes) of the controller that takes over, records the end of all tasks and releases
 /// the fleet. A rental holds many machines and a progress page many tasks, so it needs less than one write per machine.
-/// With a key for each machine it would need three per machine.
+/// With a key for each machine it would need at least three per machine: to record it as draining, to record it as
+/// releasing, and to delete it.
 const MAX_WRITES: u64 = MACHINES as u64;
 /// Limit on the allocated memory of the test process, in which other tests may run at the same time.
 const MAX_ALLOCATED_BYTES: usize = 400 << 20;
--- a/src/testing/load_profile.rs
+++ b/src/testing/load_profile.rs
@@ -52,7 +52,7 @@
     pub boot_s: f64,
 }
 
-/// The busiest controller of the deployment xanhgio-fleet-lean.
+/// The busiest controller of a large deployment with many gangs, of at most six tasks, and a new one every second.
 const XANHGIO: Load = Load {
     name: "xanhgio-fleet-lean",
     report_s: 5.0,
@@ -76,7 +76,8 @@
     array_task_s: 30.0,
 };
 
-/// The busiest controller of the deployment cedarloop-previews-lean.
+/// The busiest controller of a smaller deployment with frequent heartbeats, fewer but larger gangs, of at most 16
+/// tasks, and larger arrays.
 const CEDARLOOP: Load = Load {
     name: "cedarloop-previews-lean",
     report_s: 1.5,
