--- a/src/workers/ingest.rs
+++ b/src/workers/ingest.rs
@@ -16,7 +16,10 @@
 
 /// Greatest age of the last read of the records at which `run` may be sent. Without this limit, a controller that alone
 /// is disconnected from the state service could go on starting tasks for `disconnected_lease_limit` after another one
-/// has confirmed their cancellation. In undisturbed operation, the last read is at most half this old.
+/// has confirmed their cancellation. A read's age counts from the sending of its request, so in undisturbed operation
+/// the last read is at most two hold times of the watch and one watch interval old, plus the round-trip and processing
+/// times of two requests. If the hold time and the interval are both 1 s, their maximum, the last read can be older than
+/// this limit.
 const MAX_RECORDS_AGE_FOR_STARTS: Duration = Duration::from_secs(3);
 /// Heartbeat intervals after a `run` for which its task may be missing from heartbeats, in addition to
 /// [`RUN_ACKNOWLEDGEMENT_MARGIN`].
@@ -162,7 +165,8 @@
     reconcile(heartbeat, &mut status.attempts, &desired, now)
 }
 
-/// Whether tasks may be started: the records were read recently enough and, in a cell, so was the ledger.
+/// Whether tasks may be started: the records were read recently enough and, in a cell, so was the ledger or, in its
+/// place, attestations of all other controllers.
 fn permits_starts(node: &Node, core: &Core, now: Instant) -> bool {
     let is_recent = |read| now.saturating_duration_since(read) <= MAX_RECORDS_AGE_FOR_STARTS;
     core.last_read_barrier.is_some_and(is_recent) && cells::permits_starts(node, now)
@@ -193,7 +197,8 @@
 }
 
 /// Updates estimates and failure counts from new exits. An agent reports an exit until it is recorded, so exits that
-/// are already queued are skipped to count each one once.
+/// are already queued are skipped. A failure is counted again if a later start of its task has replaced it in the
+/// queue.
 fn record_new_exits(
     core: &mut Core,
     status: &mut AgentStatus,
@@ -216,7 +221,7 @@
     }
 }
 
-/// Queues the exits for recording. Returns whether any of them is new.
+/// Queues the exits for recording. Returns whether any of them differs from its task's recorded or queued state.
 fn queue_exits(core: &mut Core, exits: impl IntoIterator<Item = (TaskId, TaskRecord)>) -> bool {
     let mut is_any_new = false;
     for (task, exit) in exits {
