--- a/crates/rowanmill-testing/src/cloud/worker.rs
+++ b/crates/rowanmill-testing/src/cloud/worker.rs
@@ -1,8 +1,11 @@
 //! The worker on a machine: it sends heartbeats, executes the commands in the answers, checks their fencing tokens,
-//! ends its tasks when its lease expires, and runs each task for a fixed duration.
+//! ends its tasks when its lease expires, and runs each task for a fixed duration. The tasks of a gang run for this
+//! duration from the start of the last of them, and complete together.
 
 use super::Cloud;
+use super::world::{GangCompletion, World};
 use crate::ask;
+use crate::history::job_of;
 use hyper::Method;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -14,15 +17,38 @@
 /// A task that a controller has started on the worker. It is kept until the controller reaps it or the lease expires.
 struct Task {
     attempt: u64,
+    /// When it was placed on the machine. The run time of a task in a gang counts from the gang's start instead.
     started: Instant,
-    /// Why it ended, or `None` while it runs.
+    /// Why it ended, or `None` while it runs or if it completed with its gang.
     ended: Option<EndCause>,
+    /// The completion of its gang, if it belongs to one.
+    gang_completion: Option<GangCompletion>,
+}
+
+impl Task {
+    /// Why it ended, or `None` while it is on its machine.
+    fn end_cause(&self) -> Option<EndCause> {
+        let gang = self.gang_completion.as_ref();
+        let is_complete = gang.is_some_and(GangCompletion::is_complete);
+        self.ended.or(is_complete.then_some(EndCause::Completed))
+    }
+
+    /// The task in a heartbeat.
+    fn report(&self, id: &str, world: &World) -> Value {
+        if let Some(cause) = self.end_cause() {
+            json!({"sack": id, "turn": self.attempt, "stage": "ended", "cause": cause.name()})
+        } else if world.is_gathering(id) {
+            json!({"sack": id, "turn": self.attempt, "stage": "gathering"})
+        } else {
+            json!({"sack": id, "turn": self.attempt, "stage": "running"})
+        }
+    }
 }
 
 /// Why a task ended.
 #[derive(Clone, Copy)]
 enum EndCause {
-    /// It ran for its duration.
+    /// It ran for its duration, or its gang did.
     Completed,
     /// A controller's `stop` command ended it early.
     Stopped,
@@ -136,13 +162,9 @@
     }
 
     fn heartbeat(&mut self) -> Value {
-        let tasks = self.tasks.iter().map(|(id, task)| {
-            if let Some(cause) = task.ended {
-                json!({"sack": id, "turn": task.attempt, "stage": "ended", "cause": cause.name()})
-            } else {
-                json!({"sack": id, "turn": task.attempt, "stage": "running"})
-            }
-        });
+        let world = self.cloud.world.lock().unwrap();
+        let tasks = self.tasks.iter();
+        let tasks = tasks.map(|(id, task)| task.report(id, &world));
         self.sequence += 1;
         json!({"millstone": self.machine, "endpoint": "127.0.0.1:9", "stone": "m4",
             "yard": "a", "borrowed": false, "shift": self.incarnation, "tally": self.sequence,
@@ -159,12 +181,14 @@
         self.lease_renewed = Instant::now();
     }
 
-    /// Completes the tasks that have run for long enough.
+    /// Completes the tasks that have run for long enough. Those in gangs complete on all machines at once.
     fn complete_tasks(&mut self) {
         let duration = self.cloud.task_duration;
         let mut world = self.cloud.world.lock().unwrap();
         for (id, task) in &mut self.tasks {
-            if task.ended.is_none() && task.started.elapsed() >= duration {
+            if task.gang_completion.is_some() {
+                world.complete_gang(job_of(id), duration);
+            } else if task.ended.is_none() && task.started.elapsed() >= duration {
                 task.ended = Some(EndCause::Completed);
                 world.record_completion(id);
             }
@@ -203,16 +227,18 @@
             attempt,
             started: Instant::now(),
             ended: None,
+            gang_completion: world.gang_completion(id),
         };
         self.tasks.insert(id.to_owned(), task);
     }
 
     /// Stops a task. One that has already ended keeps the cause of its end.
     fn stop_task(&mut self, id: &str) {
+        let mut world = self.cloud.world.lock().unwrap();
         let task = self.tasks.get_mut(id);
-        if let Some(task) = task.filter(|task| task.ended.is_none()) {
+        if let Some(task) = task.filter(|task| task.end_cause().is_none()) {
             task.ended = Some(EndCause::Stopped);
-            self.cloud.world.lock().unwrap().record_stop(id);
+            world.record_stop(id);
         }
     }
 }
--- a/crates/rowanmill-testing/src/cloud/world.rs
+++ b/crates/rowanmill-testing/src/cloud/world.rs
@@ -1,7 +1,11 @@
 //! What the machines of one or several clouds observe, and the rules that these observations show to be broken.
 
+mod gang;
+
 use crate::history::{Event, History, job_of};
 use crate::quota::QuotaMonitor;
+use gang::Gang;
+pub(super) use gang::GangCompletion;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 use tokio::task::AbortHandle;
@@ -16,6 +20,8 @@
     /// The machine of each running task.
     machine_by_task: HashMap<String, String>,
     completed: HashSet<String>,
+    /// The gangs, by job. Tasks of other jobs run and complete independently.
+    gangs: HashMap<String, Gang>,
     /// By job, the tasks that must be completed before any of its own starts.
     pub dependencies: HashMap<String, Vec<String>>,
     /// Jobs that were reported to users as cancelled, with the time of the first report.
@@ -55,7 +61,21 @@
             .or_insert_with(Instant::now);
     }
 
-    /// The number of tasks of a job that run.
+    /// Records that a job is a gang of this many tasks. In the real protocol, workers fetch the description of a job
+    /// themselves.
+    pub fn record_gang(&mut self, job: &str, tasks: usize) {
+        self.gangs
+            .entry(job.to_owned())
+            .or_insert_with(|| Gang::new(tasks));
+    }
+
+    /// The number of tasks of a job that is a gang; `None` for other jobs.
+    #[cfg(test)]
+    pub(crate) fn gang_size(&self, job: &str) -> Option<usize> {
+        self.gangs.get(job).map(Gang::size)
+    }
+
+    /// The number of tasks of a job that are on machines, including those that wait for the others of their gang.
     pub fn running_tasks(&self, job: &str) -> usize {
         let tasks = self.machine_by_task.keys();
         tasks.filter(|task| job_of(task) == job).count()
@@ -118,11 +138,45 @@
             self.record_broken_rule(over_limit.to_string());
         }
         self.check_cancellation_and_dependencies(task);
+        self.record_start_in_gang(job_of(task));
         self.starts += 1;
         *self.starts_by_task.entry(task.to_owned()).or_default() += 1;
         self.peak_running = self.peak_running.max(self.machine_by_task.len());
     }
 
+    fn record_start_in_gang(&mut self, job: &str) {
+        let on_machines = self.running_tasks(job);
+        if let Some(gang) = self.gangs.get_mut(job) {
+            gang.record_start(on_machines);
+        }
+    }
+
+    /// Whether a task on a machine waits for the other tasks of its gang.
+    pub(super) fn is_gathering(&self, task: &str) -> bool {
+        let gang = self.gangs.get(job_of(task));
+        gang.is_some_and(|gang| !gang.has_started())
+    }
+
+    /// The completion of a task's gang, for the worker that starts the task; `None` if the job is no gang.
+    pub(super) fn gang_completion(&self, task: &str) -> Option<GangCompletion> {
+        self.gangs.get(job_of(task)).map(Gang::completion)
+    }
+
+    /// Completes all tasks of a gang if it has run for `duration` and no worker of its machines is hung.
+    pub(super) fn complete_gang(&mut self, job: &str, duration: Duration) {
+        let has_hung_machine = !self.hung.is_disjoint(&self.machines_running(job));
+        let gang = self.gangs.get_mut(job);
+        let Some(gang) = gang.filter(|gang| gang.has_run_for(duration) && !has_hung_machine) else {
+            return;
+        };
+        gang.complete();
+        let tasks = self.machine_by_task.keys();
+        let tasks: Vec<String> = tasks.filter(|task| job_of(task) == job).cloned().collect();
+        for task in tasks {
+            self.record_completion(&task);
+        }
+    }
+
     fn check_cancellation_and_dependencies(&mut self, task: &str) {
         let job = job_of(task);
         if self.cancelled.contains_key(job) {
@@ -152,6 +206,9 @@
     fn record_end(&mut self, task: &str, completed: bool) {
         if self.machine_by_task.remove(task).is_some() {
             self.quota.record_end(task);
+            if let Some(gang) = self.gangs.get_mut(job_of(task)) {
+                gang.record_end();
+            }
             let task = task.to_owned();
             self.history.record(Event::Ended { task, completed });
         }
--- a/crates/rowanmill-testing/src/cluster/users.rs
+++ b/crates/rowanmill-testing/src/cluster/users.rs
@@ -151,9 +151,13 @@
         world
             .quota
             .record_job(id, job["crew"].as_str().unwrap(), millicpus);
+        let tasks = job["sacks"].as_u64().unwrap() as u32;
+        if job["shape"] == "group" {
+            world.record_gang(id, tasks as usize);
+        }
         world.history.record(Event::Submitted {
             job: id.to_owned(),
-            tasks: job["sacks"].as_u64().unwrap() as u32,
+            tasks,
         });
     }
 
@@ -182,3 +186,6 @@
             .collect()
     }
 }
+
+#[cfg(test)]
+mod tests;
