--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-/// The attempts that drains and preemption are stopping, with the seconds that each has to save its progress.
+/// The attempts that evictions are stopping, with the seconds that each has to save its progress.
 pub type PendingStops = HashMap<TaskAttempt, f64>;
 
 /// The desired state of a machine's tasks: the records, and the changes that are queued but not recorded yet.
@@ -23,7 +23,8 @@
     pub pending_changes: &'a PendingChanges,
     /// Jobs that must not run even if their records don't say so yet.
     pub cancelled_jobs: &'a BTreeSet<String>,
-    /// Whether tasks may be started: the records and, in a cell, the ledger were read recently enough.
+    /// Whether tasks may be started: the records were read recently enough and, in a cell, so was the ledger or, in its
+    /// place, attestations of all other controllers.
     pub starts_permitted: bool,
 }
 
@@ -64,8 +65,8 @@
     Inconclusive,
 }
 
-/// Reconciles a heartbeat with the records; called by the machine's owner. Updates `attempts` with the attempts that the
-/// heartbeat reports and those for which the result contains a `run`.
+/// Reconciles a heartbeat with the records; called by the machine's owner. Updates `attempts` from the heartbeat and the
+/// records, and with the attempts for which the result contains a `run`.
 pub fn reconcile(
     heartbeat: &Heartbeat,
     attempts: &mut AttemptLog,
@@ -122,7 +123,7 @@
                 let reap = Command::reap(&task.task, task.attempt);
                 self.result.commands.push(reap);
             }
-            // The job is cancelled, or the records no longer place this attempt here.
+            // The job must not run, or the records no longer place this attempt here.
             _ if !is_recorded || self.desired.must_not_run(job, record) => self.stop(task, 0.0),
             _ => self.reconcile_present(id, task),
         }
